--- a/crates/oliveworks-core/build.rs
+++ b/crates/oliveworks-core/build.rs
@@ -1,5 +1,5 @@
-//! Checks every state chart when the crate is built, so that a chart with an unreachable state, a
-//! missing transition or an undeclared event never ships.
+//! Checks every state chart at build time, so that a chart with an unreachable state, a missing
+//! transition or an undeclared event never ships.
 
 #[allow(dead_code)]
 #[path = "src/chart.rs"]
--- a/crates/oliveworks-core/src/admit.rs
+++ b/crates/oliveworks-core/src/admit.rs
@@ -1,10 +1,11 @@
-//! Admission at an entry: who waits, who goes next, and who is refused.
+//! Admission at an entry: queues requests, selects the next one, and sheds load.
 //!
-//! Requests wait in one bounded queue for each workspace. The next to go comes from the highest
-//! priority; within it from the workspace that has had least for its weight. When the queues are
-//! full, the request least worth doing is refused at once: of the lowest priority, then of the
-//! workspace with most waiting, then the one with the least time left. A request that cannot meet
-//! its deadline any more is refused as soon as that is known, not when the deadline passes.
+//! Requests wait in one bounded queue for each workspace. The next request comes from the highest
+//! priority and, within it, from the workspace with the least service received relative to its
+//! weight. When the queues are full, the least valuable request is rejected at once: the lowest
+//! priority first, then the workspace with the most waiting requests relative to its weight, then
+//! the earliest deadline. A request that cannot meet its deadline any more is rejected as soon as
+//! that is known, not when the deadline passes.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,16 +15,18 @@
 use crate::id::{Millis, Name, RequestId};
 use crate::template::TemplateKey;
 
-/// Bounds of admission.
+/// Limits of admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AdmitConfig {
-    /// Requests waiting at this entry in all.
+    /// Maximum number of requests that wait at this entry.
     pub queue: usize,
-    /// A request that would wait longer than this is refused at once, in milliseconds: its first
-    /// token would come too late to be of use, and it would make all behind it late as well.
+    /// Maximum expected wait, in milliseconds. A request with a longer expected wait is rejected at
+    /// once: its first token would come too late to be of use, and it would delay every request
+    /// behind it.
     pub wait_ms: u64,
-    /// A request needs at least this long from its start to be worth starting, in milliseconds.
+    /// Minimum time between the start of a request and its deadline for the request to be worth
+    /// starting, in milliseconds.
     pub least_ms: u64,
 }
 
@@ -33,27 +36,27 @@
     }
 }
 
-/// The workspace that a request belongs to.
+/// Workspace that a request belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Owner {
-    /// The partner.
+    /// Partner.
     pub partner: Name,
-    /// The partner's workspace.
+    /// Workspace of the partner.
     pub workspace: Name,
 }
 
-/// A request that waits.
+/// Waiting request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Waiting {
-    /// The request.
+    /// Id of the request.
     pub id: RequestId,
-    /// Its template. A request goes only where its template has room.
+    /// Template of the request. The request is sent only when its template has room.
     pub template: TemplateKey,
-    /// Its template's priority.
+    /// Priority of the template.
     pub priority: u8,
-    /// The latest time of its end.
+    /// Latest time at which the request may end.
     pub deadline: Millis,
-    /// How many of its own template's requests may wait here.
+    /// Number of requests in the workspace's queue at which this request is rejected.
     pub limit: usize,
 }
 
@@ -61,52 +64,53 @@
 struct Queue {
     waiting: VecDeque<Waiting>,
     weight: u32,
-    /// Work had, divided by the weight. The least goes next.
-    had: u64,
+    /// Service received, divided by the weight. The queue with the lowest value is served next.
+    service: u64,
 }
 
-/// The queues of one entry.
+/// Queues of one entry.
 #[derive(Clone, Debug)]
 pub struct Admission {
     config: AdmitConfig,
     queues: BTreeMap<Owner, Queue>,
     len: usize,
-    paces: BTreeMap<TemplateKey, Pace>,
+    departure_rates: BTreeMap<TemplateKey, DepartureRate>,
 }
 
-/// How fast a template's requests leave the queues.
+/// Rate at which a template's requests leave the queues.
 #[derive(Clone, Copy, Debug)]
-struct Pace {
-    /// Smoothed time between two of them, in microseconds.
+struct DepartureRate {
+    /// Smoothed time between two requests, in microseconds.
     gap_us: u64,
     last: Millis,
 }
 
-/// A share of one request, in units that divide evenly by small weights.
+/// Service units for one request, chosen to divide evenly by small weights.
 const UNIT: u64 = 1_000_000;
-/// The gap assumed before any was seen.
-const GAP_US: u64 = 20_000;
-/// A gap longer than this says that the entry was idle, not that it is slow.
-const GAP_MAX_MS: u64 = 1_000;
+/// Time between two requests that is assumed before any was measured, in microseconds.
+const INITIAL_GAP_US: u64 = 20_000;
+/// Maximum measured time between two requests, in milliseconds. A longer gap means that the entry
+/// was idle, not that it is slow.
+const IDLE_GAP_MS: u64 = 1_000;
 
 impl Admission {
-    /// Empty queues.
+    /// Returns empty queues.
     pub fn new(config: AdmitConfig) -> Admission {
-        Admission { config, queues: BTreeMap::new(), len: 0, paces: BTreeMap::new() }
+        Admission { config, queues: BTreeMap::new(), len: 0, departure_rates: BTreeMap::new() }
     }
 
-    /// Requests waiting.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether none waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// How long a request of this template and priority would wait, in milliseconds. Requests of
-    /// other templates wait for other groups.
+    /// Returns the expected wait of a request of this template and priority, in milliseconds.
+    /// Requests of other templates wait for other groups and are not counted.
     pub fn expected_wait_ms(&self, template: &TemplateKey, priority: u8) -> u64 {
         let before = |w: &&Waiting| w.template == *template && w.priority >= priority;
         let ahead: usize =
@@ -115,10 +119,11 @@
     }
 
     fn gap_us(&self, template: &TemplateKey) -> u64 {
-        self.paces.get(template).map_or(GAP_US, |p| p.gap_us)
+        self.departure_rates.get(template).map_or(INITIAL_GAP_US, |p| p.gap_us)
     }
 
-    /// Puts a request into its queue. Returns the requests refused for it, which may be itself.
+    /// Adds a request to its queue. Returns the requests that are rejected as a result, possibly
+    /// the new request itself.
     pub fn enter(
         &mut self,
         now: Millis,
@@ -127,51 +132,55 @@
         request: Waiting,
     ) -> Vec<(RequestId, Refusal)> {
         let wait = self.expected_wait_ms(&request.template, request.priority);
-        let come_back = self.come_back_ms(&request.template);
+        let retry_after = self.retry_after_ms(&request.template);
         if now.plus(wait + self.config.least_ms) >= request.deadline {
-            let why = format!("it would wait {wait} ms, past its deadline");
-            let refusal = Refusal::new(ErrorKind::DeadlineExceeded, Ran::No, why);
-            return vec![(request.id, refusal.after(come_back))];
+            let reason = format!("expected wait of {wait} ms exceeds the request's deadline");
+            let refusal = Refusal::new(ErrorKind::DeadlineExceeded, Ran::No, reason);
+            return vec![(request.id, refusal.after(retry_after))];
         }
         if wait > self.config.wait_ms {
-            let why = format!("it would wait {wait} ms");
-            let refusal = Refusal::new(ErrorKind::Overloaded, Ran::No, why);
-            return vec![(request.id, refusal.after(come_back))];
+            let reason = format!("expected wait of {wait} ms exceeds the limit of the entry");
+            let refusal = Refusal::new(ErrorKind::Overloaded, Ran::No, reason);
+            return vec![(request.id, refusal.after(retry_after))];
         }
-        let least_had = self.queues.values().filter(|q| !q.waiting.is_empty()).map(|q| q.had).min();
+        let lowest_service =
+            self.queues.values().filter(|q| !q.waiting.is_empty()).map(|q| q.service).min();
         let queue = self.queues.entry(owner.clone()).or_insert_with(|| Queue {
             waiting: VecDeque::new(),
             weight,
-            had: 0,
+            service: 0,
         });
         queue.weight = weight.max(1);
         if queue.waiting.is_empty() {
-            // Whoever was away has saved nothing up.
-            queue.had = queue.had.max(least_had.unwrap_or(0));
+            // A workspace that was idle accumulates no credit.
+            queue.service = queue.service.max(lowest_service.unwrap_or(0));
         }
         let id = request.id;
-        let over_own = queue.waiting.len() >= request.limit;
+        let over_own_limit = queue.waiting.len() >= request.limit;
         queue.waiting.push_back(request);
         self.len += 1;
-        let victim = match () {
-            () if over_own => self.remove(id),
-            () if self.len > self.config.queue => self.least_worth().and_then(|id| self.remove(id)),
+        let shed = match () {
+            () if over_own_limit => self.remove(id),
+            () if self.len > self.config.queue => {
+                self.least_valuable().and_then(|id| self.remove(id))
+            }
             () => None,
         };
         let refusal = |id: RequestId| {
-            let why = "more waits than can be served in time";
-            (id, Refusal::new(ErrorKind::Overloaded, Ran::No, why).after(come_back))
+            let reason = "the queue for waiting requests is full";
+            (id, Refusal::new(ErrorKind::Overloaded, Ran::No, reason).after(retry_after))
         };
-        victim.map(|w| refusal(w.id)).into_iter().collect()
+        shed.map(|w| refusal(w.id)).into_iter().collect()
     }
 
-    /// When a refused caller should come back: when what waits for the template now has gone.
-    pub fn come_back_ms(&self, template: &TemplateKey) -> u32 {
+    /// Returns the time after which a rejected caller should retry, in milliseconds: the expected
+    /// time until the requests that wait for the template now have left.
+    pub fn retry_after_ms(&self, template: &TemplateKey) -> u32 {
         let drain = self.expected_wait_ms(template, 0) + self.gap_us(template) / 1000;
-        drain.clamp(COME_BACK_MIN_MS, COME_BACK_MAX_MS) as u32
+        drain.clamp(RETRY_AFTER_MIN_MS, RETRY_AFTER_MAX_MS) as u32
     }
 
-    fn least_worth(&self) -> Option<RequestId> {
+    fn least_valuable(&self) -> Option<RequestId> {
         let all = self
             .queues
             .values()
@@ -181,7 +190,7 @@
         all.min_by_key(key).map(|(_, w)| w.id)
     }
 
-    /// Takes a request out, because its caller left or it is refused.
+    /// Removes a request whose caller left or that is rejected.
     pub fn remove(&mut self, id: RequestId) -> Option<Waiting> {
         for queue in self.queues.values_mut() {
             if let Some(at) = queue.waiting.iter().position(|w| w.id == id) {
@@ -192,21 +201,21 @@
         None
     }
 
-    /// The next request to go, and those that cannot meet their deadlines any more. A request whose
-    /// template has no room is passed over: it holds up nobody else's.
+    /// Returns the next request to send, and the requests that cannot meet their deadlines any
+    /// more. Requests whose template has no room are skipped and do not block others.
     pub fn next(
         &mut self,
         now: Millis,
         has_room: impl Fn(&TemplateKey) -> bool,
     ) -> (Option<RequestId>, Vec<(RequestId, Refusal)>) {
-        let late = self.late(now);
+        let late = self.reject_late(now);
         let best = self
             .queues
             .iter()
             .filter_map(|(owner, q)| {
                 let ready = q.waiting.iter().filter(|w| has_room(&w.template));
                 let top = ready.map(|w| w.priority).max()?;
-                Some((std::cmp::Reverse(top), q.had, owner.clone()))
+                Some((std::cmp::Reverse(top), q.service, owner.clone()))
             })
             .min();
         let Some((std::cmp::Reverse(top), _, owner)) = best else { return (None, late) };
@@ -214,47 +223,47 @@
         let fits = |w: &Waiting| w.priority == top && has_room(&w.template);
         let at = queue.waiting.iter().position(fits);
         let next = at.and_then(|at| queue.waiting.remove(at));
-        queue.had += UNIT / u64::from(queue.weight);
+        queue.service += UNIT / u64::from(queue.weight);
         self.len -= 1;
         if let Some(next) = &next {
-            self.left(now, &next.template);
+            self.record_departure(now, &next.template);
         }
         (next.map(|w| w.id), late)
     }
 
-    fn late(&mut self, now: Millis) -> Vec<(RequestId, Refusal)> {
+    fn reject_late(&mut self, now: Millis) -> Vec<(RequestId, Refusal)> {
         let least = self.config.least_ms;
         let is_late = |w: &&Waiting| now.plus(least) >= w.deadline;
         let all = self.queues.values().flat_map(|q| q.waiting.iter().filter(is_late));
         let ids: Vec<(RequestId, u32)> =
-            all.map(|w| (w.id, self.come_back_ms(&w.template))).collect();
+            all.map(|w| (w.id, self.retry_after_ms(&w.template))).collect();
         let mut refused = Vec::new();
-        for (id, come_back) in ids {
+        for (id, retry_after) in ids {
             self.remove(id);
-            let why = "its deadline came while it waited";
-            let refusal = Refusal::new(ErrorKind::DeadlineExceeded, Ran::No, why);
-            refused.push((id, refusal.after(come_back)));
+            let reason = "the request waited too long to meet its deadline";
+            let refusal = Refusal::new(ErrorKind::DeadlineExceeded, Ran::No, reason);
+            refused.push((id, refusal.after(retry_after)));
         }
         refused
     }
 
-    /// Refuses whatever is late without sending anything.
+    /// Rejects all late requests without sending any.
     pub fn expire(&mut self, now: Millis) -> Vec<(RequestId, Refusal)> {
-        self.late(now)
+        self.reject_late(now)
     }
 
-    fn left(&mut self, now: Millis, template: &TemplateKey) {
-        let first = Pace { gap_us: GAP_US, last: now };
-        let pace = self.paces.entry(template.clone()).or_insert(first);
-        let gap = now.since(pace.last);
-        if gap <= GAP_MAX_MS {
-            pace.gap_us = (pace.gap_us * 7 + gap * 1000) / 8;
+    fn record_departure(&mut self, now: Millis, template: &TemplateKey) {
+        let first = DepartureRate { gap_us: INITIAL_GAP_US, last: now };
+        let rate = self.departure_rates.entry(template.clone()).or_insert(first);
+        let gap = now.since(rate.last);
+        if gap <= IDLE_GAP_MS {
+            rate.gap_us = (rate.gap_us * 7 + gap * 1000) / 8;
         }
-        pace.last = now;
+        rate.last = now;
     }
 }
 
-/// The soonest that a refused caller is asked to come back, in milliseconds.
-const COME_BACK_MIN_MS: u64 = 200;
-/// The latest that a refused caller is asked to come back, in milliseconds.
-const COME_BACK_MAX_MS: u64 = 30_000;
+/// Minimum time after which a rejected caller is asked to retry, in milliseconds.
+const RETRY_AFTER_MIN_MS: u64 = 200;
+/// Maximum time after which a rejected caller is asked to retry, in milliseconds.
+const RETRY_AFTER_MAX_MS: u64 = 30_000;
--- a/crates/oliveworks-core/src/agent/binding.rs
+++ b/crates/oliveworks-core/src/agent/binding.rs
@@ -1,15 +1,15 @@
-//! Binding the backend server: withdrawing it from the old group, ordering it into the new.
+//! Binding of the backend server: withdraws it from the old group and binds it to the new group.
 
 use super::{Agent, Command};
 use crate::id::{Epoch, Millis, View};
 use crate::message::{EngineOrder, Fence};
 
-/// An order without an answer is given again after this long.
+/// Time after which an order without an answer is sent again, in milliseconds.
 const ORDER_RETRY_MS: u64 = 5_000;
 
 impl Agent {
-    /// The highest fence that the backend server has seen. An agent that restarted learns from it
-    /// how far the views had come.
+    /// Records the highest fence that the backend server has seen. A restarted agent learns from it
+    /// which views already exist.
     pub fn engine_fence(&mut self, fence: Fence) {
         self.fence = self.fence.max(fence);
         if fence.epoch > 0 {
@@ -17,21 +17,21 @@
         }
     }
 
-    /// The backend server answers its health checks, or does not.
+    /// Records whether the backend server answers its health checks.
     pub fn engine_health(&mut self, healthy: bool) -> Vec<Command> {
         if self.engine_healthy == healthy {
             return Vec::new();
         }
         self.engine_healthy = healthy;
         if !healthy {
-            // A server that comes back has forgotten its weights and its place.
+            // A restarted server has lost its weights and its place.
             self.bound = None;
             self.order = None;
         }
         vec![Command::Note("engine", if healthy { "healthy" } else { "failed" }.into())]
     }
 
-    /// The backend server carried an order out, or refused it.
+    /// Records whether the backend server carried out an order.
     pub fn engine_done(&mut self, now: Millis, number: u64, done: bool) -> Vec<Command> {
         let Some((waiting, order)) = self.order.take() else {
             return Vec::new();
@@ -61,15 +61,15 @@
         }
     }
 
-    /// Withdraws from the old group, then binds to the new.
+    /// Withdraws the backend server from the old group, then binds it to the new group.
     pub(super) fn tick_binding(&mut self, now: Millis, out: &mut Vec<Command>) {
         if self.machine.is("leaving") && self.grantor.promise(now).is_none() {
             self.machine.fire("released");
         }
-        if now < self.engine_from || !self.engine_healthy {
+        if now < self.orders_allowed_from || !self.engine_healthy {
             return;
         }
-        // An order in progress is given again when its answer is late, unless it is out of date.
+        // An order without an answer is sent again after the retry time, unless it is outdated.
         let current = self.machine.is("withdrawing") || self.ordered == self.wanted;
         if now < self.order_due && (self.order.is_none() || current) {
             return;
@@ -110,7 +110,7 @@
         out.push(Command::Order(number, order));
     }
 
-    /// Whether the engine holds the place that it was last given.
+    /// Returns whether the engine holds the place that it was last assigned.
     pub(super) fn is_ready(&self) -> bool {
         self.engine_healthy && self.bound.is_some() && self.bound == self.wanted
     }
--- a/crates/oliveworks-core/src/agent/gate.rs
+++ b/crates/oliveworks-core/src/agent/gate.rs
@@ -1,4 +1,5 @@
-//! The gate: before a request is handed to the backend server, and before a piece goes back.
+//! Gate: the checks before a request is handed to the backend server, and before a piece of its
+//! answer is sent back.
 
 use super::Agent;
 use crate::error::{ErrorKind, Ran, Refusal};
@@ -7,7 +8,7 @@
 use crate::ledger::{Begin, Handed, Kept, Now, Revoked};
 use crate::message::Fence;
 
-/// A permit to run, tied to the view in which it was given.
+/// Permission to run a request, valid only in the view in which it was given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pass {
     epoch: Epoch,
@@ -15,33 +16,33 @@
 }
 
 impl Pass {
-    /// The fence for the engine.
+    /// Returns the fence for the engine.
     pub fn fence(&self) -> Fence {
         Fence::new(self.epoch, self.view)
     }
 
-    /// The epoch in which it was given.
+    /// Returns the epoch in which the permission was given.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 }
 
 impl Agent {
-    /// Whether the group serves through this host now.
+    /// Returns whether the group serves through this host at `now`.
     pub fn is_serving(&self, now: Millis) -> bool {
         self.machine.is("serving") && self.holder.as_ref().is_some_and(|h| h.is_whole(now))
     }
 
-    /// The gate before the engine. On [`Begin::Run`] there is a pass, and the request counts as
-    /// having run.
+    /// Decides whether a request may be handed to the engine. [`Begin::Run`] comes with a pass, and
+    /// the request counts as having run from then on.
     pub fn gate(&mut self, now: Now, epoch: Epoch, handed: &Handed) -> (Begin, Option<Pass>) {
         if let Some(known) = self.ledger.recall(now.mono, handed) {
             return (known, None);
         }
         let view = self.leads().map(|(_, view)| view);
-        let begin = match (self.not_serving(now.mono, epoch, handed), view) {
+        let begin = match (self.refusal_unless_serving(now.mono, epoch, handed), view) {
             (None, Some(_)) => self.ledger.begin(now, handed),
-            (None, None) => Begin::Refuse(unavailable("no view")),
+            (None, None) => Begin::Refuse(unavailable("this host leads no view")),
             (Some(refusal), _) => Begin::Refuse(refusal),
         };
         match (begin, view) {
@@ -56,7 +57,7 @@
         }
     }
 
-    pub(super) fn not_serving(
+    pub(super) fn refusal_unless_serving(
         &self,
         now: Millis,
         epoch: Epoch,
@@ -64,42 +65,42 @@
     ) -> Option<Refusal> {
         let assigned = match &self.assigned {
             Some(a) if a.epoch == epoch => a,
-            _ => return Some(unavailable("the group has ended or is not known here yet")),
+            _ => return Some(unavailable("the group has ended or is not known to this agent yet")),
         };
         if self.machine.is("draining") || self.machine.is("drained") || self.leaving {
             return Some(unavailable("the group is draining"));
         }
         if !self.is_serving(now) {
-            return Some(unavailable("the group is not whole or not led here"));
+            return Some(unavailable("the group is incomplete or this host does not lead it"));
         }
         if handed.key.is_some_and(|key| key.homes_at != assigned.homes_at) {
-            return Some(unavailable("the keys' homes were dealt out anew"));
+            return Some(unavailable("the homes of the keys were reassigned"));
         }
         if self.ledger.running() >= assigned.concurrent {
-            let why = "the replica runs as much as it may";
-            return Some(Refusal::new(ErrorKind::Overloaded, Ran::No, why));
+            let reason = "the replica has reached its limit of concurrent requests";
+            return Some(Refusal::new(ErrorKind::Overloaded, Ran::No, reason));
         }
         None
     }
 
-    /// Whether a piece of an answer may go back: the view that began it is still whole, after the
-    /// piece was received from the engine.
+    /// Returns whether a piece of an answer may be sent back. The view that began the request must
+    /// still be complete at `now`, which the caller reads after the piece arrived from the engine.
     pub fn may_pass(&self, now: Millis, pass: &Pass) -> bool {
         let same = |h: &Holder| h.epoch == pass.epoch && h.view == pass.view && h.is_whole(now);
         self.holder.as_ref().is_some_and(same)
     }
 
-    /// A request ended.
+    /// Records the end of a request.
     pub fn finish(&mut self, now: Millis, handed: &Handed, kept: Option<Kept>) {
         self.ledger.finish(now, handed.id, kept);
     }
 
-    /// An entry lost contact and asks that a request not run.
+    /// Handles the request of an entry that lost contact to prevent a request from running.
     pub fn revoke(&mut self, now: Millis, handed: &Handed) -> Revoked {
         self.ledger.revoke(now, handed)
     }
 }
 
-fn unavailable(why: &str) -> Refusal {
-    Refusal::new(ErrorKind::Unavailable, Ran::No, why)
+fn unavailable(reason: &str) -> Refusal {
+    Refusal::new(ErrorKind::Unavailable, Ran::No, reason)
 }
--- a/crates/oliveworks-core/src/agent/leading.rs
+++ b/crates/oliveworks-core/src/agent/leading.rs
@@ -1,4 +1,5 @@
-//! Leading a view: proposing it, holding its promises, making way; and granting to others.
+//! Leading a view: proposing it, renewing its promises, yielding to a later view, and granting
+//! promises to other leaders.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +9,7 @@
 use crate::message::LeaseMsg;
 
 impl Agent {
-    /// Proposes a view, keeps its promises up, or gives it up.
+    /// Proposes a view if this host should lead, renews its promises, or abandons it.
     pub(super) fn tick_leading(&mut self, now: Millis, out: &mut Vec<Command>) {
         let Some(assigned) = self.assigned.clone() else {
             return;
@@ -19,17 +20,17 @@
         }
         match &self.holder {
             None => {
-                if self.wants_to_lead(now, &assigned) {
+                if self.should_lead(now, &assigned) {
                     self.propose(now, &assigned, out);
                 }
             }
-            Some(holder) if !holder.is_whole(now) => self.reconsider(now, &assigned, out),
+            Some(holder) if !holder.is_whole(now) => self.handle_lost_members(now, &assigned, out),
             Some(_) => {}
         }
         self.ask_members(now, &assigned, out);
     }
 
-    pub(super) fn wants_to_lead(&self, now: Millis, assigned: &Assigned) -> bool {
+    pub(super) fn should_lead(&self, now: Millis, assigned: &Assigned) -> bool {
         let promised = self.grantor.promise(now).is_some();
         if promised || self.grantor.is_quiet(now) || now < self.backoff_until || self.leaving {
             return false;
@@ -43,7 +44,7 @@
     }
 
     pub(super) fn propose(&mut self, now: Millis, assigned: &Assigned, out: &mut Vec<Command>) {
-        self.blamed.extend(self.last_leader.take());
+        self.suspected.extend(self.last_leader.take());
         let view = View(self.grantor.highest(assigned.epoch).0 + 1);
         let members = self.choose_members(assigned);
         if self
@@ -57,15 +58,15 @@
         out.push(Command::Note("proposed", format!("{} view {}", assigned.epoch, view.0)));
     }
 
-    /// This host and the best in rank of the others, each in the place that disturbs the fewest:
-    /// a host keeps the rank that the record gave it, and a spare takes a vacant one.
+    /// Chooses this host and the other hosts that are best in rank, with the fewest changes of
+    /// rank: a host keeps the rank from the record, and a spare takes a vacant rank.
     pub(super) fn choose_members(&self, assigned: &Assigned) -> Vec<HostId> {
         let others = assigned.ranked.iter().filter(|h| **h != self.config.host);
-        let (good, bad): (Vec<HostId>, Vec<HostId>) =
-            others.partition(|h| !self.blamed.contains(h));
+        let (responsive, unresponsive): (Vec<HostId>, Vec<HostId>) =
+            others.partition(|h| !self.suspected.contains(h));
         let chosen: BTreeSet<HostId> = [self.config.host]
             .into_iter()
-            .chain(good.into_iter().chain(bad).take(assigned.width - 1))
+            .chain(responsive.into_iter().chain(unresponsive).take(assigned.width - 1))
             .collect();
         let (first, rest) = assigned.ranked.split_at(assigned.width);
         let mut spares = rest.iter().filter(|h| chosen.contains(h));
@@ -76,31 +77,37 @@
         first.iter().filter_map(&mut place).collect()
     }
 
-    /// The view that this host leads is not whole.
-    pub(super) fn reconsider(&mut self, now: Millis, assigned: &Assigned, out: &mut Vec<Command>) {
+    /// Replaces or abandons this host's view after members stopped answering.
+    pub(super) fn handle_lost_members(
+        &mut self,
+        now: Millis,
+        assigned: &Assigned,
+        out: &mut Vec<Command>,
+    ) {
         let Some(holder) = &self.holder else { return };
         let lost = holder.lost(now, &self.config.lease);
         if lost.is_empty() {
             return;
         }
-        self.blamed.extend(lost.iter().copied());
-        let candidates = assigned.ranked.iter().filter(|h| !self.blamed.contains(h)).count();
+        self.suspected.extend(lost.iter().copied());
+        let candidates = assigned.ranked.iter().filter(|h| !self.suspected.contains(h)).count();
         let current: BTreeSet<HostId> = holder.members().collect();
-        let waits_long =
+        let waited_long =
             now.since(holder.started()) > self.config.lease.lost_ms + self.config.lease.stagger_ms;
         if candidates >= assigned.width {
             self.stop_leading(out);
             self.propose(now, assigned, out);
-        } else if waits_long
+        } else if waited_long
             && current.iter().filter(|h| !lost.contains(h)).count() * 2 < assigned.width
         {
-            // Most are silent: perhaps it is this host that is cut off. Let another try.
+            // Most members do not answer, so this host itself may be cut off. Another host may
+            // lead.
             self.stop_leading(out);
-            self.blamed.clear();
+            self.suspected.clear();
             self.backoff_until = now.plus(self.config.lease.lost_ms);
             self.last_ask = now;
-        } else if waits_long {
-            self.blamed.retain(|h| lost.contains(h));
+        } else if waited_long {
+            self.suspected.retain(|h| lost.contains(h));
         }
     }
 
@@ -114,9 +121,9 @@
             out.push(Command::Send(host, msg));
         }
         self.grantor.release(holder.epoch, holder.view, self.config.host);
-        self.leave_home();
+        self.resign_home_if_shared();
         self.machine.fire("lease_lost");
-        self.noted_whole = false;
+        self.reported_whole = false;
     }
 
     pub(super) fn ask_members(&mut self, now: Millis, assigned: &Assigned, out: &mut Vec<Command>) {
@@ -148,10 +155,10 @@
         for host in assigned.ranked.iter().filter(|h| !in_view(h)) {
             out.push(Command::Send(*host, LeaseMsg::Beat { epoch, view }));
         }
-        debug_assert_eq!(assigned.epoch, epoch, "a host leads only the group that it is in");
+        debug_assert_eq!(assigned.epoch, epoch, "a host leads only its own group");
     }
 
-    /// A lease message from another agent, whose identity the transport has established.
+    /// Handles a lease message from another agent. The transport has authenticated the sender.
     pub fn receive(&mut self, now: Millis, from: HostId, msg: LeaseMsg) -> Vec<Command> {
         match msg {
             LeaseMsg::Ask { epoch, view, rank, seq } => {
@@ -162,21 +169,21 @@
                 if let Some(holder) = self.holder_of(epoch, view) {
                     holder.granted(now, from, seq, ready, leaving, &lease);
                 }
-                self.blamed.remove(&from);
+                self.suspected.remove(&from);
                 Vec::new()
             }
             LeaseMsg::Refuse { epoch, view, highest, .. } => {
                 if let Some(holder) = self.holder_of(epoch, view) {
                     holder.heard(now, from);
                 }
-                self.refused(now, epoch, highest)
+                self.observe_later_view(now, epoch, highest)
             }
             LeaseMsg::Beat { epoch, view } => {
                 if self.assigned.as_ref().is_some_and(|a| a.epoch == epoch) {
                     self.last_ask = now;
                     self.last_leader = Some(from);
                 }
-                self.refused(now, epoch, view)
+                self.observe_later_view(now, epoch, view)
             }
             LeaseMsg::Release { epoch, view } => {
                 self.grantor.release(epoch, view, from);
@@ -211,7 +218,7 @@
         if self.machine.is("withdrawing") {
             return refuse(NoGrant::Promised, highest);
         }
-        // A leader that does not serve makes way for a later view.
+        // A leader that does not serve yields to a later view.
         let yields = |h: &Holder| h.epoch == epoch && h.view < view && !h.is_whole(now);
         if self.holder.as_ref().is_some_and(yields) {
             self.stop_leading(&mut out);
@@ -233,11 +240,16 @@
         out
     }
 
-    /// A member knows of a later view than the one led here.
-    pub(super) fn refused(&mut self, now: Millis, epoch: Epoch, highest: View) -> Vec<Command> {
+    /// Abandons this host's incomplete view if a member knows a later view.
+    pub(super) fn observe_later_view(
+        &mut self,
+        now: Millis,
+        epoch: Epoch,
+        highest: View,
+    ) -> Vec<Command> {
         let mut out = Vec::new();
-        let late = |h: &Holder| h.epoch == epoch && h.view < highest && !h.is_whole(now);
-        if self.holder.as_ref().is_some_and(late) {
+        let outdated = |h: &Holder| h.epoch == epoch && h.view < highest && !h.is_whole(now);
+        if self.holder.as_ref().is_some_and(outdated) {
             self.stop_leading(&mut out);
             self.grantor.observe(epoch, highest);
             self.last_ask = now;
--- a/crates/oliveworks-core/src/agent/mod.rs
+++ b/crates/oliveworks-core/src/agent/mod.rs
@@ -1,9 +1,9 @@
-//! One agent: the host's place in a replica group, the group's formation, and the gate before the
-//! backend server.
+//! Agent: its host's membership in a replica group, the formation of the group, and the gate before
+//! the backend server.
 //!
-//! Events and the time go in, commands come out. The runtime sends the messages and gives the
-//! orders; it asks [`Agent::gate`] before a request is handed to the engine, and
-//! [`Agent::may_pass`] before each piece of an answer goes back.
+//! Events and the current time are inputs, commands are outputs. The runtime sends the messages and
+//! delivers the orders. It calls [`Agent::gate`] before a request is handed to the engine, and
+//! [`Agent::may_pass`] before each piece of an answer is sent back.
 
 mod binding;
 mod gate;
@@ -15,42 +15,42 @@
 use crate::charts;
 use crate::id::{Epoch, HostId, Incarnation, Millis, Offset, View};
 use crate::lease::{Grantor, Holder, LeaseConfig, Promise};
-use crate::ledger::{Before, Ledger, LedgerConfig, Now};
+use crate::ledger::{EarlierHome, Ledger, LedgerConfig, Now};
 use crate::message::{EngineOrder, Fence, GroupReport, LeaseMsg};
 use crate::pool::{Group, GroupState, Pool};
 use crate::template::SlotId;
 
 pub use self::gate::Pass;
 
-/// The group that the log gives this host to.
+/// Group to which the log assigns this host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Assigned {
-    /// The epoch.
+    /// Epoch of the group.
     pub epoch: Epoch,
-    /// The replica.
+    /// Slot of the replica.
     pub slot: SlotId,
     /// Members and spares in rank order.
     pub ranked: Vec<HostId>,
-    /// How many serve at once.
+    /// Number of members that serve at the same time.
     pub width: usize,
-    /// The weights' digest.
+    /// Digest of the weights.
     pub weights: u64,
-    /// Requests that may run at once.
+    /// Maximum number of requests that run at the same time.
     pub concurrent: usize,
-    /// Whether the group is to finish.
+    /// Whether the group is to finish its running requests and take no new ones.
     pub draining: bool,
-    /// Where the keys' homes were last dealt out anew.
+    /// Offset at which the keys' homes were last reassigned.
     pub homes_at: Offset,
-    /// No group was in its slot before.
+    /// Whether the slot had no group before.
     pub first_home: bool,
 }
 
 impl Assigned {
-    /// What the pool says of a host.
+    /// Returns the group that the pool assigns to a host.
     pub fn of(pool: &Pool, host: HostId) -> Option<Assigned> {
         let group: &Group = pool.group_of(host)?;
         let published = pool.template(&group.slot.template);
-        // A withdrawn template's group drains; what it holds no longer matters.
+        // The group of a withdrawn template drains, so its weights do not matter any more.
         let weights = published.map_or(0, |p| p.template.weights());
         let concurrent = published.map_or(0, |p| p.template.limits.concurrent as usize);
         Some(Assigned {
@@ -67,34 +67,35 @@
     }
 }
 
-/// What the runtime is to do.
+/// Action for the runtime.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Send a lease message.
     Send(HostId, LeaseMsg),
-    /// Give an order to the backend server; answer with [`Agent::engine_done`] and its number.
+    /// Send an order to the backend server. The runtime reports the result with
+    /// [`Agent::engine_done`] and the order's number.
     Order(u64, EngineOrder),
-    /// End every request that runs: the group cannot answer them.
+    /// End every running request, because the group cannot answer them.
     CutRequests,
-    /// Write to the time line.
+    /// Write an event to the timeline.
     Note(&'static str, String),
 }
 
-/// An agent's settings.
+/// Settings of an agent.
 #[derive(Clone, Debug)]
 pub struct AgentConfig {
     /// This host.
     pub host: HostId,
     /// Times of the lease protocol.
     pub lease: LeaseConfig,
-    /// Times and bounds of the request ledger.
+    /// Times and limits of the request ledger.
     pub ledger: LedgerConfig,
-    /// The longest that an order given by an earlier run of this agent may still take effect at a
-    /// backend server that checks no fences, in milliseconds. Zero for one that does.
+    /// Maximum time for which an order from an earlier run of this agent can still take effect at a
+    /// backend server that checks no fences, in milliseconds. Zero for a server that checks fences.
     pub order_max_ms: u64,
 }
 
-/// A place in a replica: what the engine has been ordered into, or should be.
+/// Place in a replica that the engine was ordered to take, or should take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Place {
     epoch: Epoch,
@@ -102,7 +103,7 @@
     rank: u16,
 }
 
-/// The state of one agent.
+/// State of one agent.
 #[derive(Debug)]
 pub struct Agent {
     config: AgentConfig,
@@ -111,7 +112,7 @@
     grantor: Grantor,
     holder: Option<Holder>,
     ledger: Ledger,
-    engine_from: Millis,
+    orders_allowed_from: Millis,
     order: Option<(u64, EngineOrder)>,
     order_due: Millis,
     next_order: u64,
@@ -126,15 +127,15 @@
     last_ask: Millis,
     last_tick: Millis,
     backoff_until: Millis,
-    blamed: BTreeSet<HostId>,
-    noted_whole: bool,
-    /// This run of the agent saw its host free before the group was formed there, so that no
-    /// earlier run can have been the home of its keys.
-    witnessed: bool,
+    suspected: BTreeSet<HostId>,
+    reported_whole: bool,
+    /// Whether this run of the agent saw its host free before the group was formed there. No
+    /// earlier run can then have been the home of the group's keys.
+    seen_unassigned: bool,
 }
 
 impl Agent {
-    /// An agent that has just started and knows nothing of what its host promised before.
+    /// Returns an agent that has just started and does not know its host's earlier promises.
     pub fn new(now: Millis, incarnation: Incarnation, config: AgentConfig) -> Agent {
         Agent {
             machine: Machine::new(charts::group()),
@@ -142,7 +143,7 @@
             grantor: Grantor::new(now, &config.lease),
             holder: None,
             ledger: Ledger::new(incarnation, config.ledger),
-            engine_from: now.plus(config.order_max_ms),
+            orders_allowed_from: now.plus(config.order_max_ms),
             order: None,
             order_due: now,
             next_order: 1,
@@ -157,50 +158,51 @@
             last_ask: now,
             last_tick: now,
             backoff_until: now,
-            blamed: BTreeSet::new(),
-            noted_whole: false,
-            witnessed: false,
+            suspected: BTreeSet::new(),
+            reported_whole: false,
+            seen_unassigned: false,
             config,
         }
     }
 
-    /// The group chart's state.
+    /// Returns the state of the group chart.
     pub fn state(&self) -> &'static str {
         self.machine.state()
     }
 
-    /// The group that the host belongs to.
+    /// Returns the group that the host belongs to.
     pub fn assigned(&self) -> Option<&Assigned> {
         self.assigned.as_ref()
     }
 
-    /// The view that this host leads, if it leads.
+    /// Returns the epoch and view that this host leads, if any.
     pub fn leads(&self) -> Option<(Epoch, View)> {
         self.holder.as_ref().map(|h| (h.epoch, h.view))
     }
 
-    /// The members of the view that this host leads.
+    /// Returns the members of the view that this host leads.
     pub fn view_members(&self) -> Vec<HostId> {
         self.holder.as_ref().map_or(Vec::new(), |h| h.members().collect())
     }
 
-    /// The leader that holds this host's promise.
+    /// Returns the leader that holds this host's promise.
     pub fn leader(&self, now: Millis) -> Option<HostId> {
         self.grantor.promise(now).map(|p| p.leader)
     }
 
-    /// What this host has promised, if that is live now.
+    /// Returns this host's promise if it is in force.
     pub fn promise(&self, now: Millis) -> Option<Promise> {
         self.grantor.promise(now)
     }
 
-    /// The request ledger.
+    /// Returns the request ledger.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// The log's word on this host, after records were applied. `proved`: before they were, this
-    /// run of the agent held a configuration that was proved to be the latest at some time.
+    /// Sets the group that the log assigns to this host, after records were applied. `proved`
+    /// states whether, before that, this run of the agent held a configuration that was proved to
+    /// be the latest at some time.
     pub fn assign(
         &mut self,
         now: Millis,
@@ -215,13 +217,13 @@
             if old.is_some() {
                 out.push(Command::CutRequests);
             }
-            self.ledger.home_lost();
-            self.witnessed = proved;
-            self.blamed.clear();
+            self.ledger.resign_home();
+            self.seen_unassigned = proved;
+            self.suspected.clear();
             self.order = None;
             self.last_ask = now;
             self.last_leader = None;
-            // A standby place, by rank in the record, until a leader gives one out.
+            // Until a leader assigns a rank, the host prepares for its rank in the record.
             let rank = |a: &Assigned| a.ranked.iter().position(|h| *h == self.config.host);
             self.wanted = assigned.as_ref().map(|a| Place {
                 epoch: a.epoch,
@@ -233,11 +235,11 @@
             out.push(Command::Note("assigned", text));
         }
         let homes = |a: &Option<Assigned>| a.as_ref().map(|a| a.homes_at);
-        let rehomed = old == new && homes(&self.assigned) != homes(&assigned);
+        let homes_changed = old == new && homes(&self.assigned) != homes(&assigned);
         self.assigned = assigned;
-        if rehomed {
-            self.witnessed = false;
-            self.ledger.home_lost(); // Taken up again, from then on, at the next tick.
+        if homes_changed {
+            self.seen_unassigned = false;
+            self.ledger.resign_home(); // The next tick makes this agent a home again.
         }
         if self.assigned.as_ref().is_some_and(|a| a.draining) && self.machine.fire("drain") {
             out.push(Command::Note("draining", String::new()));
@@ -245,7 +247,8 @@
         out
     }
 
-    /// The host is about to leave: by the platform's list, the operator, or a signal.
+    /// Records that the host is about to leave, as reported by the platform's list, the operator or a
+    /// signal.
     pub fn leave(&mut self) -> Vec<Command> {
         if std::mem::replace(&mut self.leaving, true) {
             return Vec::new();
@@ -253,18 +256,18 @@
         vec![Command::Note("leaving", String::new())]
     }
 
-    /// Whether the host is about to leave.
+    /// Returns whether the host is about to leave.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Time passes. To be called a few times a renewal time at least.
+    /// Advances the time. The runtime calls it at least a few times per lease renewal interval.
     pub fn tick(&mut self, now: Millis) -> Vec<Command> {
         let mut out = Vec::new();
         let paused = now.since(self.last_tick) > self.config.lease.ttl_ms;
         self.last_tick = now;
         if let Some(holder) = self.holder.as_mut().filter(|_| paused) {
-            holder.forgive(now);
+            holder.reset_silence(now);
         }
         self.tick_binding(now, &mut out);
         self.tick_leading(now, &mut out);
@@ -272,23 +275,23 @@
         out
     }
 
-    /// Follows the gate: serving, not serving, drained.
+    /// Updates the group's state (serving, not serving, drained) from the state of the lease.
     fn tick_state(&mut self, now: Millis, out: &mut Vec<Command>) {
         let whole = self.holder.as_ref().is_some_and(|h| h.is_whole(now));
-        if whole != self.noted_whole {
-            self.noted_whole = whole;
+        if whole != self.reported_whole {
+            self.reported_whole = whole;
             let members = self.view_members();
             let name = if whole { "serving" } else { "not_serving" };
             out.push(Command::Note(name, format!("{members:?}")));
             if !whole {
-                // Nothing may pass any more; the answers could only be thrown away.
+                // Pieces cannot be passed on any more, so the answers would only be thrown away.
                 out.push(Command::CutRequests);
-                self.leave_home();
+                self.resign_home_if_shared();
             }
         }
         self.machine.fire(if whole { "all_granted" } else { "lease_lost" });
         if self.assigned.as_ref().is_some_and(|a| a.draining) {
-            self.machine.fire("drain"); // The record may have come before the engine was bound.
+            self.machine.fire("drain"); // The record may have arrived before the engine was bound.
         }
         let leaving = self.leaving || self.holder.as_ref().is_some_and(|h| h.any_leaving());
         if leaving && self.machine.fire("drain") {
@@ -300,35 +303,38 @@
         }
     }
 
-    /// The group stopped serving through this host. Where another host can lead it, that one may
-    /// become the keys' home; a group of one host has no other home until the log says so.
-    fn leave_home(&mut self) {
+    /// Ends the time as a home of keys after the group stopped serving through this host. Another
+    /// host that can lead the group may become the home. A group of one host has no other home
+    /// until the log assigns one.
+    fn resign_home_if_shared(&mut self) {
         if self.assigned.as_ref().is_none_or(|a| a.ranked.len() > 1) {
-            self.ledger.home_lost();
+            self.ledger.resign_home();
         }
     }
 
-    /// Becomes a home of keys while serving; the runtime calls it with each tick.
+    /// Makes a serving agent a home of keys. The runtime calls it with each tick.
     pub fn tick_home(&mut self, now: Now) {
         let whole = self.holder.as_ref().is_some_and(|h| h.is_whole(now.mono));
         if !whole || !self.machine.is("serving") || self.ledger.is_home() {
             return;
         }
-        // The only home that these keys have ever had: a group of one host, the first in its slot,
-        // and the homes were not dealt out anew since.
-        let only = |a: &Assigned| a.first_home && a.ranked.len() == 1 && a.homes_at.0 < a.epoch.0;
-        let before = match self.assigned.as_ref().is_some_and(only) {
-            true if self.witnessed => Before::Nobody,
-            true => Before::OwnRuns,
-            false => Before::Others,
+        // These keys never had another home: the group has one host, is the first in its slot, and
+        // the homes were not reassigned since it was formed.
+        let is_only_home =
+            |a: &Assigned| a.first_home && a.ranked.len() == 1 && a.homes_at.0 < a.epoch.0;
+        let before = match self.assigned.as_ref().is_some_and(is_only_home) {
+            true if self.seen_unassigned => EarlierHome::Nobody,
+            true => EarlierHome::OwnRuns,
+            false => EarlierHome::Others,
         };
-        self.ledger.home_since(now, before);
+        self.ledger.become_home(now, before);
     }
 
-    /// What the decider should know of the group, if this host leads or tries to.
+    /// Returns the group's report for the decider, if this host leads the group or tries to lead
+    /// it.
     pub fn report(&self, now: Millis) -> Option<GroupReport> {
         let holder = self.holder.as_ref()?;
-        // Only the leader of a whole view knows that nobody else of the group runs anything.
+        // Only the leader of a complete view knows that no other host of the group runs requests.
         let drained = self.machine.is("drained") && holder.is_whole(now);
         Some(GroupReport {
             epoch: holder.epoch,
@@ -341,7 +347,8 @@
         })
     }
 
-    /// Whether nothing runs and nothing is promised: the process may end without harm.
+    /// Returns whether no request is running, so that the process may end without harm. Promises
+    /// are not considered.
     pub fn is_idle(&self) -> bool {
         self.ledger.running() == 0
     }
--- a/crates/oliveworks-core/src/answer.rs
+++ b/crates/oliveworks-core/src/answer.rs
@@ -1,34 +1,34 @@
-//! Puts an answer together at the entry.
+//! Assembly of an answer at the entry.
 //!
-//! Every piece carries the request, the try and its number. Pieces of another request or try, and
-//! pieces that came before, are dropped; a piece that leaves a gap ends the try. An answer is whole
-//! only after its explicit end, which names how many pieces there were.
+//! Every piece carries the request, the attempt and its number. Pieces of another request or
+//! attempt, and duplicates, are dropped. A piece that leaves a gap ends the attempt. An answer is
+//! complete only after its explicit end, which states the number of pieces.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id::RequestId;
 
-/// Names one try of one request.
+/// Identifies one attempt of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TryId {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// The try, drawn at random.
+    /// Random number of the attempt.
     pub attempt: u64,
 }
 
-/// What to do with a piece.
+/// Decision on a received piece.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Take {
-    /// Pass it on.
+    /// Pass the piece on.
     Pass,
-    /// It was passed on before, or belongs to another try: drop it.
+    /// Drop the piece: it was passed on before, or belongs to another attempt.
     Drop,
-    /// Something is missing before it: end this try.
+    /// End this attempt: an earlier piece is missing.
     Gap,
 }
 
-/// The pieces of one request's answer, over all of its tries.
+/// Pieces of one request's answer, across all attempts.
 #[derive(Clone, Debug)]
 pub struct Assembly {
     current: TryId,
@@ -37,27 +37,27 @@
 }
 
 impl Assembly {
-    /// Nothing has come yet.
+    /// Returns an assembly that has received nothing.
     pub fn new(current: TryId) -> Assembly {
         Assembly { current, passed: 0, whole: false }
     }
 
-    /// How many pieces have been passed on. A next try starts after them.
+    /// Returns the number of pieces passed on. The next attempt continues after them.
     pub fn passed(&self) -> u64 {
         self.passed
     }
 
-    /// Whether the end has come with nothing missing.
+    /// Returns whether the end has arrived and no piece is missing.
     pub fn is_whole(&self) -> bool {
         self.whole
     }
 
-    /// Another try takes over after the pieces that were passed on.
+    /// Continues with another attempt after the pieces that were passed on.
     pub fn retry(&mut self, attempt: u64) {
         self.current.attempt = attempt;
     }
 
-    /// A piece with this number, counted from zero over all tries.
+    /// Handles the piece `number`, counted from zero across all attempts.
     pub fn piece(&mut self, from: TryId, number: u64) -> Take {
         if from != self.current || self.whole || number < self.passed {
             return Take::Drop;
@@ -69,7 +69,7 @@
         Take::Pass
     }
 
-    /// The end, which says how many pieces there were in all.
+    /// Handles the end, which states the total number of pieces.
     pub fn end(&mut self, from: TryId, pieces: u64) -> Take {
         if from != self.current || self.whole {
             return Take::Drop;
--- a/crates/oliveworks-core/src/chart.rs
+++ b/crates/oliveworks-core/src/chart.rs
@@ -1,23 +1,23 @@
-//! State charts: read from files, checked, and interpreted.
+//! State charts: parsing, checking and interpretation.
 //!
-//! A chart lists its states, its events and, for each state, what every event does there. An event
-//! that a state neither handles nor names under `ignores` is a fault of the chart, so nobody has to
-//! guess what an unlisted pair means. The charts of this crate are checked by its build script and
-//! embedded in the binaries.
+//! A chart lists its states, its events and, for each state, the effect of every event. An event
+//! that a state neither handles nor lists under `ignores` is an error in the chart, so that no pair
+//! of state and event is left undefined. The charts of this crate are checked by its build script
+//! and embedded in the binaries.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
 use serde::Deserialize;
 
-/// A checked state chart.
+/// Checked state chart.
 #[derive(Clone, Debug)]
 pub struct Chart {
     name: String,
     initial: usize,
     states: Vec<String>,
     events: Vec<String>,
-    /// `next[state][event]`: `None` where the state ignores the event.
+    /// Target state in `next[state][event]`, or `None` where the state ignores the event.
     next: Vec<Vec<Option<usize>>>,
 }
 
@@ -37,12 +37,12 @@
     on: BTreeMap<String, String>,
     #[serde(default)]
     ignores: Vec<String>,
-    /// A state that is meant to have no way out.
+    /// Whether the state is meant to have no outgoing transition.
     #[serde(default, rename = "final")]
     is_final: bool,
 }
 
-/// What is wrong with a chart or with an event fired at one.
+/// Error in a chart, or in an event fired on a chart.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChartError(String);
 
@@ -55,11 +55,11 @@
 impl std::error::Error for ChartError {}
 
 impl Chart {
-    /// Reads and checks a chart.
+    /// Parses and checks a chart.
     ///
     /// # Errors
     /// Names the state or event at fault: broken YAML, an undeclared event or target, an event that
-    /// a state neither handles nor ignores, an unreachable state, a dead end not marked `final`.
+    /// a state neither handles nor ignores, an unreachable state, or a dead end not marked `final`.
     pub fn parse(text: &str) -> Result<Chart, ChartError> {
         let file: File =
             serde_saphyr::from_str(text).map_err(|e| ChartError(format!("not a chart: {e}")))?;
@@ -76,13 +76,12 @@
         Ok(chart)
     }
 
-    /// The chart's name.
+    /// Returns the name of the chart.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Fires `event` in the state named `state` and returns the next state's name, or `None` where
-    /// the chart says that the state ignores the event.
+    /// Returns the state that follows `state` on `event`, or `None` if `state` ignores the event.
     ///
     /// # Errors
     /// If the state or the event is not declared.
@@ -92,7 +91,7 @@
         Ok(self.next[s][e].map(|i| self.states[i].as_str()))
     }
 
-    /// Draws the chart in the DOT language.
+    /// Renders the chart in the DOT language.
     pub fn to_dot(&self) -> String {
         let mut out = format!("digraph {} {{\n  rankdir=LR;\n", self.name);
         out.push_str(&format!("  \"{}\" [shape=doublecircle];\n", self.states[self.initial]));
@@ -144,7 +143,9 @@
         return Err(ChartError(format!("state {name}: event {e} is not declared")));
     }
     if state.on.is_empty() && !state.is_final {
-        return Err(ChartError(format!("state {name} has no way out and is not final")));
+        return Err(ChartError(format!(
+            "state {name} has no outgoing transition and is not final"
+        )));
     }
     let mut row = Vec::new();
     for event in events {
@@ -153,7 +154,9 @@
                 return Err(ChartError(format!("state {name} both handles and ignores {event}")));
             }
             (None, false) => {
-                return Err(ChartError(format!("state {name} says nothing of event {event}")));
+                return Err(ChartError(format!(
+                    "state {name} neither handles nor ignores event {event}"
+                )));
             }
             (None, true) => None,
             (Some(target), false) => Some(state_index(target).ok_or_else(|| {
@@ -165,7 +168,7 @@
     Ok(row)
 }
 
-/// A position in a chart.
+/// Current position in a chart.
 #[derive(Clone, Debug)]
 pub struct Machine {
     chart: &'static Chart,
@@ -173,26 +176,26 @@
 }
 
 impl Machine {
-    /// Starts at the chart's initial state.
+    /// Starts in the initial state of the chart.
     pub fn new(chart: &'static Chart) -> Machine {
         Machine { chart, state: &chart.states[chart.initial] }
     }
 
-    /// The present state's name.
+    /// Returns the name of the current state.
     pub fn state(&self) -> &'static str {
         self.state
     }
 
-    /// Whether the machine is in `state`.
+    /// Returns whether the machine is in `state`.
     pub fn is(&self, state: &str) -> bool {
         self.state == state
     }
 
-    /// Fires an event; returns whether the state changed.
+    /// Fires an event. Returns whether the state changed.
     ///
     /// # Panics
-    /// If the event is not declared in the chart: a fault of the program, which every test that
-    /// reaches the call shows.
+    /// If the event is not declared in the chart. This is a programming error that every test
+    /// reaching the call shows.
     pub fn fire(&mut self, event: &str) -> bool {
         let chart: &'static Chart = self.chart;
         let next = chart.next(self.state, event).unwrap_or_else(|e| panic!("{}: {e}", chart.name));
--- a/crates/oliveworks-core/src/charts.rs
+++ b/crates/oliveworks-core/src/charts.rs
@@ -1,4 +1,4 @@
-//! The state charts of this crate, embedded when it is built.
+//! State charts of this crate, embedded at build time.
 
 use std::sync::OnceLock;
 
@@ -17,12 +17,12 @@
     };
 }
 
-chart!(group, "group.yaml", "What an agent is doing for its host's replica group.");
-chart!(host, "host.yaml", "How the decider sees a host.");
-chart!(request, "request.yaml", "One request, as its entry sees it.");
-chart!(drain, "drain.yaml", "A process that was asked to stop.");
+chart!(group, "group.yaml", "Returns the chart of an agent's work for its host's replica group.");
+chart!(host, "host.yaml", "Returns the chart of a host's state as known to the decider.");
+chart!(request, "request.yaml", "Returns the chart of a request at its entry.");
+chart!(drain, "drain.yaml", "Returns the chart of a process that was asked to stop.");
 
-/// Every chart.
+/// Returns every chart.
 pub fn all() -> [&'static Chart; 4] {
     [group(), host(), request(), drain()]
 }
--- a/crates/oliveworks-core/src/decider.rs
+++ b/crates/oliveworks-core/src/decider.rs
@@ -1,10 +1,10 @@
-//! The deciding role: any entry can hold it, at any time, without asking anyone.
+//! Deciding role: plans placement. Any entry can take the role at any time without coordination.
 //!
-//! Entries rank themselves for the role by a hash that all compute alike. The first plans as soon
-//! as there is something to do; each next one waits a while longer for the log to show that
-//! somebody did. Two that plan at once waste an append: the second record does not fit any more and
-//! is ignored by all. So the role needs no lease, and nothing has to be noticed or handed on when
-//! its holder dies.
+//! Entries rank themselves for the role by a hash that every process computes alike. The first
+//! entry plans as soon as there is work. Each following entry waits longer for the log to show that
+//! another entry acted. Two entries that plan at the same time waste an append: the second record
+//! is no longer valid and is ignored by every process. The role therefore needs no lease, no
+//! failure detection and no handover when its holder dies.
 
 use std::collections::BTreeSet;
 
@@ -21,17 +21,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DeciderConfig {
-    /// Between two looks at what there is to do, in milliseconds.
+    /// Time between two planning passes, in milliseconds.
     pub period_ms: u64,
-    /// How much longer the next in rank waits for somebody to act, in milliseconds.
+    /// Additional time that each following rank waits for another entry to act, in milliseconds.
     pub rank_delay_ms: u64,
-    /// An append whose record has not come back by then is given up and planned anew.
+    /// Time after which an append whose record has not come back is abandoned and planned again, in
+    /// milliseconds.
     pub append_ms: u64,
-    /// After its start a decider only listens for this long, so that it has heard the reports.
+    /// Time after the start before the first plan, in milliseconds. The decider only receives
+    /// reports during this time, so that its first plan takes them into account.
     pub warmup_ms: u64,
-    /// How hosts are judged.
+    /// Times for judging the state of hosts.
     pub fleet: FleetConfig,
-    /// How groups are placed.
+    /// Options for placing groups.
     pub placement: PlacementConfig,
 }
 
@@ -48,92 +50,92 @@
     }
 }
 
-/// The deciding role in one process.
+/// Deciding role in one process.
 #[derive(Debug)]
 pub struct Decider {
     config: DeciderConfig,
     fleet: Fleet,
     rank: u64,
-    next_look: Millis,
+    next_plan: Millis,
     ready_at: Millis,
     pending_since: Option<Millis>,
-    waiting: BTreeSet<RecordId>,
-    waiting_until: Millis,
+    outstanding: BTreeSet<RecordId>,
+    outstanding_until: Millis,
     missing: Vec<Missing>,
-    listed: bool,
+    list_received: bool,
 }
 
 impl Decider {
-    /// A decider that has heard nothing yet. `rank` 0 acts first.
+    /// Returns a decider that has received no reports. `rank` 0 acts first.
     pub fn new(now: Millis, rank: u64, config: DeciderConfig) -> Decider {
         Decider {
             fleet: Fleet::new(config.fleet),
             rank,
-            next_look: now,
+            next_plan: now,
             ready_at: now.plus(config.warmup_ms),
             pending_since: None,
-            waiting: BTreeSet::new(),
-            waiting_until: now,
+            outstanding: BTreeSet::new(),
+            outstanding_until: now,
             missing: Vec::new(),
-            listed: false,
+            list_received: false,
             config,
         }
     }
 
-    /// This process's place in the order of deciders changed.
+    /// Sets this process's rank in the order of deciders.
     pub fn set_rank(&mut self, rank: u64) {
         self.rank = rank;
     }
 
-    /// What is known of hosts.
+    /// Returns the known state of the hosts.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// Replicas that could not be formed when last looked at.
+    /// Returns the replicas that could not be formed in the last planning pass.
     pub fn missing(&self) -> &[Missing] {
         &self.missing
     }
 
-    /// The platform's list was read.
+    /// Records the platform's list of hosts.
     pub fn list(&mut self, now: Millis, listed: &[Listed]) {
-        self.listed = true;
+        self.list_received = true;
         self.fleet.list(now, listed);
     }
 
-    /// A group's report arrived.
+    /// Records a group's report.
     pub fn report(&mut self, now: Millis, report: GroupReport) {
         self.fleet.report(now, report);
     }
 
-    /// A record was applied or ignored.
+    /// Records that a record was applied or ignored.
     pub fn applied(&mut self, record: &Record) {
-        self.waiting.remove(&record.id);
+        self.outstanding.remove(&record.id);
         if record.author == Author::System {
-            self.pending_since = None; // Somebody acts; look anew before acting too.
+            self.pending_since = None; // Another entry acts, so plan again before acting.
         }
     }
 
-    /// Looks at what there is to do. `draw` gives record ids.
+    /// Runs a planning pass if one is due. `draw` supplies record ids.
     ///
-    /// Returned records are to be appended in order; the append's outcome need not be known, since
-    /// the record comes back through the log or is planned anew.
+    /// The returned records are to be appended in order. The outcome of the append need not be
+    /// known, since each record either comes back through the log or is planned again.
     pub fn tick(
         &mut self,
         now: Millis,
         pool: &Pool,
         mut draw: impl FnMut() -> RecordId,
     ) -> Vec<Record> {
-        if now < self.next_look || !self.listed || now < self.ready_at {
+        if now < self.next_plan || !self.list_received || now < self.ready_at {
             return Vec::new();
         }
-        self.next_look = now.plus(self.config.period_ms);
+        self.next_plan = now.plus(self.config.period_ms);
         self.fleet.tick(now);
         self.fleet.retain_groups(|epoch| pool.group(epoch).is_some());
-        if !self.waiting.is_empty() && now < self.waiting_until {
+        if !self.outstanding.is_empty() && now < self.outstanding_until {
             return Vec::new();
         }
-        self.waiting.clear();
+        self.outstanding.clear();
         let Plan { records, missing } = placement::plan(pool, &self.fleet, &self.config.placement);
         self.missing = missing;
         if records.is_empty() {
@@ -144,10 +146,10 @@
         if now.since(since) < self.rank * self.config.rank_delay_ms {
             return Vec::new();
         }
-        self.waiting_until = now.plus(self.config.append_ms);
+        self.outstanding_until = now.plus(self.config.append_ms);
         let record = |body: Body| Record { id: draw(), author: Author::System, body };
         let records: Vec<Record> = records.into_iter().map(record).collect();
-        self.waiting = records.iter().map(|r| r.id).collect();
+        self.outstanding = records.iter().map(|r| r.id).collect();
         records
     }
 }
--- a/crates/oliveworks-core/src/error.rs
+++ b/crates/oliveworks-core/src/error.rs
@@ -1,57 +1,57 @@
-//! The closed list of error kinds, and the table from kind to answer.
+//! Error kinds, a closed list, and the table that maps each kind to its answer.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Why a request was not answered.
+/// Reason why a request was not answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ErrorKind {
-    /// The request cannot be read: broken JSON, a missing or wrong field.
+    /// The request cannot be parsed: broken JSON, a missing or invalid field.
     BadRequest,
-    /// The body or the headers are larger than allowed.
+    /// The body or the headers exceed the limit.
     TooLarge,
     /// The caller sent too slowly.
     TooSlow,
-    /// No token, or one that is not known.
+    /// The token is missing or unknown.
     Unauthorized,
-    /// The token's workspace may not use what was asked for.
+    /// The token's workspace may not use the requested resource.
     Forbidden,
     /// No template serves this model or service.
     NotFound,
-    /// The workspace or the pool has too much to do.
+    /// The workspace or the pool is overloaded.
     Overloaded,
     /// No replica group can serve at the moment.
     Unavailable,
-    /// The deadline passed, or cannot be met.
+    /// The deadline passed or cannot be met.
     DeadlineExceeded,
     /// Contact was lost after the request was handed over.
     ContactLost,
-    /// The key was used before and its outcome is not known here.
+    /// The key was used before, and its outcome is not known here.
     OutcomeForgotten,
-    /// The key was used before: the request ran, and its answer is gone.
+    /// The key was used before. The request ran, and its answer is not kept.
     AnswerGone,
     /// The key was used before for a different request.
     KeyReused,
     /// The same request is running now.
     InProgress,
-    /// The backend server answered wrongly.
+    /// The backend server returned an invalid answer.
     BackendFailed,
-    /// The caller went away.
+    /// The caller disconnected.
     Cancelled,
-    /// A fault of this program.
+    /// Fault of this program.
     Internal,
 }
 
-/// Whether a refused request ran.
+/// Whether a rejected request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Ran {
     /// Proved not to have run.
     No,
-    /// It ran.
+    /// The request ran.
     Yes,
-    /// Nobody can say.
+    /// Not known whether the request ran.
     Unknown,
 }
 
@@ -65,20 +65,21 @@
     }
 }
 
-/// How an error kind is told to a caller.
+/// Answer to the caller for an error kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// The kind told.
+    /// Error kind.
     pub kind: ErrorKind,
-    /// The kind's name in answers, logs and metrics.
+    /// Name of the kind in answers, logs and metrics.
     pub code: &'static str,
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
-    /// The class that client libraries of the chat protocol expect in `error.type`.
+    /// Error class that client libraries of the chat protocol expect in `error.type`.
     pub class: &'static str,
     /// Whether the same request may succeed later.
     pub retry: bool,
-    /// Seconds after which to come back, where nothing better is known. Zero: not sent.
+    /// Default time after which to retry, in seconds, where nothing better is known. Zero is not
+    /// sent.
     pub retry_after: u32,
 }
 
@@ -93,7 +94,7 @@
     Answer { kind, code, status, class, retry, retry_after }
 }
 
-/// Every kind with its answer.
+/// Answers of all kinds.
 pub const ANSWERS: [Answer; 17] = [
     answer(ErrorKind::BadRequest, "bad_request", 400, "invalid_request_error", false, 0),
     answer(ErrorKind::TooLarge, "too_large", 413, "invalid_request_error", false, 0),
@@ -115,7 +116,7 @@
 ];
 
 impl ErrorKind {
-    /// The kind's row of [`ANSWERS`].
+    /// Returns the row of the kind in [`ANSWERS`].
     pub fn answer(self) -> &'static Answer {
         ANSWERS.iter().find(|a| a.kind == self).expect("every kind has a row")
     }
@@ -127,28 +128,28 @@
     }
 }
 
-/// A refusal: the final answer to a request that was given up.
+/// Refusal: the final answer to a request that was given up.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// Error kind.
     pub kind: ErrorKind,
-    /// Whether the request ran. [`Ran::No`] only when it is proved.
+    /// Whether the request ran. [`Ran::No`] is used only if this is proved.
     pub ran: Ran,
-    /// When to come back, in milliseconds.
+    /// Time after which to retry, in milliseconds.
     pub retry_after_ms: Option<u32>,
-    /// What a person should read.
+    /// Human-readable message.
     pub message: String,
 }
 
 impl Refusal {
-    /// A refusal with the kind's own time to come back.
+    /// Returns a refusal with the kind's default retry time.
     pub fn new(kind: ErrorKind, ran: Ran, message: impl Into<String>) -> Refusal {
         let seconds = kind.answer().retry_after;
         let retry_after_ms = (seconds > 0).then_some(seconds * 1000);
         Refusal { kind, ran, retry_after_ms, message: message.into() }
     }
 
-    /// The same refusal with a better time to come back.
+    /// Returns the refusal with a more accurate retry time.
     pub fn after(mut self, ms: u32) -> Refusal {
         self.retry_after_ms = Some(ms);
         self
--- a/crates/oliveworks-core/src/fleet.rs
+++ b/crates/oliveworks-core/src/fleet.rs
@@ -1,4 +1,5 @@
-//! What the decider knows of hosts: the platform's lagging list, and what groups report.
+//! Fleet: the decider's knowledge of hosts, from the platform's delayed list and the groups'
+//! reports.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,72 +11,72 @@
 use crate::id::{DomainId, Epoch, HostId, Millis};
 use crate::message::GroupReport;
 
-/// A line of the platform's list of hosts.
+/// Entry of the platform's list of hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listed {
-    /// The host.
+    /// Host.
     pub host: HostId,
-    /// Its fabric domain.
+    /// Fabric domain of the host.
     pub domain: DomainId,
-    /// Where its agent is reached.
+    /// Address of the host's agent.
     pub address: SocketAddr,
-    /// Whether the platform is about to take it away.
+    /// Whether the platform is about to remove the host.
     pub leaving: bool,
-    /// Whether a plain service stands on it, and which.
+    /// Name of the plain service on the host, if any.
     #[serde(default)]
     pub service: Option<String>,
-    /// The digest of the weights that it holds, if known.
+    /// Digest of the weights that the host holds, if known.
     #[serde(default)]
     pub weights: Option<u64>,
 }
 
-/// One host as the decider sees it.
+/// State of one host as known to the decider.
 #[derive(Clone, Debug)]
 pub struct HostView {
-    /// Its fabric domain.
+    /// Fabric domain of the host.
     pub domain: DomainId,
-    /// Where its agent is reached.
+    /// Address of the host's agent.
     pub address: SocketAddr,
-    /// The plain service on it.
+    /// Name of the plain service on the host, if any.
     pub service: Option<String>,
-    /// The weights that it was last seen with.
+    /// Digest of the weights last reported for the host.
     pub weights: Option<u64>,
     machine: Machine,
-    seen: Millis,
+    last_listed: Millis,
 }
 
 impl HostView {
-    /// Whether new groups may use the host.
+    /// Returns whether the host is live, so that new groups may use it.
     pub fn is_usable(&self) -> bool {
         self.machine.is("live")
     }
 
-    /// Whether the host is taken for dead.
+    /// Returns whether the host is considered dead.
     pub fn is_lost(&self) -> bool {
         self.machine.is("lost") || self.machine.is("unknown")
     }
 
-    /// Whether the host is about to leave.
+    /// Returns whether the host is about to leave.
     pub fn is_leaving(&self) -> bool {
         self.machine.is("leaving")
     }
 
-    /// The state's name, for operators.
+    /// Returns the name of the host's state, for operators.
     pub fn state(&self) -> &'static str {
         self.machine.state()
     }
 }
 
-/// The times after which silence counts.
+/// Times for judging missing hosts and reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetConfig {
-    /// A host that the list no longer names is suspect at once and lost after this, in
-    /// milliseconds.
+    /// Time after which a host that the list no longer names is lost, in milliseconds. The host is
+    /// suspect at once.
     pub confirm_ms: u64,
-    /// A group report counts for this long, in milliseconds.
+    /// Time for which a group report is valid, in milliseconds.
     pub report_ms: u64,
-    /// A host that was lost is used again only after it has been seen for this long.
+    /// Time for which a lost host must be listed again before it is used, in milliseconds.
     pub settle_ms: u64,
 }
 
@@ -85,7 +86,7 @@
     }
 }
 
-/// All hosts and reports.
+/// Known hosts and group reports.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     config: FleetConfig,
@@ -95,7 +96,7 @@
 }
 
 impl Fleet {
-    /// A fleet of which nothing is known.
+    /// Returns a fleet without hosts and reports.
     pub fn new(config: FleetConfig) -> Fleet {
         Fleet {
             config,
@@ -105,12 +106,12 @@
         }
     }
 
-    /// The platform's list, as just read.
+    /// Records the platform's list of hosts.
     pub fn list(&mut self, now: Millis, listed: &[Listed]) {
         let mut absent: BTreeSet<HostId> = self.hosts.keys().copied().collect();
-        for line in listed {
-            absent.remove(&line.host);
-            self.see(now, line);
+        for listed_host in listed {
+            absent.remove(&listed_host.host);
+            self.update_host(now, listed_host);
         }
         for host in absent {
             if let Some(view) = self.hosts.get_mut(&host) {
@@ -120,43 +121,43 @@
         self.tick(now);
     }
 
-    fn see(&mut self, now: Millis, line: &Listed) {
-        let view = self.hosts.entry(line.host).or_insert_with(|| HostView {
-            domain: line.domain,
-            address: line.address,
-            service: line.service.clone(),
+    fn update_host(&mut self, now: Millis, listed_host: &Listed) {
+        let view = self.hosts.entry(listed_host.host).or_insert_with(|| HostView {
+            domain: listed_host.domain,
+            address: listed_host.address,
+            service: listed_host.service.clone(),
             weights: None,
             machine: Machine::new(charts::host()),
-            seen: now,
+            last_listed: now,
         });
-        view.domain = line.domain;
-        view.address = line.address;
-        view.service = line.service.clone();
-        view.weights = line.weights.or(view.weights);
-        if line.leaving {
+        view.domain = listed_host.domain;
+        view.address = listed_host.address;
+        view.service = listed_host.service.clone();
+        view.weights = listed_host.weights.or(view.weights);
+        if listed_host.leaving {
             if view.machine.is("unknown") {
                 view.machine.fire("listed");
             }
             view.machine.fire("leaving");
         } else {
             if view.machine.is("lost") {
-                self.returned.insert(line.host, now);
+                self.returned.insert(listed_host.host, now);
             }
             if view.machine.is("leaving") {
-                view.machine.fire("gone"); // It stays after all.
+                view.machine.fire("gone"); // The platform no longer removes the host.
             }
             view.machine.fire("listed");
         }
-        view.seen = now;
+        view.last_listed = now;
     }
 
-    /// Time passes.
+    /// Advances the time: confirms lost hosts and drops expired reports.
     pub fn tick(&mut self, now: Millis) {
         for view in self.hosts.values_mut() {
-            if view.machine.is("suspect") && now.since(view.seen) > self.config.confirm_ms {
+            if view.machine.is("suspect") && now.since(view.last_listed) > self.config.confirm_ms {
                 view.machine.fire("confirmed_lost");
             }
-            if view.machine.is("leaving") && now.since(view.seen) > self.config.confirm_ms {
+            if view.machine.is("leaving") && now.since(view.last_listed) > self.config.confirm_ms {
                 view.machine.fire("confirmed_lost");
             }
         }
@@ -166,37 +167,37 @@
         self.reports.retain(|_, (at, _)| now.since(*at) <= keep);
     }
 
-    /// A group's report.
+    /// Records a group's report.
     pub fn report(&mut self, now: Millis, report: GroupReport) {
-        let newer = |(_, old): &(Millis, GroupReport)| {
+        let replaces = |(_, old): &(Millis, GroupReport)| {
             old.view <= report.view || old.from == report.from || report.serving
         };
-        if self.reports.get(&report.epoch).is_none_or(newer) {
+        if self.reports.get(&report.epoch).is_none_or(replaces) {
             self.reports.insert(report.epoch, (now, report));
         }
     }
 
-    /// The latest report of a group.
+    /// Returns the latest report of a group.
     pub fn report_of(&self, epoch: Epoch) -> Option<&GroupReport> {
         self.reports.get(&epoch).map(|(_, r)| r)
     }
 
-    /// Forgets reports of groups that are gone.
+    /// Drops the reports of groups that do not exist any more.
     pub fn retain_groups(&mut self, keep: impl Fn(Epoch) -> bool) {
         self.reports.retain(|e, _| keep(*e));
     }
 
-    /// One host.
+    /// Returns a host.
     pub fn host(&self, host: HostId) -> Option<&HostView> {
         self.hosts.get(&host)
     }
 
-    /// All hosts.
+    /// Returns all hosts.
     pub fn hosts(&self) -> impl Iterator<Item = (HostId, &HostView)> {
         self.hosts.iter().map(|(h, v)| (*h, v))
     }
 
-    /// Whether new groups may use a host: live, and not one that has only just come back.
+    /// Returns whether new groups may use a host: it is live and has not just come back.
     pub fn is_usable(&self, host: HostId) -> bool {
         let settled = !self.returned.contains_key(&host);
         settled && self.hosts.get(&host).is_some_and(HostView::is_usable)
--- a/crates/oliveworks-core/src/id.rs
+++ b/crates/oliveworks-core/src/id.rs
@@ -6,56 +6,57 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A host with a backend server and one agent beside it.
+/// Host with a backend server and one agent beside it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct HostId(pub u32);
 
-/// An entry process.
+/// Entry process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct EntryId(pub u32);
 
-/// A fabric domain. The hosts of one replica group are all in one.
+/// Fabric domain. All hosts of a replica group are in the same fabric domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct DomainId(pub u16);
 
-/// A position in the platform's log.
+/// Position in the platform's log.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Offset(pub u64);
 
-/// One life of a replica group: the offset of the record that formed it.
+/// Incarnation of a replica group: the offset of the record that formed the group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Epoch(pub u64);
 
-/// A choice of members within an epoch; later views replace earlier ones.
+/// Choice of members within an epoch. Later views replace earlier ones.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct View(pub u32);
 
-/// One run of an agent process; drawn at random at its start.
+/// Run of an agent process, identified by a random number drawn at its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// A request of a caller. Drawn at random by the entry, or derived from the caller's key.
+/// Id of a caller's request, drawn at random by the entry or derived from the caller's key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestId(pub u128);
 
-/// The identifier of a record, drawn by its author.
+/// Id of a record, drawn by its author.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RecordId(pub u128);
 
-/// Milliseconds on one process's own monotonic clock. Two processes' values are never compared.
+/// Time in milliseconds on one process's own monotonic clock. Values of two processes are never
+/// compared.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -63,12 +64,12 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// This point, `ms` later.
+    /// Returns the time `ms` milliseconds later.
     pub fn plus(self, ms: u64) -> Millis {
         Millis(self.0.saturating_add(ms))
     }
 
-    /// Milliseconds since `earlier`, zero if it lies ahead.
+    /// Returns the milliseconds since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: Millis) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
@@ -128,22 +129,22 @@
     }
 }
 
-/// A short name given by an operator: a partner, workspace, template, model or service.
+/// Short name given by an operator: a partner, workspace, template, model or service.
 ///
-/// 1 to 64 characters out of `a-z`, `A-Z`, `0-9`, `-`, `_` and `.`; it starts with a letter or a
-/// digit. Cheap to clone.
+/// Consists of 1 to 64 characters out of `a-z`, `A-Z`, `0-9`, `-`, `_` and `.`, and starts with a
+/// letter or a digit. Cheap to clone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Name(Arc<str>);
 
-/// The most characters in a [`Name`].
+/// Maximum number of characters in a [`Name`].
 pub const NAME_MAX: usize = 64;
 
 impl Name {
-    /// Checks and makes a name.
+    /// Creates a name after checking the text.
     ///
     /// # Errors
-    /// If the text is not a name as the type describes.
+    /// If the text is not a valid name as described at the type.
     pub fn new(text: &str) -> Result<Name, NameError> {
         let error = NameError {
             text: text.chars().take(NAME_MAX).collect(),
@@ -157,7 +158,7 @@
         Ok(Name(text.into()))
     }
 
-    /// The name as text.
+    /// Returns the name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -191,7 +192,7 @@
     }
 }
 
-/// A text that is not the identifier it should be.
+/// Error for a text that is not a valid identifier.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NameError {
     text: String,
--- a/crates/oliveworks-core/src/lease.rs
+++ b/crates/oliveworks-core/src/lease.rs
@@ -1,15 +1,15 @@
-//! Leases: how a group knows that all of its members are there.
+//! Leases: establish that all members of a group are present.
 //!
 //! Every host gives at most one *promise* at a time: to one leader, in one view of one epoch, until
-//! a point on the host's own clock. A leader serves only while it holds the promises of all members
-//! of its view. It counts each promise from the moment at which it *asked*, on its own clock, and
-//! shortens it by the bound on the clocks' drift, so that the leader's end always lies before the
+//! a time on the host's own clock. A leader serves only while it holds the promises of all members
+//! of its view. It counts each promise on its own clock from the time at which it *asked*, and
+//! shortens it by the bound on the clocks' drift. The leader's end therefore always lies before the
 //! member's.
 //!
-//! Two views of an epoch are choices of `width` members out of `width + spares` hosts, with fewer
-//! spares than members, so they share a host, and that host promises to one of them only. Two
-//! epochs that share a host exclude each other in the same way. Hence no record, clock agreement or
-//! vote is needed when a spare takes a lost member's place.
+//! Two views of an epoch each choose `width` members out of `width + spares` hosts. There are fewer
+//! spares than members, so the views share a host, and that host promises to only one of them. Two
+//! epochs that share a host exclude each other in the same way. A spare can therefore take a lost
+//! member's place without a record, clock agreement or vote.
 
 use std::collections::BTreeMap;
 
@@ -21,15 +21,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LeaseConfig {
-    /// How long a promise lasts on the member's clock, in milliseconds.
+    /// Duration of a promise on the member's clock, in milliseconds.
     pub ttl_ms: u64,
-    /// How often a leader asks again, in milliseconds.
+    /// Time between two asks of a leader, in milliseconds.
     pub renew_ms: u64,
-    /// The most by which a clock's rate may be off, in millionths.
+    /// Maximum error of a clock's rate, in parts per million.
     pub drift_ppm: u64,
-    /// A member that has not answered for this long is replaced by a spare, in milliseconds.
+    /// Time after which a member without an answer is replaced by a spare, in milliseconds.
     pub lost_ms: u64,
-    /// How much longer the next host in rank waits before it leads, in milliseconds.
+    /// Additional time that each following rank waits before it tries to lead, in milliseconds.
     pub stagger_ms: u64,
 }
 
@@ -42,57 +42,60 @@
 const MILLION: u64 = 1_000_000;
 
 impl LeaseConfig {
-    /// Checks that the times fit together.
+    /// Checks that the times are consistent with each other.
     ///
     /// # Errors
-    /// Names the key at fault.
+    /// Names the invalid setting.
     pub fn check(&self) -> Result<(), String> {
         if self.drift_ppm >= MILLION / 10 {
-            return Err("lease.drift_ppm: under 100000".into());
+            return Err("lease.drift_ppm: must be less than 100000".into());
         }
         if self.renew_ms == 0 || self.renew_ms * 2 > self.ttl_ms {
-            return Err("lease.renew_ms: at least 1, at most half of lease.ttl_ms".into());
+            return Err(
+                "lease.renew_ms: must be at least 1 and at most half of lease.ttl_ms".into()
+            );
         }
         if self.lost_ms < self.ttl_ms {
-            return Err("lease.lost_ms: at least lease.ttl_ms".into());
+            return Err("lease.lost_ms: must be at least lease.ttl_ms".into());
         }
         if self.stagger_ms == 0 {
-            return Err("lease.stagger_ms: at least 1".into());
+            return Err("lease.stagger_ms: must be at least 1".into());
         }
         Ok(())
     }
 
-    /// How long the leader may count on a promise, on its own clock from when it asked.
+    /// Returns how long the leader may rely on a promise, on its own clock from the time of the
+    /// ask.
     ///
-    /// A clock whose rate is off by at most r shows between (1 - r) and (1 + r) times the real time.
-    /// The member's promise lasts at least ttl / (1 + r) of real time, the leader's must last at
-    /// most that: ttl (1 - r) / (1 + r) on its clock, for which ttl (1 - 2r) is a lower bound. One
-    /// millisecond more is taken off for the rounding of both clocks.
+    /// A clock with a rate error of at most r shows between (1 - r) and (1 + r) times the real
+    /// time. The member's promise lasts at least ttl / (1 + r) of real time. The leader's promise
+    /// must last at most that long: ttl (1 - r) / (1 + r) on its clock, for which ttl (1 - 2r) is a
+    /// lower bound. One millisecond more is subtracted for the rounding of both clocks.
     pub fn leader_ttl_ms(&self) -> u64 {
         (self.ttl_ms * (MILLION - 2 * self.drift_ppm) / MILLION).saturating_sub(1)
     }
 
-    /// After this long on its own clock, a process that knows nothing can be sure that whatever its
-    /// host promised before has ended.
+    /// Returns the time, on its own clock, after which a process without knowledge of its host's
+    /// earlier promises can be sure that they have ended.
     pub fn quiet_ms(&self) -> u64 {
         self.ttl_ms * (MILLION + 2 * self.drift_ppm) / MILLION + 1
     }
 }
 
-/// What a host promised.
+/// Promise of a host to a leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Promise {
-    /// The epoch.
+    /// Epoch.
     pub epoch: Epoch,
-    /// The view.
+    /// View.
     pub view: View,
-    /// Who holds it.
+    /// Leader that holds the promise.
     pub leader: HostId,
-    /// When it ends, on this host's clock.
+    /// End of the promise on this host's clock.
     pub until: Millis,
 }
 
-/// The member's side: the one promise of this host.
+/// Member's side of the protocol: the single promise of this host.
 #[derive(Clone, Debug)]
 pub struct Grantor {
     quiet_until: Millis,
@@ -100,36 +103,36 @@
     highest: Option<(Epoch, View)>,
 }
 
-/// Why a grant is refused.
+/// Reason for refusing a promise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NoGrant {
-    /// This process has just started and may have promised before.
+    /// The process has just started, and an earlier run may have given a promise.
     Quiet,
-    /// Another promise is live.
+    /// Another promise is in force.
     Promised,
     /// A later view is known.
     OldView,
-    /// The host does not belong to that epoch here.
+    /// The host does not belong to that epoch according to this host's configuration.
     OtherEpoch,
 }
 
 impl Grantor {
-    /// A grantor that has forgotten what its host promised before `now`.
+    /// Returns a grantor that does not know its host's promises from before `now`.
     pub fn new(now: Millis, config: &LeaseConfig) -> Grantor {
         Grantor { quiet_until: now.plus(config.quiet_ms()), promise: None, highest: None }
     }
 
-    /// The promise in force.
+    /// Returns the promise in force.
     pub fn promise(&self, now: Millis) -> Option<Promise> {
         self.promise.filter(|p| p.until > now)
     }
 
-    /// Whether the time after the start is over, in which an old promise may still be in force.
+    /// Returns whether a promise from before the start may still be in force.
     pub fn is_quiet(&self, now: Millis) -> bool {
         now < self.quiet_until
     }
 
-    /// The highest view seen of an epoch.
+    /// Returns the highest view seen of an epoch.
     pub fn highest(&self, epoch: Epoch) -> View {
         match self.highest {
             Some((e, view)) if e == epoch => view,
@@ -137,16 +140,16 @@
         }
     }
 
-    /// Learns from another host that an epoch has come to this view.
+    /// Records a view of an epoch that another host reported.
     pub fn observe(&mut self, epoch: Epoch, view: View) {
         if view > self.highest(epoch) {
             self.highest = Some((epoch, view));
         }
     }
 
-    /// Promises to `leader`, or says why not.
+    /// Promises to `leader`, or returns the reason for refusing.
     ///
-    /// The caller has checked that this host belongs to `epoch` and that `leader` does.
+    /// The caller has checked that this host and `leader` belong to `epoch`.
     pub fn grant(
         &mut self,
         now: Millis,
@@ -162,7 +165,7 @@
             return Err(NoGrant::OldView);
         }
         if let Some(p) = self.promise(now) {
-            // A leader that asks for a later view has given up its earlier one before it asked.
+            // A leader abandons its earlier view before it asks for a later one.
             let same_holder = p.epoch == epoch && p.leader == leader && p.view <= view;
             if !same_holder {
                 return Err(NoGrant::Promised);
@@ -173,7 +176,7 @@
         Ok(())
     }
 
-    /// The holder gave the promise back.
+    /// Ends the promise that its holder returned.
     pub fn release(&mut self, epoch: Epoch, view: View, leader: HostId) {
         let matches = |p: &Promise| p.epoch == epoch && p.leader == leader && p.view <= view;
         if self.promise.as_ref().is_some_and(matches) {
@@ -182,83 +185,83 @@
     }
 }
 
-/// How many asks a leader remembers for each member. A grant of an older one is not counted.
+/// Number of asks that a leader records for each member. A grant for an older ask does not count.
 const ASKS_KEPT: usize = 8;
 
-/// A forming view asks so many times as often as a whole one.
-const FORMING_PART: u64 = 4;
+/// Factor by which a leader asks more often while its view is forming.
+const FORMING_ASK_FACTOR: u64 = 4;
 
-/// A leader's knowledge of one member.
+/// State of one member as known to the leader.
 #[derive(Clone, Debug)]
-struct Holding {
+struct MemberState {
     rank: u16,
     asks: [(u64, Millis); ASKS_KEPT],
     live_until: Millis,
     ready: bool,
     leaving: bool,
-    heard: Millis,
+    last_answer: Millis,
 }
 
-/// The leader's side: the promises that one view of one epoch holds.
+/// Leader's side of the protocol: the promises that one view of one epoch holds.
 #[derive(Clone, Debug)]
 pub struct Holder {
-    /// The epoch led.
+    /// Epoch that the host leads.
     pub epoch: Epoch,
-    /// The view led.
+    /// View that the host leads.
     pub view: View,
-    members: BTreeMap<HostId, Holding>,
+    members: BTreeMap<HostId, MemberState>,
     next_ask: Millis,
     started: Millis,
 }
 
 impl Holder {
-    /// A view that holds nothing yet, of these members in rank order.
+    /// Returns a view without promises, with the given members in rank order.
     pub fn new(now: Millis, epoch: Epoch, view: View, members: &[HostId]) -> Holder {
-        let holding = |rank: usize| Holding {
+        let member = |rank: usize| MemberState {
             rank: rank as u16,
             asks: [(0, Millis(0)); ASKS_KEPT],
             live_until: Millis(0),
             ready: false,
             leaving: false,
-            heard: now,
+            last_answer: now,
         };
-        let members = members.iter().enumerate().map(|(rank, h)| (*h, holding(rank))).collect();
+        let members = members.iter().enumerate().map(|(rank, h)| (*h, member(rank))).collect();
         Holder { epoch, view, members, next_ask: now, started: now }
     }
 
-    /// When the view was proposed.
+    /// Returns the time at which the view was proposed.
     pub fn started(&self) -> Millis {
         self.started
     }
 
-    /// The members of the view.
+    /// Returns the members of the view.
     pub fn members(&self) -> impl Iterator<Item = HostId> + '_ {
         self.members.keys().copied()
     }
 
-    /// The members of the view with their ranks.
+    /// Returns the members of the view with their ranks.
     pub fn ranks(&self) -> impl Iterator<Item = (HostId, u16)> + '_ {
-        self.members.iter().map(|(host, holding)| (*host, holding.rank))
+        self.members.iter().map(|(host, member)| (*host, member.rank))
     }
 
-    /// Whether it is time to ask again. Then the ask goes out with number `seq`, which no ask of
-    /// this host had before, in this run of its agent or an earlier one.
+    /// Returns whether it is time to ask again, and if so records the ask. `seq` must be a number
+    /// that no earlier ask of this host had, in this run of its agent or an earlier one.
     pub fn ask(&mut self, now: Millis, seq: u64, config: &LeaseConfig) -> bool {
         if now < self.next_ask {
             return false;
         }
-        // A view that is forming asks more often: its members become ready at any moment.
+        // A forming view asks more often, because its members may become ready at any time.
         let forming = !self.is_whole(now);
-        let pause = if forming { config.renew_ms / FORMING_PART } else { config.renew_ms };
-        self.next_ask = now.plus(pause);
+        let interval = if forming { config.renew_ms / FORMING_ASK_FACTOR } else { config.renew_ms };
+        self.next_ask = now.plus(interval);
         let slot = (seq % ASKS_KEPT as u64) as usize;
-        for holding in self.members.values_mut() {
-            holding.asks[slot] = (seq, now);
+        for member in self.members.values_mut() {
+            member.asks[slot] = (seq, now);
         }
         true
     }
 
-    /// A member granted the ask numbered `seq`.
+    /// Records that a member granted the ask with the number `seq`.
     pub fn granted(
         &mut self,
         now: Millis,
@@ -268,47 +271,49 @@
         leaving: bool,
         config: &LeaseConfig,
     ) {
-        let Some(holding) = self.members.get_mut(&host) else {
+        let Some(member) = self.members.get_mut(&host) else {
             return;
         };
-        let (asked_seq, asked) = holding.asks[(seq % ASKS_KEPT as u64) as usize];
+        let (asked_seq, asked) = member.asks[(seq % ASKS_KEPT as u64) as usize];
         if asked_seq != seq {
-            return; // Too late to count, or never asked.
+            return; // The ask is too old, or was never sent.
         }
-        holding.live_until = holding.live_until.max(asked.plus(config.leader_ttl_ms()));
-        holding.heard = now;
-        holding.ready = ready;
-        holding.leaving |= leaving;
+        member.live_until = member.live_until.max(asked.plus(config.leader_ttl_ms()));
+        member.last_answer = now;
+        member.ready = ready;
+        member.leaving |= leaving;
     }
 
-    /// A member answered, but did not grant.
+    /// Records that a member answered without granting.
     pub fn heard(&mut self, now: Millis, host: HostId) {
-        if let Some(holding) = self.members.get_mut(&host) {
-            holding.heard = now;
+        if let Some(member) = self.members.get_mut(&host) {
+            member.last_answer = now;
         }
     }
 
-    /// Whether every member's promise is live and its engine ready. The one gate of serving.
+    /// Returns whether every member's promise is in force and its engine is ready. A leader serves
+    /// under no other condition.
     pub fn is_whole(&self, now: Millis) -> bool {
         self.members.values().all(|h| h.ready && h.live_until > now)
     }
 
-    /// Whether any member is leaving.
+    /// Returns whether any member is leaving.
     pub fn any_leaving(&self) -> bool {
         self.members.values().any(|h| h.leaving)
     }
 
-    /// This process has been paused: members could not be heard, so their silence says nothing.
-    pub fn forgive(&mut self, now: Millis) {
-        for holding in self.members.values_mut() {
-            holding.heard = now;
+    /// Resets the members' silence after a pause of this process, during which no answer could
+    /// arrive. The next ask is due at once.
+    pub fn reset_silence(&mut self, now: Millis) {
+        for member in self.members.values_mut() {
+            member.last_answer = now;
         }
         self.next_ask = now;
     }
 
-    /// Members that have not answered for the configured time.
+    /// Returns the members that have not answered within the configured time.
     pub fn lost(&self, now: Millis, config: &LeaseConfig) -> Vec<HostId> {
-        let silent = |h: &&Holding| now.since(h.heard) > config.lost_ms;
+        let silent = |h: &&MemberState| now.since(h.last_answer) > config.lost_ms;
         self.members.iter().filter(|(_, h)| silent(h)).map(|(id, _)| *id).collect()
     }
 }
--- a/crates/oliveworks-core/src/ledger.rs
+++ b/crates/oliveworks-core/src/ledger.rs
@@ -1,52 +1,55 @@
-//! What an agent remembers of requests: the place where a request runs or does not.
+//! Request ledger of an agent: records which requests have run, and decides whether a request runs.
 //!
-//! An entry that hands a request over names the agent's incarnation and the latest time, on the
-//! agent's own clock, at which the request may still start. So an agent forgets an id as soon as
-//! that time is past: whatever arrives later is refused for its age, not from memory. An agent that
-//! restarted has another incarnation and refuses all that was meant for the one before.
+//! An entry that hands a request over states the agent's incarnation and the latest time, on the
+//! agent's own clock, at which the request may start. The agent can forget a request id once that
+//! time has passed, because a later arrival is rejected by its start limit and needs no record. An
+//! agent that restarted has a new incarnation and rejects every request addressed to the previous
+//! one.
 //!
-//! An entry that lost contact asks to *revoke* the id. The agent then either says that the request
-//! has begun, or remembers that it must not begin. Only the second is "not run".
+//! An entry that lost contact asks the agent to *revoke* the request id. The agent either reports
+//! that the request has begun, or records that the request must not begin. Only the second answer
+//! means "not run".
 //!
 //! # Keys
-//! A caller's own key can reach two agents if the key's home moves between two tries. The ledger
-//! therefore knows since when it has been the home ([`Ledger::home_since`]) and accepts a key that
-//! it does not know only if nobody else can have run it: the key was made after this home took over
-//! and every earlier home had stopped, or the home is older than keys are kept.
+//! A caller's idempotency key can reach two agents if the key's home moves between two attempts.
+//! The ledger therefore records since when it has been the home ([`Ledger::become_home`]). It
+//! accepts an unknown key only if no other agent can have run the request: the key was created
+//! after this home took over and every earlier home had stopped, or this agent has been the home
+//! for longer than the time for which keys are kept.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 
 use crate::error::{ErrorKind, Ran, Refusal};
 use crate::id::{Incarnation, Millis, Offset, RequestId};
 
-/// Times and bounds of the ledger.
+/// Times and limits of the ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LedgerConfig {
-    /// How long a caller's key is remembered after its last use, in milliseconds.
+    /// Time for which a caller's key is kept after its last use, in milliseconds.
     pub key_window_ms: u64,
-    /// An agent whose configuration is proved current only longer ago than this refuses callers'
-    /// keys, in milliseconds.
+    /// Maximum age of the last proof that the configuration is current, in milliseconds. With an
+    /// older proof the agent rejects callers' keys.
     pub key_fresh_ms: u64,
-    /// The most by which callers' clocks may differ from the agents', in milliseconds.
+    /// Maximum difference between callers' clocks and the agents' clocks, in milliseconds.
     pub clock_skew_ms: u64,
-    /// The most requests remembered.
+    /// Maximum number of recorded requests.
     pub entries: usize,
-    /// The most bytes of kept answers.
+    /// Maximum total size of the kept answers, in bytes.
     pub answer_bytes: usize,
 }
 
 impl LedgerConfig {
-    /// Checks that the times fit together.
+    /// Checks that the times are consistent with each other.
     ///
     /// # Errors
-    /// Names the key at fault.
+    /// Names the invalid setting.
     pub fn check(&self) -> Result<(), String> {
         if self.key_fresh_ms * 2 > self.key_window_ms {
-            return Err("ledger.key_fresh_ms: at most half of ledger.key_window_ms".into());
+            return Err("ledger.key_fresh_ms: must be at most half of ledger.key_window_ms".into());
         }
         if self.entries == 0 {
-            return Err("ledger.entries: at least 1".into());
+            return Err("ledger.entries: must be at least 1".into());
         }
         Ok(())
     }
@@ -64,67 +67,67 @@
     }
 }
 
-/// How long a request that runs past its time is kept before it is looked at again.
+/// Time until a request that still runs at its expiry is checked again, in milliseconds.
 const RUNNING_RECHECK_MS: u64 = 5_000;
 
-/// A caller's key, as it came with a request.
+/// Idempotency key that a caller sent with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Key {
-    /// When it was made by the caller's clock, in milliseconds since 1970, if the key carries that.
+    /// Creation time by the caller's clock, in milliseconds since 1970, if the key carries a time.
     pub born_ms: Option<u64>,
-    /// The offset at which the entry's configuration last dealt out the keys' homes anew. A home
-    /// that knows of another dealing must not decide.
+    /// Offset at which the keys' homes were last reassigned according to the entry's configuration.
+    /// A home that knows a different offset must not decide on the key.
     pub homes_at: Offset,
-    /// A digest of the request, so that a key reused for another request is told apart.
+    /// Digest of the request. Detects a key that is reused for another request.
     pub digest: u64,
 }
 
-/// A request as it is handed over.
+/// Request as an entry hands it over to an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Handed {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// Drawn for each handing over. A caller may repeat a key after a try was revoked, so a
-    /// revocation must not outlast its own try.
+    /// Random number of this handover. A caller may repeat a key after an attempt was revoked, so a
+    /// revocation must apply only to its own attempt.
     pub attempt: u64,
-    /// The incarnation that it is meant for.
+    /// Incarnation of the agent that the request is addressed to.
     pub incarnation: Incarnation,
-    /// The latest time at which it may start, on this agent's clock.
+    /// Latest time at which the request may start, on this agent's clock.
     pub not_after: Millis,
-    /// The caller's key, if it is not repeatable and has one.
+    /// Caller's key, if the request is not repeatable and has one.
     pub key: Option<Key>,
 }
 
-/// An answer kept for a repeated key.
+/// Answer kept for a repeated key.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Kept {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
-    /// The content type.
+    /// Content type.
     pub content_type: String,
-    /// The body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
-/// What to do with a request that was handed over.
+/// Decision on a request that was handed over.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Begin {
-    /// Run it. From now on it counts as having run.
+    /// Run the request. The request counts as having run from now on.
     Run,
-    /// It ran before: this is its answer.
+    /// Return the kept answer of the earlier run.
     Kept(Kept),
-    /// Refuse it.
+    /// Reject the request.
     Refuse(Refusal),
 }
 
-/// What a revocation found.
+/// Result of a revocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Revoked {
-    /// It has not begun, and never will.
+    /// The request has not begun and never will.
     NotRun,
-    /// It has begun or ended.
+    /// The request has begun or has ended.
     Begun,
-    /// This incarnation cannot say.
+    /// This incarnation does not know whether the request has begun.
     Unknown,
 }
 
@@ -138,131 +141,133 @@
 struct Entry {
     state: State,
     attempt: u64,
-    forget_at: Millis,
+    expires_at: Millis,
     digest: Option<u64>,
 }
 
-/// The present moment as a ledger needs it.
+/// Current time and configuration age, as used by the ledger.
 #[derive(Clone, Copy, Debug)]
 pub struct Now {
-    /// On the agent's monotonic clock.
+    /// Time on the agent's monotonic clock.
     pub mono: Millis,
-    /// The agent's wall clock, in milliseconds since 1970.
+    /// Time on the agent's wall clock, in milliseconds since 1970.
     pub wall_ms: u64,
-    /// How long ago the configuration was proved current.
+    /// Age of the last proof that the configuration is current, in milliseconds.
     pub config_age_ms: u64,
 }
 
-/// Who may have been the home of callers' keys before this run of the agent.
+/// Possible earlier homes of the callers' keys, before this run of the agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Before {
-    /// Nobody: what is not remembered did not run.
+pub enum EarlierHome {
+    /// No earlier home exists. A request without a record did not run.
     Nobody,
-    /// Earlier runs of this agent only. They have ended, so a key made since is new.
+    /// Only earlier runs of this agent. They have ended, so a key created since then is new.
     OwnRuns,
-    /// Another host, which may not know yet that it is the home no more.
+    /// Another host, which may not know yet that it is no longer the home.
     Others,
 }
 
-/// Since when this agent has been a home of callers' keys.
+/// Start of this agent's time as a home of callers' keys.
 #[derive(Clone, Copy, Debug)]
 struct Home {
     mono: Millis,
     wall_ms: u64,
-    before: Before,
+    before: EarlierHome,
 }
 
-/// The memory of one agent.
+/// Request ledger of one agent.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     config: LedgerConfig,
     incarnation: Incarnation,
     entries: HashMap<RequestId, Entry>,
     revoked: HashSet<(RequestId, u64)>,
-    by_time: BTreeSet<(Millis, RequestId, Option<u64>)>,
+    by_expiry: BTreeSet<(Millis, RequestId, Option<u64>)>,
     home: Option<Home>,
     kept_bytes: usize,
     running: usize,
 }
 
 impl Ledger {
-    /// An empty memory.
+    /// Returns an empty ledger.
     pub fn new(incarnation: Incarnation, config: LedgerConfig) -> Ledger {
         Ledger {
             config,
             incarnation,
             entries: HashMap::new(),
             revoked: HashSet::new(),
-            by_time: BTreeSet::new(),
+            by_expiry: BTreeSet::new(),
             home: None,
             kept_bytes: 0,
             running: 0,
         }
     }
 
-    /// Which run of the agent this is.
+    /// Returns the incarnation of this run of the agent.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// The number of requests that run.
+    /// Returns the number of running requests.
     pub fn running(&self) -> usize {
         self.running
     }
 
-    /// The number of requests remembered.
+    /// Returns the number of recorded requests and revocations.
     pub fn len(&self) -> usize {
         self.entries.len() + self.revoked.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Returns whether nothing is recorded.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// This agent becomes a home of callers' keys, now.
-    pub fn home_since(&mut self, now: Now, before: Before) {
+    /// Makes this agent a home of callers' keys, starting at `now`.
+    pub fn become_home(&mut self, now: Now, before: EarlierHome) {
         self.home = Some(Home { mono: now.mono, wall_ms: now.wall_ms, before });
     }
 
-    /// Whether this agent is a home of callers' keys.
+    /// Returns whether this agent is a home of callers' keys.
     pub fn is_home(&self) -> bool {
         self.home.is_some()
     }
 
-    /// This agent is no home any more.
-    pub fn home_lost(&mut self) {
+    /// Ends this agent's time as a home of callers' keys.
+    pub fn resign_home(&mut self) {
         self.home = None;
     }
 
-    /// What is known already of a request that was handed over. `None`: nothing.
+    /// Returns the decision on a request that is already recorded or cannot be accepted any more,
+    /// and `None` for an unknown request.
     ///
-    /// A message may arrive twice, so none of these says "not run" unless this try was stopped here:
-    /// the first copy may have run in an earlier incarnation, or may have been forgotten.
+    /// A message may arrive twice: the first copy may have run in an earlier incarnation, or its
+    /// record may have expired. A refusal therefore reports "not run" only if this attempt was
+    /// stopped here, or if its key was used for a different request.
     pub fn recall(&mut self, now: Millis, handed: &Handed) -> Option<Begin> {
-        self.forget(now);
+        self.expire(now);
         if handed.incarnation != self.incarnation {
-            let why = "meant for an earlier run of this agent";
-            return Some(refuse(ErrorKind::Unavailable, Ran::Unknown, why));
+            let reason = "the request is addressed to another incarnation of this agent";
+            return Some(refuse(ErrorKind::Unavailable, Ran::Unknown, reason));
         }
         if now >= handed.not_after {
-            let why = "arrived after the latest time at which it may start";
-            return Some(refuse(ErrorKind::DeadlineExceeded, Ran::Unknown, why));
+            let reason = "the request arrived after the latest time at which it may start";
+            return Some(refuse(ErrorKind::DeadlineExceeded, Ran::Unknown, reason));
         }
         if self.revoked.contains(&(handed.id, handed.attempt)) {
-            let why = "this try was stopped before it began";
-            return Some(refuse(ErrorKind::ContactLost, Ran::No, why));
+            let reason = "this attempt was stopped before it began";
+            return Some(refuse(ErrorKind::ContactLost, Ran::No, reason));
         }
-        self.entries.get(&handed.id).map(|entry| repeat(entry, handed))
+        self.entries.get(&handed.id).map(|entry| decision_on(entry, handed))
     }
 
-    /// Begins a request of which nothing is known, or refuses it.
+    /// Begins an unknown request, or rejects it.
     pub fn begin(&mut self, now: Now, handed: &Handed) -> Begin {
-        debug_assert!(!self.entries.contains_key(&handed.id), "recall comes first");
+        debug_assert!(!self.entries.contains_key(&handed.id), "recall must be called first");
         if self.len() >= self.config.entries {
-            return refuse(ErrorKind::Overloaded, Ran::No, "the agent's memory is full");
+            return refuse(ErrorKind::Overloaded, Ran::No, "the agent's request ledger is full");
         }
-        if let Some(refusal) = handed.key.and_then(|key| self.refuse_key(now, key)) {
+        if let Some(refusal) = handed.key.and_then(|key| self.check_key(now, key)) {
             return Begin::Refuse(refusal);
         }
         self.insert(now.mono, handed);
@@ -270,54 +275,59 @@
         Begin::Run
     }
 
-    /// Sees to it that a refused try stays refused, should it arrive once more. Returns whether
-    /// that can be promised.
+    /// Records that a rejected attempt must stay rejected if the same message arrives again.
+    /// Returns whether the ledger had room for the record.
     pub fn stop(&mut self, handed: &Handed) -> bool {
         if self.len() >= self.config.entries {
             return false;
         }
         if self.revoked.insert((handed.id, handed.attempt)) {
-            self.by_time.insert((handed.not_after, handed.id, Some(handed.attempt)));
+            self.by_expiry.insert((handed.not_after, handed.id, Some(handed.attempt)));
         }
         true
     }
 
-    /// Decides on a key that is not remembered. `None`: nobody can have run it.
-    fn refuse_key(&self, now: Now, key: Key) -> Option<Refusal> {
+    /// Decides on a key without a record. Returns `None` if no other agent can have run the
+    /// request.
+    fn check_key(&self, now: Now, key: Key) -> Option<Refusal> {
         let Some(home) = self.home else {
-            let why = "this agent is not the key's home";
-            return Some(Refusal::new(ErrorKind::Unavailable, Ran::Unknown, why));
+            let reason = "this agent is not the key's home";
+            return Some(Refusal::new(ErrorKind::Unavailable, Ran::Unknown, reason));
         };
         if now.config_age_ms > self.config.key_fresh_ms {
-            // The home may have moved without this agent's knowledge, and the key may have run
-            // there.
-            let why = "this agent's configuration is too old to decide on a key";
-            return Some(Refusal::new(ErrorKind::Unavailable, Ran::Unknown, why));
+            // The home may have moved without this agent's knowledge, and the request may have run
+            // at the new home.
+            let reason = "this agent's configuration is too old to decide on a key";
+            return Some(Refusal::new(ErrorKind::Unavailable, Ran::Unknown, reason));
         }
         let since = home.mono;
-        if home.before == Before::Nobody || now.mono.since(since) >= self.config.key_window_ms {
+        if home.before == EarlierHome::Nobody || now.mono.since(since) >= self.config.key_window_ms
+        {
             return None;
         }
         // An earlier home stops within `key_fresh_ms` of the record that moved the keys, and this
-        // home cannot know of the record before it was written.
-        let learning_ms = match home.before {
-            Before::Others => self.config.key_fresh_ms,
-            Before::Nobody | Before::OwnRuns => 0,
+        // home cannot have read the record before it was written.
+        let config_delay_ms = match home.before {
+            EarlierHome::Others => self.config.key_fresh_ms,
+            EarlierHome::Nobody | EarlierHome::OwnRuns => 0,
         };
-        let others_stopped = home.wall_ms + learning_ms + self.config.clock_skew_ms;
-        let made_after = key.born_ms.is_some_and(|born| born > others_stopped);
-        let not_ahead = key.born_ms.is_some_and(|b| b <= now.wall_ms + self.config.clock_skew_ms);
-        if made_after && not_ahead {
+        let others_stopped = home.wall_ms + config_delay_ms + self.config.clock_skew_ms;
+        let created_after_handover = key.born_ms.is_some_and(|born| born > others_stopped);
+        let not_in_future =
+            key.born_ms.is_some_and(|b| b <= now.wall_ms + self.config.clock_skew_ms);
+        if created_after_handover && not_in_future {
             return None;
         }
         let left = self.config.key_window_ms - now.mono.since(since);
-        let why = "the key may have run at its former home, whose memory is gone; a new key that \
-                   carries its time (UUID version 7) is accepted sooner";
+        let reason = "the request may have run at the key's former home, whose records are not \
+                   available; a new key that carries its creation time (UUID version 7) is \
+                   accepted earlier";
         let left_ms = u32::try_from(left).unwrap_or(u32::MAX);
-        Some(Refusal::new(ErrorKind::OutcomeForgotten, Ran::Unknown, why).after(left_ms))
+        Some(Refusal::new(ErrorKind::OutcomeForgotten, Ran::Unknown, reason).after(left_ms))
     }
 
-    /// The request ended; `kept` is its answer, if it may be asked for again.
+    /// Records the end of a request. `kept` is its answer, if a repeated key may ask for the
+    /// answer.
     pub fn finish(&mut self, now: Millis, id: RequestId, kept: Option<Kept>) {
         let Some(entry) = self.entries.get_mut(&id) else {
             return;
@@ -332,15 +342,15 @@
         entry.state = State::Done(kept);
         self.running -= 1;
         if entry.digest.is_some() {
-            self.by_time.remove(&(entry.forget_at, id, None));
-            entry.forget_at = entry.forget_at.max(now.plus(self.config.key_window_ms));
-            self.by_time.insert((entry.forget_at, id, None));
+            self.by_expiry.remove(&(entry.expires_at, id, None));
+            entry.expires_at = entry.expires_at.max(now.plus(self.config.key_window_ms));
+            self.by_expiry.insert((entry.expires_at, id, None));
         }
     }
 
-    /// Sees to it that a request does not run, if it has not begun.
+    /// Prevents a request from running if it has not begun.
     pub fn revoke(&mut self, now: Millis, handed: &Handed) -> Revoked {
-        self.forget(now);
+        self.expire(now);
         if handed.incarnation != self.incarnation {
             return Revoked::Unknown;
         }
@@ -350,49 +360,50 @@
         if self.entries.contains_key(&handed.id) {
             return Revoked::Begun;
         }
-        // Past its time it cannot start any more, but it may have run and been forgotten.
+        // A request past its start limit cannot start any more, but it may have run before its
+        // record expired.
         if now >= handed.not_after || self.len() >= self.config.entries {
             return Revoked::Unknown;
         }
         self.revoked.insert((handed.id, handed.attempt));
-        self.by_time.insert((handed.not_after, handed.id, Some(handed.attempt)));
+        self.by_expiry.insert((handed.not_after, handed.id, Some(handed.attempt)));
         Revoked::NotRun
     }
 
     fn insert(&mut self, now: Millis, handed: &Handed) {
         // A key is kept for its whole window from the start, in case its run never ends.
         let window = handed.key.map_or(now, |_| now.plus(self.config.key_window_ms));
-        let forget_at = handed.not_after.max(window);
+        let expires_at = handed.not_after.max(window);
         let digest = handed.key.map(|k| k.digest);
-        let entry = Entry { state: State::Running, attempt: handed.attempt, forget_at, digest };
+        let entry = Entry { state: State::Running, attempt: handed.attempt, expires_at, digest };
         self.entries.insert(handed.id, entry);
-        self.by_time.insert((forget_at, handed.id, None));
+        self.by_expiry.insert((expires_at, handed.id, None));
     }
 
-    fn forget(&mut self, now: Millis) {
-        while let Some(&(at, id, attempt)) = self.by_time.first() {
+    fn expire(&mut self, now: Millis) {
+        while let Some(&(at, id, attempt)) = self.by_expiry.first() {
             if at > now {
                 return;
             }
-            self.by_time.remove(&(at, id, attempt));
+            self.by_expiry.remove(&(at, id, attempt));
             match attempt {
                 Some(attempt) => {
                     self.revoked.remove(&(id, attempt));
                 }
-                None => self.forget_entry(now, id),
+                None => self.expire_entry(now, id),
             }
         }
     }
 
-    fn forget_entry(&mut self, now: Millis, id: RequestId) {
+    fn expire_entry(&mut self, now: Millis, id: RequestId) {
         let Some(entry) = self.entries.get_mut(&id) else {
             return;
         };
         match &entry.state {
-            // Still running past its time: keep it until it ends.
+            // The request still runs past its expiry and is kept until it ends.
             State::Running => {
-                entry.forget_at = now.plus(RUNNING_RECHECK_MS);
-                self.by_time.insert((entry.forget_at, id, None));
+                entry.expires_at = now.plus(RUNNING_RECHECK_MS);
+                self.by_expiry.insert((entry.expires_at, id, None));
             }
             State::Done(kept) => {
                 self.kept_bytes -= kept.as_ref().map_or(0, |k| k.body.len());
@@ -402,22 +413,24 @@
     }
 }
 
-fn refuse(kind: ErrorKind, ran: Ran, why: &str) -> Begin {
-    Begin::Refuse(Refusal::new(kind, ran, why))
+fn refuse(kind: ErrorKind, ran: Ran, reason: &str) -> Begin {
+    Begin::Refuse(Refusal::new(kind, ran, reason))
 }
 
-fn repeat(entry: &Entry, handed: &Handed) -> Begin {
+fn decision_on(entry: &Entry, handed: &Handed) -> Begin {
     match &entry.state {
         _ if entry.digest != handed.key.map(|k| k.digest) => {
             refuse(ErrorKind::KeyReused, Ran::No, "the key was used for another request")
         }
         State::Running if entry.attempt == handed.attempt => {
-            refuse(ErrorKind::InProgress, Ran::Unknown, "this very try arrived before")
+            refuse(ErrorKind::InProgress, Ran::Unknown, "this attempt has already arrived")
+        }
+        State::Running => {
+            refuse(ErrorKind::InProgress, Ran::Unknown, "a request with the same key is running")
         }
-        State::Running => refuse(ErrorKind::InProgress, Ran::Unknown, "the same key runs now"),
         State::Done(Some(kept)) => Begin::Kept(kept.clone()),
         State::Done(None) => {
-            refuse(ErrorKind::AnswerGone, Ran::Yes, "it ran; its answer is not kept")
+            refuse(ErrorKind::AnswerGone, Ran::Yes, "the request ran; its answer is not kept")
         }
     }
 }
--- a/crates/oliveworks-core/src/lib.rs
+++ b/crates/oliveworks-core/src/lib.rs
@@ -1,22 +1,22 @@
-//! The decisions of oliveworks, apart from everything that does them.
+//! Decision logic of oliveworks, without I/O.
 //!
-//! Events and the time go in, commands come out. Nothing here reads a clock, opens a socket or
-//! draws a random number of its own, so every decision can be replayed from a seed. The processes
-//! carry these types; the adapters translate for them.
+//! Events and the current time are inputs, commands are outputs. Nothing here reads a clock, opens
+//! a socket or draws a random number of its own, so every decision can be replayed from a seed. The
+//! processes own these types, and adapters translate between them and the outside.
 //!
 //! | module | decides |
 //! |---|---|
-//! | [`pool`] | what all records of the log add up to |
-//! | [`placement`], [`fleet`], [`decider`] | which hosts form which group, and who proposes it |
-//! | [`lease`], [`agent`] | whether a group is whole, and who leads it |
+//! | [`pool`] | the state that results from all records of the log |
+//! | [`placement`], [`fleet`], [`decider`] | which hosts form which group, and which entry decides |
+//! | [`lease`], [`agent`] | whether a group is complete, and which host leads it |
 //! | [`ledger`] | whether a request runs |
-//! | [`relay`], [`answer`] | whether a request is tried again, and whether an answer is whole |
-//! | [`route`], [`admit`], [`retry`] | where a request goes, when, and how often |
-//! | [`feed`] | where a process learns of records |
-//! | [`error`] | what a caller is told |
+//! | [`relay`], [`answer`] | whether a request is retried, and whether an answer is complete |
+//! | [`route`], [`admit`], [`retry`] | to which group a request is sent, when, and how often |
+//! | [`feed`] | from which source a process reads records |
+//! | [`error`] | which error a caller receives |
 //!
 //! # Example
-//! Two records make a replica group; a third that takes one of its hosts is ignored.
+//! Two records form a replica group. A third record that takes one of its hosts is ignored.
 //!
 //! ```
 //! use oliveworks_core::id::{DomainId, HostId, Name, Offset, RecordId};
@@ -65,9 +65,9 @@
 //! ```
 //!
 //! # Cost and untrusted input
-//! Applying a record costs the logarithm of the pool; a plan costs the number of hosts times the
-//! number of replicas that it forms. Records reach this crate only after their signatures were
-//! checked; what a record says is checked here, in every process alike.
+//! Applying a record takes time logarithmic in the size of the pool. A plan takes time proportional
+//! to the number of hosts times the number of replicas that it forms. Records reach this crate only
+//! after their signatures were verified. Their content is checked here, alike in every process.
 
 pub mod admit;
 pub mod agent;
--- a/crates/oliveworks-core/src/message.rs
+++ b/crates/oliveworks-core/src/message.rs
@@ -5,103 +5,103 @@
 use crate::id::{Epoch, HostId, View};
 use crate::lease::NoGrant;
 
-/// A message from one agent to another. Any may be lost, doubled or late.
+/// Message from one agent to another. Messages may be lost, duplicated or late.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaseMsg {
     /// A leader asks a member of its view for a promise.
     Ask {
-        /// The epoch.
+        /// Epoch.
         epoch: Epoch,
-        /// The view.
+        /// View.
         view: View,
-        /// The receiver's rank in the view.
+        /// Rank of the receiver in the view.
         rank: u16,
-        /// Numbers the asks of this host, starting anywhere.
+        /// Sequence number among the asks of this host, with an arbitrary start.
         seq: u64,
     },
     /// A member promises.
     Grant {
-        /// The epoch.
+        /// Epoch.
         epoch: Epoch,
-        /// The view.
+        /// View.
         view: View,
-        /// The ask that it answers.
+        /// Sequence number of the ask that this message answers.
         seq: u64,
         /// Whether the member's engine is ready for this view.
         ready: bool,
         /// Whether the member is about to leave.
         leaving: bool,
     },
-    /// A member does not promise.
+    /// A member refuses to promise.
     Refuse {
-        /// The epoch asked for.
+        /// Epoch of the ask.
         epoch: Epoch,
-        /// The view asked for.
+        /// View of the ask.
         view: View,
-        /// Why.
+        /// Reason for the refusal.
         why: NoGrant,
-        /// The highest view that the member knows of this epoch.
+        /// Highest view of this epoch that the member knows.
         highest: View,
     },
-    /// A leader tells a host of the group that is not in its view that the view is in use.
+    /// A leader informs a host of the group outside its view that the view is in use.
     Beat {
-        /// The epoch.
+        /// Epoch.
         epoch: Epoch,
-        /// The view.
+        /// View.
         view: View,
     },
-    /// A leader gives its promises back: it serves in this view no more.
+    /// A leader returns its promises, because it no longer serves in this view.
     Release {
-        /// The epoch.
+        /// Epoch.
         epoch: Epoch,
-        /// The view.
+        /// View.
         view: View,
     },
 }
 
-/// Tells engine orders apart by age: epochs first, then views. An engine that checks fences
+/// Fencing token that orders engine orders by epoch, then by view. An engine that checks fences
 /// refuses an order whose fence is lower than one it has seen.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Fence {
-    /// The epoch's offset, plus one; zero is below every epoch.
+    /// Offset of the epoch plus one. Zero is below every epoch.
     pub epoch: u64,
-    /// The view.
+    /// View.
     pub view: u32,
 }
 
 impl Fence {
-    /// The fence of a view.
+    /// Returns the fence of a view.
     pub fn new(epoch: Epoch, view: View) -> Fence {
         Fence { epoch: epoch.0 + 1, view: view.0 }
     }
 }
 
-/// An agent's order to its own backend server.
+/// Order of an agent to its own backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EngineOrder {
-    /// Stop what runs for older fences.
+    /// Stop the work of older fences.
     Withdraw {
-        /// The fence up to which work stops.
+        /// Fence up to which work stops.
         fence: Fence,
     },
-    /// Hold these weights and take this place in the replica. Weights that are there already are
+    /// Hold these weights and take this place in the replica. Weights that are already loaded are
     /// kept.
     Bind {
-        /// The fence.
+        /// Fence of the order.
         fence: Fence,
-        /// The weights' digest.
+        /// Digest of the weights.
         weights: u64,
-        /// This host's rank.
+        /// Rank of this host.
         rank: u16,
-        /// Hosts of the replica.
+        /// Number of hosts of the replica.
         width: u16,
     },
 }
 
 impl EngineOrder {
-    /// The order's fence.
+    /// Returns the fence of the order.
     pub fn fence(&self) -> Fence {
         match self {
             EngineOrder::Withdraw { fence } | EngineOrder::Bind { fence, .. } => *fence,
@@ -109,14 +109,14 @@
     }
 }
 
-/// What an agent tells the decider of its group.
+/// Report of an agent to the decider about its group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupReport {
-    /// The group.
+    /// Epoch of the group.
     pub epoch: Epoch,
-    /// Who reports: the leader, or a host that tries to lead.
+    /// Reporting host: the leader, or a host that tries to lead.
     pub from: HostId,
-    /// The view.
+    /// View.
     pub view: View,
     /// Whether the group serves.
     pub serving: bool,
@@ -124,6 +124,6 @@
     pub lost: Vec<HostId>,
     /// Whether a member is about to leave.
     pub leaving: bool,
-    /// Whether the group is draining and nothing runs any more.
+    /// Whether the group is draining and no request runs any more.
     pub drained: bool,
 }
--- a/crates/oliveworks-core/src/placement.rs
+++ b/crates/oliveworks-core/src/placement.rs
@@ -1,12 +1,16 @@
-//! Placement: which hosts form which replica group.
+//! Placement: assigns hosts to replica groups.
 //!
-//! [`plan`] looks at the pool and the fleet and proposes records. It may be wrong about either: a
-//! proposal that does not fit where it lands in the log is ignored by all.
+//! [`plan`] reads the pool and the fleet and proposes records. Both views may be out of date: a
+//! proposal that is not valid at its position in the log is ignored by every process.
 //!
-//! In order: drained groups are freed; unwanted ones are drained; broken ones repaired, by priority;
-//! missing ones formed, by what the partners are owed and then by priority. Hosts come from the
-//! domain in which the fewest free ones would be left, so that large holes stay large; within it,
-//! hosts that hold the weights already come first.
+//! The order of work is: free drained groups; drain unwanted groups; form successors for groups
+//! with a leaving host or an outdated shape; repair broken groups by priority; form missing groups,
+//! first for the partner with the lowest use relative to its share and then by priority.
+//!
+//! Hosts come from the domain with the most hosts that already hold the weights, then from a domain
+//! with room for spares, then from the domain that would be left with the fewest free hosts, which
+//! keeps large blocks of free hosts together. Within a domain, hosts that hold the weights are
+//! preferred.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,20 +22,23 @@
 use crate::record::{Basis, Body};
 use crate::template::{Kind, SlotId};
 
-/// How a decider repairs and packs. The two baselines that measurements compare with are the
-/// settings [`PlacementConfig::first_fit`] and [`PlacementConfig::no_spares`].
+/// Options for repairing and packing groups. Measurements compare two baselines with the default:
+/// [`PlacementConfig::first_fit`] and [`PlacementConfig::no_spares`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlacementConfig {
-    /// Name spares ahead, as templates ask. Off: never.
+    /// Whether spares are assigned in advance, as many as the template requests.
     pub spares: bool,
-    /// Replace only lost members. Off: a broken group is freed and formed anew.
+    /// Whether a repair replaces only the lost members. If unset, a broken group is freed and
+    /// formed again from scratch.
     pub keep_survivors: bool,
-    /// Choose the tightest domain and hosts with the right weights. Off: the first that fit.
+    /// Whether the planner picks the domain with the least surplus and prefers hosts that hold the
+    /// weights. If unset, the first hosts that fit are used.
     pub best_fit: bool,
-    /// Give up a group of lower priority of the same partner to repair or form a higher one.
+    /// Whether a group of lower priority may be preempted to repair or form a group of higher
+    /// priority of the same partner.
     pub reclaim: bool,
-    /// The most records of one plan.
+    /// Maximum number of records in one plan.
     pub batch: usize,
 }
 
@@ -48,7 +55,8 @@
 }
 
 impl PlacementConfig {
-    /// Baseline: the first hosts that fit, and a broken group is rebuilt whole.
+    /// Returns the baseline that uses the first hosts that fit and rebuilds a broken group as a
+    /// whole.
     pub fn first_fit() -> PlacementConfig {
         PlacementConfig {
             spares: false,
@@ -59,24 +67,24 @@
         }
     }
 
-    /// Baseline: as the default, without spares.
+    /// Returns the baseline that equals the default except for the missing spares.
     pub fn no_spares() -> PlacementConfig {
         PlacementConfig { spares: false, ..PlacementConfig::default() }
     }
 }
 
-/// Why a replica has no group.
+/// Shortage of hosts for a replica that has no group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Missing {
-    /// The replica.
+    /// Slot of the replica.
     pub slot: SlotId,
-    /// Free hosts that it wants in one domain.
+    /// Number of free hosts that the replica needs in one domain.
     pub wants: u16,
-    /// The most that one domain has.
+    /// Largest number of suitable free hosts in any one domain.
     pub largest: u16,
 }
 
-/// A plan.
+/// Result of one planning pass.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
     /// Records to append, in order.
@@ -85,11 +93,11 @@
     pub missing: Vec<Missing>,
 }
 
-/// Proposes what to do now.
+/// Returns the records that move the pool towards its desired state.
 pub fn plan(pool: &Pool, fleet: &Fleet, config: &PlacementConfig) -> Plan {
     let mut draft = Draft::new(pool, fleet, config);
     draft.free_drained();
-    draft.retire_unwanted();
+    draft.drain_unwanted();
     draft.evacuate();
     draft.repair();
     draft.form_missing();
@@ -97,8 +105,9 @@
     draft.plan
 }
 
-/// One host in so many of a domain is kept free for repairs before spares are named; none in a small
-/// domain, where a spare is worth more than a free host.
+/// Number of hosts of a domain for each free host that is reserved for repairs. Spares are assigned
+/// only from what remains. A domain with fewer hosts reserves none, because a spare is worth more
+/// than a free host there.
 const HOSTS_PER_FREE: usize = 30;
 
 fn priority(pool: &Pool, slot: &SlotId) -> u8 {
@@ -110,10 +119,10 @@
     fleet: &'a Fleet,
     config: &'a PlacementConfig,
     free: BTreeMap<DomainId, BTreeSet<HostId>>,
-    /// Groups that this plan has done something about.
-    touched: BTreeSet<Epoch>,
-    /// Slots that this plan gives a group.
-    filled: BTreeSet<SlotId>,
+    /// Groups that this plan already acts on.
+    handled: BTreeSet<Epoch>,
+    /// Slots for which this plan forms a group.
+    filled_slots: BTreeSet<SlotId>,
     plan: Plan,
 }
 
@@ -131,8 +140,8 @@
             fleet,
             config,
             free,
-            touched: BTreeSet::new(),
-            filled: BTreeSet::new(),
+            handled: BTreeSet::new(),
+            filled_slots: BTreeSet::new(),
             plan: Plan::default(),
         }
     }
@@ -147,30 +156,31 @@
         leaving || self.pool.drained().contains(&host)
     }
 
-    fn alive(&self, group: &Group) -> Vec<HostId> {
+    fn live_hosts(&self, group: &Group) -> Vec<HostId> {
         group.ranked.iter().copied().filter(|h| !self.is_lost(group, *h)).collect()
     }
 
     fn drain(&mut self, epoch: Epoch) {
-        if self.touched.insert(epoch) {
+        if self.handled.insert(epoch) {
             self.plan.records.push(Body::DrainGroup { epoch });
         }
     }
 
-    /// Groups that have finished, or can never finish because their members are gone.
+    /// Frees groups that are fully drained, and draining groups that cannot finish because members
+    /// are lost.
     fn free_drained(&mut self) {
         for group in self.pool.groups().filter(|g| g.state == GroupState::Draining) {
             let drained = self.fleet.report_of(group.epoch).is_some_and(|r| r.drained);
-            if drained || self.alive(group).len() < group.width() {
-                self.touched.insert(group.epoch);
+            if drained || self.live_hosts(group).len() < group.width() {
+                self.handled.insert(group.epoch);
                 self.plan.records.push(Body::FreeGroup { epoch: group.epoch });
             }
         }
     }
 
-    /// Groups of withdrawn templates, of replicas no longer wanted, and those whose successor
-    /// serves.
-    fn retire_unwanted(&mut self) {
+    /// Drains groups of withdrawn templates, groups of replicas that are no longer wanted, and
+    /// groups whose successor is serving.
+    fn drain_unwanted(&mut self) {
         for group in self.pool.groups().filter(|g| g.state == GroupState::Active) {
             let published = self.pool.template(&group.slot.template);
             let wanted = published.is_some_and(|p| group.slot.index < p.template.replicas);
@@ -184,14 +194,15 @@
         }
     }
 
-    /// Groups with a host that is to leave, and groups of an older shape: a new one is formed
-    /// beside them where hosts allow. A leaving host gets no new work after a few seconds, so its
-    /// group drains in any case; one of an older shape goes on until hosts are there.
+    /// Forms successors for groups with a leaving host and for groups of an outdated shape, where
+    /// hosts allow it. A leaving host gets no new work after a few seconds, so its group drains in
+    /// any case. A group of an outdated shape continues until its successor is formed, and drains
+    /// only if no domain has room for both groups.
     fn evacuate(&mut self) {
         let groups: Vec<&Group> =
             self.pool.groups().filter(|g| g.state == GroupState::Active).collect();
         for group in groups {
-            if self.touched.contains(&group.epoch) || self.has_successor(group) {
+            if self.handled.contains(&group.epoch) || self.has_successor(group) {
                 continue;
             }
             let Some(published) = self.pool.template(&group.slot.template) else {
@@ -204,8 +215,8 @@
                 continue;
             }
             let formed = self.form(&group.slot, published, Basis::Alongside(group.epoch));
-            if leaves || (!formed && self.lacks_hosts_for_two(group)) {
-                self.touched.insert(group.epoch);
+            if leaves || (!formed && self.lacks_room_for_successor(group)) {
+                self.handled.insert(group.epoch);
                 self.plan.records.push(Body::DrainGroup { epoch: group.epoch });
             }
         }
@@ -215,9 +226,10 @@
         self.pool.groups_in(&group.slot).any(|g| g.alongside == Some(group.epoch))
     }
 
-    /// No domain will ever hold the old and the new group side by side.
-    fn lacks_hosts_for_two(&self, group: &Group) -> bool {
-        let wants = group.width();
+    /// Returns whether no domain has enough live hosts without a group to form a successor beside
+    /// the group.
+    fn lacks_room_for_successor(&self, group: &Group) -> bool {
+        let needed = group.width();
         let mut usable: BTreeMap<DomainId, usize> = BTreeMap::new();
         for (host, view) in self.fleet.hosts() {
             let busy = self.pool.group_of(host).is_some();
@@ -225,15 +237,15 @@
                 *usable.entry(view.domain).or_default() += 1;
             }
         }
-        usable.values().all(|n| *n < wants)
+        usable.values().all(|n| *n < needed)
     }
 
-    /// Groups with too few hosts left, the most important first.
+    /// Repairs groups with too few remaining hosts, in descending order of priority.
     fn repair(&mut self) {
         let mut broken: Vec<&Group> = Vec::new();
         for group in self.pool.groups().filter(|g| g.state == GroupState::Active) {
-            let few = self.alive(group).len() < group.width();
-            if few && !self.touched.contains(&group.epoch) {
+            let is_broken = self.live_hosts(group).len() < group.width();
+            if is_broken && !self.handled.contains(&group.epoch) {
                 broken.push(group);
             }
         }
@@ -247,52 +259,53 @@
                 continue;
             }
             let replaced = self.config.keep_survivors && self.replace_lost(group, published);
-            let moved =
+            let rebuilt =
                 replaced || self.form(&group.slot, published, Basis::Supersedes(group.epoch));
-            if !moved {
+            if !rebuilt {
                 let reclaimed = self.reclaim(&group.slot, Some(group.domain));
-                self.note_missing(&group.slot, published);
+                self.record_missing(&group.slot, published);
                 if !reclaimed || !self.config.keep_survivors {
-                    // Let others use the survivors.
+                    // Draining releases the survivors for use by other groups.
                     self.drain(group.epoch);
                 }
             }
         }
     }
 
-    /// Forms the group anew from its survivors and free hosts of the same domain.
+    /// Rebuilds the group from its survivors and free hosts of the same domain.
     fn replace_lost(&mut self, group: &Group, published: &Published) -> bool {
         if group.shape != published.template.shape() {
             return false;
         }
         let stays = |h: &HostId| !self.must_leave(*h) && self.fleet.is_usable(*h);
         let survivors: BTreeSet<HostId> =
-            self.alive(group).into_iter().filter(|h| stays(h)).collect();
+            self.live_hosts(group).into_iter().filter(|h| stays(h)).collect();
         let width = group.width();
-        let lacking = width.saturating_sub(survivors.len());
-        if lacking > width / 2 && self.roomier_elsewhere(group.domain, width) {
+        let missing_count = width.saturating_sub(survivors.len());
+        if missing_count > width / 2 && self.other_domain_has_room(group.domain, width) {
             return false;
         }
-        let Some(fresh) = self.pick(group.domain, lacking, published) else {
+        let Some(new_hosts) = self.pick(group.domain, missing_count, published) else {
             return false;
         };
-        // Survivors keep their ranks, and so their weights; fresh hosts take the lost ones' places.
-        let mut fresh = fresh.into_iter();
-        let mut rest = survivors.clone();
+        // Survivors keep their ranks, and therefore their weights. New hosts take the ranks of the
+        // lost members.
+        let mut new_hosts = new_hosts.into_iter();
+        let mut unplaced = survivors.clone();
         let mut hosts = Vec::new();
         for host in &group.ranked[..width] {
-            if rest.remove(host) {
+            if unplaced.remove(host) {
                 hosts.push(Some(*host));
             } else {
                 hosts.push(None);
             }
         }
-        let mut vacant = rest.into_iter();
+        let mut former_spares = unplaced.into_iter();
         let hosts: Vec<HostId> = hosts
             .into_iter()
-            .filter_map(|h| h.or_else(|| vacant.next()).or_else(|| fresh.next()))
+            .filter_map(|h| h.or_else(|| former_spares.next()).or_else(|| new_hosts.next()))
             .collect();
-        let mut spares: Vec<HostId> = vacant.collect();
+        let mut spares: Vec<HostId> = former_spares.collect();
         spares.extend(self.pick_spares(group.domain, published, spares.len()));
         spares.truncate(usize::from(published.template.spares));
         self.push_form(
@@ -306,11 +319,11 @@
         true
     }
 
-    fn roomier_elsewhere(&self, domain: DomainId, width: usize) -> bool {
+    fn other_domain_has_room(&self, domain: DomainId, width: usize) -> bool {
         self.free.iter().any(|(d, hosts)| *d != domain && hosts.len() >= width)
     }
 
-    /// Forms a group wherever it fits.
+    /// Forms a group in the best domain that has room. Returns whether a domain was found.
     fn form(&mut self, slot: &SlotId, published: &Published, basis: Basis) -> bool {
         let width = usize::from(published.template.hosts);
         let Some(domain) = self.choose_domain(published, width) else {
@@ -334,9 +347,9 @@
         basis: Basis,
     ) {
         if let Basis::Supersedes(old) | Basis::Alongside(old) = basis {
-            self.touched.insert(old);
+            self.handled.insert(old);
         }
-        self.filled.insert(slot.clone());
+        self.filled_slots.insert(slot.clone());
         let address = |h: &HostId| self.fleet.host(*h).map(|v| v.address);
         let addresses = hosts.iter().chain(&spares).filter_map(address).collect();
         self.plan.records.push(Body::FormGroup {
@@ -350,7 +363,7 @@
         });
     }
 
-    /// Free hosts of a domain that suit a template.
+    /// Returns the free hosts of a domain that suit a template.
     fn suitable(&self, domain: DomainId, published: &Published) -> Vec<HostId> {
         let template = &published.template;
         let wanted = (template.kind == Kind::Service).then_some(template.model.as_str());
@@ -372,7 +385,8 @@
             if !self.config.best_fit {
                 return Some(*domain);
             }
-            let warm = suitable.iter().filter(|h| self.holds(**h, weights)).count().min(width);
+            let warm =
+                suitable.iter().filter(|h| self.holds_weights(**h, weights)).count().min(width);
             let no_room_for_spares = usize::from(suitable.len() < width + spares);
             let score = (width - warm, no_room_for_spares, suitable.len() - width);
             if best.is_none_or(|(b, _)| score < b) {
@@ -382,11 +396,11 @@
         best.map(|(_, domain)| domain)
     }
 
-    fn holds(&self, host: HostId, weights: u64) -> bool {
+    fn holds_weights(&self, host: HostId, weights: u64) -> bool {
         self.fleet.host(host).is_some_and(|v| v.weights == Some(weights))
     }
 
-    /// Takes hosts out of a domain's free ones.
+    /// Removes `count` suitable hosts from a domain's free hosts and returns them.
     fn pick(
         &mut self,
         domain: DomainId,
@@ -399,7 +413,7 @@
         }
         if self.config.best_fit {
             let weights = published.template.weights();
-            suitable.sort_by_key(|h| (!self.holds(*h, weights), *h));
+            suitable.sort_by_key(|h| (!self.holds_weights(*h, weights), *h));
         }
         suitable.truncate(count);
         let free = self.free.entry(domain).or_default();
@@ -409,23 +423,23 @@
         Some(suitable)
     }
 
-    /// Spares, but only hosts that no missing replica could use, and never the last free ones of a
-    /// domain: a spare serves one group, a free host may repair any.
+    /// Picks spares. Hosts that a missing replica could use and the last free hosts of a domain are
+    /// excluded, because a spare serves one group while a free host can repair any group.
     fn pick_spares(&mut self, domain: DomainId, published: &Published, have: usize) -> Vec<HostId> {
         if !self.config.spares {
             return Vec::new();
         }
         let template = &published.template;
-        let wants = usize::from(template.spares).saturating_sub(have);
+        let needed = usize::from(template.spares).saturating_sub(have);
         let left = self.suitable(domain, published).len();
-        // Leave whole replicas' worth of hosts alone; only the remainder is spare.
+        // Hosts that make up whole replicas are left free. Only the remainder may become spares.
         let remainder = left % usize::from(template.hosts.max(1));
         let spare = if self.all_formed() { left } else { remainder };
-        let count = wants.min(spare.saturating_sub(self.reserve(domain)));
+        let count = needed.min(spare.saturating_sub(self.reserve(domain)));
         self.pick(domain, count, published).unwrap_or_default()
     }
 
-    /// Hosts of a domain that stay free for repairs.
+    /// Returns how many free hosts of a domain are reserved for repairs.
     fn reserve(&self, domain: DomainId) -> usize {
         let hosts = self.fleet.hosts().filter(|(_, v)| v.domain == domain).count();
         hosts / HOSTS_PER_FREE
@@ -436,13 +450,13 @@
     }
 
     fn lacks_group(&self, slot: &SlotId) -> bool {
-        let active = |g: &Group| g.state == GroupState::Active && !self.is_given_up(g.epoch);
-        !self.filled.contains(slot) && !self.pool.groups_in(slot).any(active)
+        let active = |g: &Group| g.state == GroupState::Active && !self.is_drained_by_plan(g.epoch);
+        !self.filled_slots.contains(slot) && !self.pool.groups_in(slot).any(active)
     }
 
-    fn is_given_up(&self, epoch: Epoch) -> bool {
-        let is = |b: &Body| matches!(b, Body::DrainGroup { epoch: e } if *e == epoch);
-        self.touched.contains(&epoch) && self.plan.records.iter().any(is)
+    fn is_drained_by_plan(&self, epoch: Epoch) -> bool {
+        let drains_epoch = |b: &Body| matches!(b, Body::DrainGroup { epoch: e } if *e == epoch);
+        self.handled.contains(&epoch) && self.plan.records.iter().any(drains_epoch)
     }
 
     fn wanted_slots(&self) -> Vec<(SlotId, &'a Published)> {
@@ -455,24 +469,24 @@
         slots
     }
 
-    /// Forms what is missing: first for the partner that has least of what it is owed, then by
-    /// priority. Priority never orders one partner's work before the other's.
+    /// Forms missing groups, first for the partner with the lowest use relative to its share, then
+    /// by priority. Priority never ranks one partner's work above another partner's.
     fn form_missing(&mut self) {
         let mut queues: BTreeMap<Name, Vec<(SlotId, &'a Published)>> = BTreeMap::new();
         for (slot, published) in self.wanted_slots() {
-            let fresh = !self.pool.groups_in(&slot).any(|g| g.state == GroupState::Active);
-            if fresh && !self.filled.contains(&slot) {
+            let without_group = !self.pool.groups_in(&slot).any(|g| g.state == GroupState::Active);
+            if without_group && !self.filled_slots.contains(&slot) {
                 queues.entry(slot.template.partner.clone()).or_default().push((slot, published));
             }
         }
         for queue in queues.values_mut() {
-            // The last is taken first.
+            // The queue is popped from the end.
             queue.sort_by_key(|(slot, p)| (p.template.priority, std::cmp::Reverse(slot.clone())));
         }
         let mut usage = self.usage();
-        while let Some(partner) = self.most_owed(&queues, &usage) {
+        while let Some(partner) = self.partner_with_lowest_use(&queues, &usage) {
             if self.plan.records.len() >= self.config.batch {
-                return; // The rest is planned when these have come back.
+                return; // The rest is planned after these records were applied.
             }
             let Some((slot, published)) = queues.get_mut(&partner).and_then(Vec::pop) else {
                 return;
@@ -482,9 +496,9 @@
                 continue;
             }
             if !self.reclaim(&slot, None) {
-                self.take_back(&slot, &usage);
+                self.preempt_over_share(&slot, &usage);
             }
-            self.note_missing(&slot, published);
+            self.record_missing(&slot, published);
         }
     }
 
@@ -496,27 +510,27 @@
         usage
     }
 
-    /// The partner with work whose use, measured by its share, is least.
-    fn most_owed(
+    /// Returns the partner with queued work that has the lowest use relative to its share.
+    fn partner_with_lowest_use(
         &self,
         queues: &BTreeMap<Name, Vec<(SlotId, &Published)>>,
         usage: &BTreeMap<Name, usize>,
     ) -> Option<Name> {
         let waiting = queues.iter().filter(|(_, q)| !q.is_empty());
-        let need = |name: &Name| {
+        let relative_use = |name: &Name| {
             let used = usage.get(name).copied().unwrap_or(0) * 1000;
             used / usize::from(self.share(name)).max(1)
         };
-        waiting.map(|(name, _)| name).min_by_key(|name| need(name)).cloned()
+        waiting.map(|(name, _)| name).min_by_key(|name| relative_use(name)).cloned()
     }
 
-    /// A partner's agreed share, or an equal part while nothing is agreed.
+    /// Returns a partner's agreed share in percent, or an equal share while none is agreed.
     fn share(&self, partner: &Name) -> u8 {
         let equal = 100 / self.pool.partners().len().max(1) as u8;
         self.pool.share(partner).unwrap_or(equal)
     }
 
-    /// Drains one group of lower priority of the same partner whose hosts would make room.
+    /// Preempts one group of lower priority of the same partner whose hosts would make room.
     fn reclaim(&mut self, slot: &SlotId, domain: Option<DomainId>) -> bool {
         if !self.config.reclaim {
             return false;
@@ -526,13 +540,14 @@
             let same = g.slot.template.partner == slot.template.partner;
             same && priority(pool, &g.slot) < priority(pool, slot)
         };
-        self.give_up_one(slot, domain, lower)
+        self.preempt_one(slot, domain, lower)
     }
 
-    /// Drains one group of a partner that uses more than its agreed share, for one that uses less.
-    fn take_back(&mut self, slot: &SlotId, usage: &BTreeMap<Name, usize>) -> bool {
+    /// Preempts one group of a partner above its agreed share in favor of a partner within its
+    /// share.
+    fn preempt_over_share(&mut self, slot: &SlotId, usage: &BTreeMap<Name, usize>) -> bool {
         let total = self.fleet.hosts().filter(|(_, v)| v.is_usable()).count();
-        let over: BTreeSet<Name> = usage
+        let over_share: BTreeSet<Name> = usage
             .iter()
             .filter(|(name, used)| {
                 let agreed = self.pool.share(name);
@@ -540,18 +555,23 @@
             })
             .map(|(name, _)| name.clone())
             .collect();
-        let me = &slot.template.partner;
-        let wants = self.pool.template(&slot.template).map_or(0, |p| usize::from(p.template.hosts));
-        let mine = usage.get(me).copied().unwrap_or(0) + wants;
-        let in_share = self.pool.share(me).is_some_and(|s| mine * 100 <= total * usize::from(s));
-        let foreign =
-            |g: &&Group| g.slot.template.partner != *me && over.contains(&g.slot.template.partner);
-        in_share && self.give_up_one(slot, None, foreign)
-    }
-
-    /// Drains the least important group out of `candidates` that, with the free hosts of its
-    /// domain, makes room for `slot`. True also if one is draining for it already.
-    fn give_up_one(
+        let requester = &slot.template.partner;
+        let needed =
+            self.pool.template(&slot.template).map_or(0, |p| usize::from(p.template.hosts));
+        let use_with_group = usage.get(requester).copied().unwrap_or(0) + needed;
+        let within_share = self
+            .pool
+            .share(requester)
+            .is_some_and(|s| use_with_group * 100 <= total * usize::from(s));
+        let foreign = |g: &&Group| {
+            g.slot.template.partner != *requester && over_share.contains(&g.slot.template.partner)
+        };
+        within_share && self.preempt_one(slot, None, foreign)
+    }
+
+    /// Drains the group of lowest priority among `candidates` that, together with the free hosts of
+    /// its domain, makes room for `slot`. Returns true also if such a group is already draining.
+    fn preempt_one(
         &mut self,
         slot: &SlotId,
         domain: Option<DomainId>,
@@ -560,24 +580,24 @@
         let Some(published) = self.pool.template(&slot.template) else {
             return false;
         };
-        let wants = match domain {
+        let needed = match domain {
             Some(_) => 1,
             None => usize::from(published.template.hosts),
         };
-        let service = |g: &&Group| {
+        let same_kind = |g: &&Group| {
             let kind = self.pool.template(&g.slot.template).map(|p| p.template.kind);
             kind == Some(published.template.kind)
         };
         let room = |g: &&Group| {
             let free = self.free.get(&g.domain).map_or(0, BTreeSet::len);
-            domain.is_none_or(|d| d == g.domain) && free + g.ranked.len() >= wants
+            domain.is_none_or(|d| d == g.domain) && free + g.ranked.len() >= needed
         };
         let mut fitting: Vec<&Group> =
-            self.pool.groups().filter(&candidates).filter(service).filter(room).collect();
+            self.pool.groups().filter(&candidates).filter(same_kind).filter(room).collect();
         if fitting.iter().any(|g| g.state == GroupState::Draining) {
             return true;
         }
-        fitting.retain(|g| !self.touched.contains(&g.epoch));
+        fitting.retain(|g| !self.handled.contains(&g.epoch));
         let least = fitting
             .iter()
             .min_by_key(|g| (priority(self.pool, &g.slot), std::cmp::Reverse(g.epoch)));
@@ -588,7 +608,7 @@
         true
     }
 
-    fn note_missing(&mut self, slot: &SlotId, published: &Published) {
+    fn record_missing(&mut self, slot: &SlotId, published: &Published) {
         let largest = self.free.keys().map(|d| self.suitable(*d, published).len()).max();
         self.plan.missing.push(Missing {
             slot: slot.clone(),
--- a/crates/oliveworks-core/src/pool.rs
+++ b/crates/oliveworks-core/src/pool.rs
@@ -1,9 +1,9 @@
-//! The pool: what all records up to an offset add up to.
+//! Pool: the state that results from all records up to an offset.
 //!
-//! [`Pool::apply`] is a pure function of the pool and the record. Every process runs it over the
-//! same order and gets the same pool, so a record that does not apply where it stands is ignored by
-//! all of them alike. That is the whole of the agreement between processes: no lease, clock or
-//! compare-and-set takes part in who owns a host.
+//! [`Pool::apply`] is a pure function of the pool and the record. Every process applies the same
+//! records in the same order and reaches the same pool, so a record that is not valid at its
+//! position is ignored by every process alike. Agreement between processes needs nothing else: host
+//! ownership depends on no lease, clock or compare-and-set.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -15,72 +15,73 @@
 use crate::record::{Author, Basis, Body, Ignored, Record};
 use crate::template::{Kind, SlotId, Template, TemplateKey, Workspace};
 
-/// How many record ids are remembered. A repeated append comes within seconds of the first; at
-/// 13,000 records a day this is more than an hour.
-const REMEMBERED_IDS: usize = 1024;
+/// Number of record ids kept for detecting repeated records. A repeated append follows the first
+/// within seconds; at 13,000 records a day the ids cover more than an hour.
+const RECENT_IDS: usize = 1024;
 
-/// A template in force.
+/// Template in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Published {
-    /// The template.
+    /// Template.
     pub template: Template,
-    /// Where it was published.
+    /// Offset at which the template was published.
     pub at: Offset,
-    /// Where its number of replicas last changed. Keys' homes are counted from here.
+    /// Offset at which the number of replicas last changed. The homes of keys date from this
+    /// offset.
     pub homes_at: Offset,
-    /// The replicas that nobody can have been the home of before `homes_at`, and that have had no
-    /// group since. Empty from the first change of the number of replicas on.
+    /// Replicas that cannot have been the home of any key before `homes_at` and have had no group
+    /// since. Empty from the first change of the number of replicas on.
     pub never_homed: BTreeSet<u16>,
 }
 
 /// Whether a group takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GroupState {
-    /// It serves, or is on its way to.
+    /// The group serves or is being prepared to serve.
     Active,
-    /// It finishes what runs.
+    /// The group finishes its running requests.
     Draining,
 }
 
-/// A replica group.
+/// Replica group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Group {
-    /// The offset at which it was formed.
+    /// Offset at which the group was formed.
     pub epoch: Epoch,
-    /// The replica that it is.
+    /// Slot of the replica.
     pub slot: SlotId,
-    /// The digest of what it is made of.
+    /// Digest of the template fields that determine the group's composition.
     pub shape: u64,
-    /// The fabric domain of all its hosts.
+    /// Fabric domain of all hosts of the group.
     pub domain: DomainId,
     /// Members, then spares, in rank order.
     pub ranked: Vec<HostId>,
-    /// Where their agents are reached, in the same order.
+    /// Addresses of the hosts' agents, in the same order.
     pub addresses: Vec<SocketAddr>,
-    /// How many of `ranked` serve at once.
+    /// Number of hosts in `ranked` that serve at the same time.
     pub width: u16,
-    /// Whether it takes new work.
+    /// Whether the group takes new work.
     pub state: GroupState,
-    /// No group was in its slot before, so no key can have run there.
+    /// Whether the slot had no group before, so that no request with a key can have run there.
     pub first_home: bool,
-    /// The group that it is to replace, which goes on until this one serves.
+    /// Group that this group replaces. The replaced group continues until this group serves.
     pub alongside: Option<Epoch>,
 }
 
 impl Group {
-    /// Where a host's agent is reached.
+    /// Returns the address of a host's agent.
     pub fn address(&self, host: HostId) -> Option<SocketAddr> {
         let at = self.ranked.iter().position(|h| *h == host)?;
         self.addresses.get(at).copied()
     }
 
-    /// The number of members that serve at once.
+    /// Returns the number of members that serve at the same time.
     pub fn width(&self) -> usize {
         usize::from(self.width)
     }
 }
 
-/// What all records up to an offset add up to.
+/// State that results from all records up to an offset.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pool {
     partners: BTreeSet<Name>,
@@ -92,14 +93,14 @@
     hosts: BTreeMap<HostId, Epoch>,
     slots: BTreeMap<SlotId, Vec<Epoch>>,
     drained: BTreeSet<HostId>,
-    /// Templates that were withdrawn: one that comes back under the same name is not new. It grows
-    /// with the names ever withdrawn, some fifty bytes each.
+    /// Withdrawn templates. A template that is published again under the same name does not count
+    /// as new. The set grows with every name ever withdrawn, by about fifty bytes each.
     withdrawn: BTreeSet<TemplateKey>,
     recent: VecDeque<RecordId>,
 }
 
 impl Pool {
-    /// The empty pool of these partners.
+    /// Returns the empty pool of the given partners.
     pub fn new(partners: impl IntoIterator<Item = Name>) -> Pool {
         Pool {
             partners: partners.into_iter().collect(),
@@ -116,62 +117,63 @@
         }
     }
 
-    /// The offset after the last record applied.
+    /// Returns the offset after the last applied record.
     pub fn next(&self) -> Offset {
         self.next
     }
 
-    /// The partners.
+    /// Returns the partners.
     pub fn partners(&self) -> &BTreeSet<Name> {
         &self.partners
     }
 
-    /// The templates in force.
+    /// Returns the templates in force.
     pub fn templates(&self) -> impl Iterator<Item = &Published> {
         self.templates.values()
     }
 
-    /// One template.
+    /// Returns a template.
     pub fn template(&self, key: &TemplateKey) -> Option<&Published> {
         self.templates.get(key)
     }
 
-    /// The workspaces in force.
+    /// Returns the workspaces in force.
     pub fn workspaces(&self) -> impl Iterator<Item = &Workspace> {
         self.workspaces.values()
     }
 
-    /// One workspace.
+    /// Returns a workspace.
     pub fn workspace(&self, partner: &Name, name: &Name) -> Option<&Workspace> {
         self.workspaces.get(&(partner.clone(), name.clone()))
     }
 
-    /// All groups.
+    /// Returns all groups.
     pub fn groups(&self) -> impl Iterator<Item = &Group> {
         self.groups.values()
     }
 
-    /// One group.
+    /// Returns a group.
     pub fn group(&self, epoch: Epoch) -> Option<&Group> {
         self.groups.get(&epoch)
     }
 
-    /// The group that a host belongs to, as member or spare.
+    /// Returns the group that a host belongs to as member or spare.
     pub fn group_of(&self, host: HostId) -> Option<&Group> {
         self.groups.get(self.hosts.get(&host)?)
     }
 
-    /// The groups in a slot, oldest first.
+    /// Returns the groups in a slot, oldest first.
     pub fn groups_in(&self, slot: &SlotId) -> impl Iterator<Item = &Group> {
         self.slots.get(slot).into_iter().flatten().filter_map(|e| self.groups.get(e))
     }
 
-    /// Hosts that operators took out of use.
+    /// Returns the hosts that operators took out of use.
     pub fn drained(&self) -> &BTreeSet<HostId> {
         &self.drained
     }
 
-    /// A partner's part of the pool in hundredths, once every partner published the same figures.
+    /// Returns a partner's share of the pool in percent, if every partner published the same
+    /// shares.
     pub fn share(&self, partner: &Name) -> Option<u8> {
         let mut claims = self.partners.iter().map(|p| self.shares.get(p));
         let first = claims.next()??;
@@ -181,12 +183,12 @@
         first.get(partner).copied()
     }
 
-    /// A digest of the whole pool. Two processes at the same offset have the same digest.
+    /// Returns a digest of the whole pool. Two processes at the same offset have the same digest.
     pub fn digest(&self) -> u128 {
-        xxh3_128(&postcard::to_stdvec(self).expect("plain data"))
+        xxh3_128(&postcard::to_stdvec(self).expect("plain data always serializes"))
     }
 
-    /// Passes over offsets that hold no record of ours: unreadable, or badly signed.
+    /// Skips an offset without a valid record, for example an unreadable or badly signed one.
     pub fn skip(&mut self, offset: Offset) {
         debug_assert!(offset >= self.next, "records are applied in order");
         self.next = Offset(offset.0 + 1);
@@ -195,10 +197,10 @@
     /// Applies the record at `offset`.
     ///
     /// # Errors
-    /// Why the record is ignored. The pool then differs only in its next offset.
+    /// Returns why the record is ignored. The pool then differs only in its next offset.
     ///
     /// # Panics
-    /// In debug builds, if `offset` was applied before: configuration never goes back.
+    /// In debug builds, if `offset` was applied before: the configuration never goes back.
     pub fn apply(&mut self, offset: Offset, record: &Record) -> Result<(), Ignored> {
         debug_assert!(offset >= self.next, "records are applied in order");
         self.next = Offset(offset.0 + 1);
@@ -207,7 +209,7 @@
         }
         self.apply_body(offset, record)?;
         self.recent.push_back(record.id);
-        if self.recent.len() > REMEMBERED_IDS {
+        if self.recent.len() > RECENT_IDS {
             self.recent.pop_front();
         }
         Ok(())
@@ -219,13 +221,13 @@
                 self.publish(offset, author, template, *edits)
             }
             (Body::WithdrawTemplate { key }, Author::Partner(author)) => {
-                self.right(author, &key.partner)?;
+                self.check_author(author, &key.partner)?;
                 self.templates.remove(key).ok_or(Ignored::Missing)?;
                 self.withdrawn.insert(key.clone());
                 Ok(())
             }
             (Body::PublishWorkspace { workspace }, Author::Partner(author)) => {
-                self.right(author, &workspace.partner)?;
+                self.check_author(author, &workspace.partner)?;
                 workspace.check().map_err(|e| Ignored::Invalid(e.to_string()))?;
                 let key = (workspace.partner.clone(), workspace.workspace.clone());
                 self.workspaces.insert(key, workspace.clone());
@@ -235,12 +237,12 @@
                 self.set_shares(author, shares)
             }
             (Body::DrainHost { host }, Author::Partner(author)) => {
-                self.right_to_host(author, *host)?;
+                self.check_author_of_host(author, *host)?;
                 self.drained.insert(*host);
                 Ok(())
             }
             (Body::RestoreHost { host }, Author::Partner(author)) => {
-                self.right_to_host(author, *host)?;
+                self.check_author_of_host(author, *host)?;
                 self.drained.remove(host).then_some(()).ok_or(Ignored::Missing)
             }
             (
@@ -248,9 +250,9 @@
                 Author::System,
             ) => {
                 if addresses.len() != hosts.len() + spares.len() {
-                    return Err(Ignored::Invalid("the number of addresses".into()));
+                    return Err(Ignored::Invalid("wrong number of addresses".into()));
                 }
-                let shape = self.check_form(slot, *template_at, hosts, spares, *basis)?;
+                let shape = self.check_group(slot, *template_at, hosts, spares, *basis)?;
                 let published = self.templates.get_mut(&slot.template).ok_or(Ignored::Missing)?;
                 let group = Group {
                     first_home: published.never_homed.remove(&slot.index),
@@ -293,17 +295,17 @@
         }
     }
 
-    fn right(&self, author: &Name, owner: &Name) -> Result<(), Ignored> {
+    fn check_author(&self, author: &Name, owner: &Name) -> Result<(), Ignored> {
         let known = self.partners.contains(author);
         (known && author == owner).then_some(()).ok_or(Ignored::NoRight)
     }
 
-    /// A partner may take out of use what nobody or its own group uses, never a host that serves
-    /// the other partner.
-    fn right_to_host(&self, author: &Name, host: HostId) -> Result<(), Ignored> {
+    /// Checks that a partner may take a host out of use: a host without a group or with a group of
+    /// its own, never a host that serves the other partner.
+    fn check_author_of_host(&self, author: &Name, host: HostId) -> Result<(), Ignored> {
         match self.group_of(host) {
-            Some(group) => self.right(author, &group.slot.template.partner),
-            None => self.right(author, author),
+            Some(group) => self.check_author(author, &group.slot.template.partner),
+            None => self.check_author(author, author),
         }
     }
 
@@ -314,7 +316,7 @@
         template: &Template,
         edits: Option<Offset>,
     ) -> Result<(), Ignored> {
-        self.right(author, &template.partner)?;
+        self.check_author(author, &template.partner)?;
         template.check().map_err(|e| Ignored::Invalid(e.to_string()))?;
         let old = self.templates.get(&template.key());
         if edits.is_some() && edits != old.map(|p| p.at) {
@@ -337,18 +339,20 @@
     }
 
     fn set_shares(&mut self, author: &Name, shares: &BTreeMap<Name, u8>) -> Result<(), Ignored> {
-        self.right(author, author)?;
+        self.check_author(author, author)?;
         let sum: u32 = shares.values().map(|s| u32::from(*s)).sum();
-        let all = shares.keys().eq(self.partners.iter());
-        if !all || sum != 100 {
-            return Err(Ignored::Invalid("shares name every partner and add up to 100".into()));
+        let names_all = shares.keys().eq(self.partners.iter());
+        if !names_all || sum != 100 {
+            return Err(Ignored::Invalid(
+                "shares must name every partner and add up to 100".into(),
+            ));
         }
         self.shares.insert(author.clone(), shares.clone());
         Ok(())
     }
 
-    /// Checks a new group; returns its shape.
-    fn check_form(
+    /// Checks a new group and returns its shape.
+    fn check_group(
         &self,
         slot: &SlotId,
         template_at: Offset,
@@ -366,17 +370,17 @@
         }
         let spares_max = usize::from(template.spares.min(template.hosts - 1));
         if hosts.len() != usize::from(template.hosts) || spares.len() > spares_max {
-            return Err(Ignored::Invalid("the number of hosts".into()));
+            return Err(Ignored::Invalid("wrong number of hosts".into()));
         }
         self.check_basis(slot, template.shape(), basis)?;
-        let may_take = match basis {
+        let replaced = match basis {
             Basis::Supersedes(old) => Some(old),
             _ => None,
         };
         let mut seen = BTreeSet::new();
         for host in hosts.iter().chain(spares) {
             let owner = self.hosts.get(host).copied();
-            let free = owner.is_none() || owner == may_take;
+            let free = owner.is_none() || owner == replaced;
             if !free || self.drained.contains(host) || !seen.insert(*host) {
                 return Err(Ignored::HostNotFree(*host));
             }
@@ -392,7 +396,8 @@
                 None => Ok(()),
             },
             Basis::Supersedes(old) => {
-                // Only the old group itself may be of the same shape, or two would serve the slot.
+                // Only the replaced group may have the same shape. Otherwise two groups would serve
+                // the slot.
                 let others = |g: &Group| g.epoch != old && g.shape == shape;
                 if !self.groups_in(slot).any(|g| g.epoch == old) {
                     return Err(Ignored::Missing);
@@ -436,16 +441,16 @@
         }
     }
 
-    /// Checks the invariants that every pool keeps.
+    /// Checks the invariants of the pool.
     ///
     /// # Errors
-    /// Says which is broken.
+    /// Describes the violated invariant.
     pub fn verify(&self) -> Result<(), String> {
         let mut seen = BTreeMap::new();
         for group in self.groups.values() {
             let spares = group.ranked.len() - group.width().min(group.ranked.len());
             if group.width() > group.ranked.len() || spares >= group.width() {
-                return Err(format!("{} has {} spares", group.epoch, spares));
+                return Err(format!("{} has an invalid number of spares: {}", group.epoch, spares));
             }
             for host in &group.ranked {
                 if let Some(other) = seen.insert(*host, group.epoch) {
@@ -455,11 +460,12 @@
         }
         match seen == self.hosts {
             true => Ok(()),
-            false => Err("the index of hosts differs from the groups".into()),
+            false => Err("the host index does not match the groups".into()),
         }
     }
 
-    /// The template that a workspace's callers reach by a name: the model's or the template's.
+    /// Finds the template that callers of a workspace request by the model's or the template's
+    /// name.
     pub fn find(
         &self,
         partner: &Name,
@@ -475,12 +481,12 @@
     }
 }
 
-/// A pool with the proof that it is what the records add up to.
+/// Pool together with the digest that verifies it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The pool.
+    /// Pool.
     pub pool: Pool,
-    /// Its digest.
+    /// Digest of the pool.
     pub digest: u128,
 }
 
@@ -490,20 +496,20 @@
         Snapshot { pool: pool.clone(), digest: pool.digest() }
     }
 
-    /// The snapshot in a compact binary form.
+    /// Encodes the snapshot in a compact binary form.
     pub fn to_bytes(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).expect("plain data")
+        postcard::to_stdvec(self).expect("plain data always serializes")
     }
 
-    /// Reads what [`Snapshot::to_bytes`] wrote.
+    /// Decodes the output of [`Snapshot::to_bytes`].
     ///
     /// # Errors
-    /// If the bytes are no snapshot. [`Snapshot::open`] checks its digest and invariants.
+    /// If the bytes are not a snapshot. [`Snapshot::open`] checks the digest and the invariants.
     pub fn from_bytes(bytes: &[u8]) -> Result<Snapshot, String> {
-        postcard::from_bytes(bytes).map_err(|e| format!("no snapshot: {e}"))
+        postcard::from_bytes(bytes).map_err(|e| format!("not a valid snapshot: {e}"))
     }
 
-    /// The pool, if it is whole.
+    /// Returns the pool after checking its digest and invariants.
     ///
     /// # Errors
     /// If the digest or an invariant does not hold.
--- a/crates/oliveworks-core/src/record.rs
+++ b/crates/oliveworks-core/src/record.rs
@@ -1,4 +1,4 @@
-//! Records: everything that is agreed, in the one order that the platform's log gives.
+//! Records: the agreed changes, in the total order of the platform's log.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,109 +9,110 @@
 use crate::id::{DomainId, Epoch, HostId, Name, Offset, RecordId};
 use crate::template::{SlotId, Template, TemplateKey, Workspace};
 
-/// Who wrote a record. Established by its signature before the record reaches this crate.
+/// Author of a record. Its signature is verified before the record reaches this crate.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Author {
-    /// A partner's operators.
+    /// Operators of a partner.
     Partner(Name),
-    /// A process of the system.
+    /// Process of the system.
     System,
 }
 
-/// One record.
+/// Record of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Drawn by the author. An append whose answer was lost is found again by it.
+    /// Id drawn by the author. Identifies the record again after the answer to its append was lost.
     pub id: RecordId,
-    /// Who wrote it.
+    /// Author.
     pub author: Author,
-    /// What it says.
+    /// Content.
     pub body: Body,
 }
 
-/// How a new group stands to a group already in its slot.
+/// Relation of a new group to a group already in its slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Basis {
     /// The slot is empty.
     Fresh,
-    /// The old group cannot serve: it ends here, and its hosts may be in the new one.
+    /// The old group cannot serve. It ends with this record, and the new group may contain its
+    /// hosts.
     Supersedes(Epoch),
-    /// The old group goes on until the new one serves. They share no host.
+    /// The old group continues until the new group serves. The groups share no host.
     Alongside(Epoch),
 }
 
-/// What a record says.
+/// Content of a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Body {
     /// A partner publishes a template.
     PublishTemplate {
-        /// The template.
+        /// Template.
         template: Template,
-        /// The offset of the version that the operator edited; the record is ignored if another
-        /// was published since. `None`: whatever is there.
+        /// Offset of the version that the operator edited. The record is ignored if another version
+        /// was published since. With `None` any version is replaced.
         #[serde(default)]
         edits: Option<Offset>,
     },
-    /// A partner withdraws a template; its groups drain.
+    /// A partner withdraws a template, and its groups drain.
     WithdrawTemplate {
-        /// Which.
+        /// Key of the template.
         key: TemplateKey,
     },
     /// A partner publishes a workspace.
     PublishWorkspace {
-        /// The workspace.
+        /// Workspace.
         workspace: Workspace,
     },
-    /// A partner says how the pool is to be shared, in hundredths. It counts once every partner
-    /// has published the same figures.
+    /// A partner proposes the shares of the pool in percent. The shares take effect once every
+    /// partner has published the same values.
     SetShares {
-        /// Each partner's part.
+        /// Share of each partner.
         shares: BTreeMap<Name, u8>,
     },
     /// A partner takes a host out of use.
     DrainHost {
-        /// Which.
+        /// Host.
         host: HostId,
     },
-    /// A partner gives a host back to use.
+    /// A partner returns a host to use.
     RestoreHost {
-        /// Which.
+        /// Host.
         host: HostId,
     },
     /// The system forms a replica group.
     FormGroup {
-        /// The replica.
+        /// Slot of the replica.
         slot: SlotId,
-        /// The template version that the decision was made on.
+        /// Offset of the template version on which the decision was based.
         template_at: Offset,
-        /// The members' fabric domain.
+        /// Fabric domain of the members.
         domain: DomainId,
-        /// The members, in rank order; the first leads.
+        /// Members in rank order. The first member leads.
         hosts: Vec<HostId>,
         /// Hosts that may take a lost member's place without a record.
         spares: Vec<HostId>,
-        /// Where the agents of members and spares are reached, in the same order.
+        /// Addresses of the agents of members and spares, in the same order.
         addresses: Vec<SocketAddr>,
-        /// How it stands to a group already in the slot.
+        /// Relation to a group already in the slot.
         basis: Basis,
     },
-    /// The system asks a group to finish what runs and take nothing new.
+    /// The system orders a group to finish its running requests and accept no new ones.
     DrainGroup {
-        /// Which.
+        /// Epoch of the group.
         epoch: Epoch,
     },
-    /// The system takes a drained group's hosts back.
+    /// The system releases a drained group's hosts.
     FreeGroup {
-        /// Which.
+        /// Epoch of the group.
         epoch: Epoch,
     },
 }
 
 impl Body {
-    /// The body's kind, for logs and counts.
+    /// Returns the kind of the body, for logs and metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Body::PublishTemplate { .. } => "publish_template",
@@ -127,35 +128,35 @@
     }
 }
 
-/// Why every reader ignores a record.
+/// Reason for which every reader ignores a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ignored {
-    /// The same record came before.
+    /// The same record was applied before.
     Repeated,
-    /// The author may not write this.
+    /// The author may not write this record.
     NoRight,
-    /// A rule of the template or workspace is broken.
+    /// A rule of the template or workspace is violated.
     Invalid(String),
-    /// Another version was published since the author looked.
+    /// Another version was published since the author read the state.
     Stale,
-    /// No such template, group or host.
+    /// The template, group or host does not exist.
     Missing,
-    /// A host belongs to another group, is named twice or is out of use.
+    /// A host belongs to another group, is listed twice or is out of use.
     HostNotFree(HostId),
-    /// The slot has a group already.
+    /// The slot already has a group.
     SlotTaken,
 }
 
 impl fmt::Display for Ignored {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Ignored::Repeated => f.write_str("the same record came before"),
-            Ignored::NoRight => f.write_str("the author has no right to it"),
+            Ignored::Repeated => f.write_str("the same record was applied before"),
+            Ignored::NoRight => f.write_str("the author may not write this record"),
             Ignored::Invalid(why) => write!(f, "invalid: {why}"),
-            Ignored::Stale => f.write_str("another version was published since"),
-            Ignored::Missing => f.write_str("there is no such thing"),
+            Ignored::Stale => f.write_str("the record is based on an outdated version"),
+            Ignored::Missing => f.write_str("the template, group or host does not exist"),
             Ignored::HostNotFree(host) => write!(f, "{host} is not free"),
-            Ignored::SlotTaken => f.write_str("the replica has a group already"),
+            Ignored::SlotTaken => f.write_str("the replica already has a group"),
         }
     }
 }
