--- a/crates/oliveworks-core/src/relay.rs
+++ b/crates/oliveworks-core/src/relay.rs
@@ -1,12 +1,12 @@
-//! One request at its entry, over all of its tries.
+//! State of one request at its entry, across all attempts.
 //!
-//! The entry carries a [`Relay`] for each request, tells it what happened, and does what [`Next`]
-//! says. The relay decides whether another try is allowed, what has to be revoked first, and what
-//! the caller may be told.
+//! The entry holds a [`Relay`] for each request, reports events to it, and performs the returned
+//! [`Next`]. The relay decides whether another attempt is allowed, which attempt has to be revoked
+//! first, and which outcome may be reported to the caller.
 //!
-//! "Not run" is told only if every try was refused before it began or was revoked. A request that
-//! came with a caller's key is never told "not run": an earlier request with the same key may have
-//! run, and only the key's home could know.
+//! "Not run" is reported only if every attempt was rejected before it began or was revoked. A
+//! request with a caller's key is never reported as "not run": an earlier request with the same key
+//! may have run, and only the key's home can know.
 
 use crate::answer::{Assembly, Take, TryId};
 use crate::chart::Machine;
@@ -15,35 +15,35 @@
 use crate::id::{Epoch, Millis, RequestId};
 use crate::ledger::Revoked;
 
-/// What the entry is to do next for a request.
+/// Next action of the entry for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Choose a group, none of those tried, and hand the request over.
+    /// Choose a group that was not tried yet and hand the request over.
     Send,
     /// Wait for the answer.
     Wait,
-    /// Ask the agent of the present try whether the request began, and stop it if not.
+    /// Ask the agent of the current attempt whether the request has begun, and stop it if not.
     Revoke,
-    /// The answer is whole.
+    /// The answer is complete.
     Answered,
-    /// Tell the caller this, at once.
+    /// Report this refusal to the caller at once.
     Refuse(Refusal),
 }
 
-/// What may be done with a request.
+/// Conditions under which a request may be attempted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Terms {
-    /// It may run again after it may have run.
+    /// Whether the request may run again after it may have run.
     pub repeatable: bool,
-    /// It came with a caller's key.
+    /// Whether the request has a caller's key.
     pub keyed: bool,
-    /// The latest time of its end.
+    /// Latest time at which the request may end.
     pub deadline: Millis,
-    /// Tries allowed in all.
+    /// Maximum number of attempts.
     pub tries: u32,
 }
 
-/// One request.
+/// State of one request.
 #[derive(Clone, Debug)]
 pub struct Relay {
     terms: Terms,
@@ -57,7 +57,7 @@
 }
 
 impl Relay {
-    /// A request that was admitted.
+    /// Returns the state of a request that was admitted.
     pub fn new(id: RequestId, terms: Terms) -> Relay {
         let mut machine = Machine::new(charts::request());
         machine.fire("admit");
@@ -73,27 +73,27 @@
         }
     }
 
-    /// The request chart's state.
+    /// Returns the state of the request chart.
     pub fn state(&self) -> &'static str {
         self.machine.state()
     }
 
-    /// Groups that a next try should avoid.
+    /// Returns the groups that the next attempt should avoid.
     pub fn tried(&self) -> &[Epoch] {
         &self.tried
     }
 
-    /// How many pieces were passed on.
+    /// Returns the number of pieces passed on to the caller.
     pub fn passed(&self) -> u64 {
         self.assembly.passed()
     }
 
-    /// Tries made.
+    /// Returns the number of attempts made.
     pub fn tries(&self) -> u32 {
         self.tries
     }
 
-    /// The request was handed to a group.
+    /// Records that the request was handed to a group.
     pub fn sent(&mut self, epoch: Epoch, attempt: u64) -> TryId {
         self.tries += 1;
         self.tried.push(epoch);
@@ -103,7 +103,8 @@
         TryId { request: self.id, attempt }
     }
 
-    /// A piece came. Passed on if [`Take::Pass`]; after [`Take::Gap`], call [`Relay::failed`].
+    /// Records a piece of the answer. The caller passes it on if the result is [`Take::Pass`], and
+    /// calls [`Relay::failed`] after [`Take::Gap`].
     pub fn piece(&mut self, from: TryId, number: u64) -> Take {
         let take = self.assembly.piece(from, number);
         if take == Take::Pass {
@@ -112,7 +113,7 @@
         take
     }
 
-    /// The end came.
+    /// Records the end of the answer.
     pub fn end(&mut self, now: Millis, from: TryId, pieces: u64, budget: bool) -> Next {
         match self.assembly.end(from, pieces) {
             Take::Pass => {
@@ -120,12 +121,12 @@
                 Next::Answered
             }
             Take::Drop => Next::Wait,
-            Take::Gap => self.failed(now, "the answer had a gap", budget),
+            Take::Gap => self.failed(now, "a piece of the answer is missing", budget),
         }
     }
 
-    /// The agent refused the present try. `hinted`: it named the leader to ask instead, so the
-    /// group is not at fault.
+    /// Records that the agent rejected the current attempt. `hinted` is set if the agent named the
+    /// leader to ask instead, in which case the group is not at fault.
     pub fn refused(&mut self, now: Millis, refusal: Refusal, hinted: bool, budget: bool) -> Next {
         if hinted {
             self.tried.pop();
@@ -133,22 +134,22 @@
         if refusal.ran != Ran::No {
             self.may_have_run = true;
         }
-        let passing = matches!(
+        let is_transient = matches!(
             refusal.kind,
             ErrorKind::Unavailable
                 | ErrorKind::Overloaded
                 | ErrorKind::ContactLost
                 | ErrorKind::BackendFailed
         );
-        let harmless = refusal.ran == Ran::No || self.terms.repeatable;
-        if passing && harmless && self.may_try(now, budget) {
+        let may_repeat = refusal.ran == Ran::No || self.terms.repeatable;
+        if is_transient && may_repeat && self.may_retry(now, budget) {
             self.machine.fire("retry");
             return Next::Send;
         }
         self.give_up(refusal)
     }
 
-    /// Contact with the agent was lost, or its answer cannot be right.
+    /// Records that contact with the agent was lost, or that its answer is invalid.
     pub fn failed(&mut self, now: Millis, why: &str, budget: bool) -> Next {
         let refusal = Refusal::new(ErrorKind::ContactLost, Ran::Unknown, why);
         if !self.terms.repeatable {
@@ -156,14 +157,14 @@
             return Next::Revoke;
         }
         self.may_have_run = true;
-        if self.may_try(now, budget) {
+        if self.may_retry(now, budget) {
             self.machine.fire("retry");
             return Next::Send;
         }
         self.give_up(refusal)
     }
 
-    /// The agent answered the revocation, or did not (`None`).
+    /// Records the agent's answer to the revocation, or `None` if it did not answer.
     pub fn revoked(&mut self, now: Millis, outcome: Option<Revoked>, budget: bool) -> Next {
         let lost = self.lost.take();
         let refusal =
@@ -172,36 +173,36 @@
             self.may_have_run = true;
             return self.give_up(refusal);
         }
-        if self.may_try(now, budget) {
+        if self.may_retry(now, budget) {
             self.machine.fire("retry");
             return Next::Send;
         }
-        let why = "contact was lost before it began, and it was stopped from beginning";
-        self.give_up(Refusal::new(ErrorKind::ContactLost, Ran::No, why))
+        let reason = "contact was lost before the request began, and the request was stopped";
+        self.give_up(Refusal::new(ErrorKind::ContactLost, Ran::No, reason))
     }
 
-    /// No group can be chosen.
+    /// Records that no group can be chosen.
     pub fn no_group(&mut self) -> Next {
-        let why = "no replica group serves this now";
-        self.give_up(Refusal::new(ErrorKind::Unavailable, Ran::No, why))
+        let reason = "no replica group serves this now";
+        self.give_up(Refusal::new(ErrorKind::Unavailable, Ran::No, reason))
     }
 
-    /// The deadline passed. `begun`: the present try may have begun.
+    /// Records that the deadline passed. `begun` is set if the current attempt may have begun.
     pub fn deadline(&mut self, begun: bool) -> Next {
         self.may_have_run |= begun;
         self.give_up(Refusal::new(ErrorKind::DeadlineExceeded, Ran::No, "the deadline passed"))
     }
 
-    /// The caller went away.
+    /// Records that the caller disconnected.
     pub fn cancelled(&mut self) {
         self.machine.fire("cancel");
     }
 
-    fn may_try(&self, now: Millis, budget: bool) -> bool {
+    fn may_retry(&self, now: Millis, budget: bool) -> bool {
         budget && self.tries < self.terms.tries && now < self.terms.deadline
     }
 
-    /// The final answer. What is uncertain about any try is uncertain about the request.
+    /// Returns the final refusal. Uncertainty about any attempt makes the whole request uncertain.
     fn give_up(&mut self, mut refusal: Refusal) -> Next {
         let uncertain = self.may_have_run || self.terms.keyed;
         if refusal.ran == Ran::No && uncertain {
--- a/crates/oliveworks-core/src/retry.rs
+++ b/crates/oliveworks-core/src/retry.rs
@@ -1,29 +1,30 @@
-//! Retry budgets and breakers: how much trying again a trouble may cost.
+//! Retry budgets and circuit breakers, which bound the cost of retries.
 
 use crate::id::Millis;
 
-/// Lets a part of the requests be tried again, so that tries never multiply an overload.
+/// Budget that limits retries to a fraction of the requests, so that retries never multiply an
+/// overload.
 ///
-/// A token bucket in hundredths: each request puts `percent` in, each further try takes 100 out.
+/// A token bucket in hundredths: each request adds `percent`, each retry removes 100.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     percent: u32,
     hundredths: u32,
-    most: u32,
+    max: u32,
 }
 
 impl RetryBudget {
-    /// A budget that starts full.
-    pub fn new(percent: u32, most_tries: u32) -> RetryBudget {
-        RetryBudget { percent, hundredths: most_tries * 100, most: most_tries * 100 }
+    /// Returns a full budget.
+    pub fn new(percent: u32, max_retries: u32) -> RetryBudget {
+        RetryBudget { percent, hundredths: max_retries * 100, max: max_retries * 100 }
     }
 
-    /// A request was sent for the first time.
+    /// Records that a request was sent for the first time.
     pub fn request(&mut self) {
-        self.hundredths = (self.hundredths + self.percent).min(self.most);
+        self.hundredths = (self.hundredths + self.percent).min(self.max);
     }
 
-    /// Whether one more try may be made; takes it out of the budget.
+    /// Takes one retry out of the budget. Returns whether the retry is allowed.
     pub fn take(&mut self) -> bool {
         if self.hundredths < 100 {
             return false;
@@ -33,32 +34,33 @@
     }
 }
 
-/// Keeps work away from a group that fails.
+/// Circuit breaker that keeps requests away from a failing group.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Breaker {
     failures: u32,
     open_until: Millis,
 }
 
-/// Failures in a row that open a breaker.
+/// Number of consecutive failures that open a breaker.
 const OPEN_AFTER: u32 = 2;
-/// How long a breaker stays open after the first time, in milliseconds.
+/// Time for which a breaker stays open at first, in milliseconds.
 const OPEN_MS: u64 = 500;
-/// The longest that a breaker stays open, in milliseconds.
+/// Maximum time for which a breaker stays open, in milliseconds.
 const OPEN_MAX_MS: u64 = 8_000;
 
 impl Breaker {
-    /// Whether work may be sent. A breaker that has been open long enough lets work try.
+    /// Returns whether requests may be sent. A breaker whose open time has passed lets requests
+    /// through.
     pub fn allows(&self, now: Millis) -> bool {
         now >= self.open_until
     }
 
-    /// A try succeeded.
+    /// Records a successful attempt.
     pub fn success(&mut self) {
         *self = Breaker::default();
     }
 
-    /// A try failed for a reason that lies with the group.
+    /// Records an attempt that failed because of the group.
     pub fn failure(&mut self, now: Millis) {
         self.failures += 1;
         if self.failures >= OPEN_AFTER {
--- a/crates/oliveworks-core/src/template.rs
+++ b/crates/oliveworks-core/src/template.rs
@@ -1,4 +1,4 @@
-//! What operators publish: templates and workspaces.
+//! Templates and workspaces, which operators publish.
 
 use std::fmt;
 
@@ -7,23 +7,23 @@
 
 use crate::id::Name;
 
-/// The fewest hosts of a model's replica.
+/// Minimum number of hosts of a model's replica.
 pub const HOSTS_MIN: u16 = 4;
-/// The most hosts of a model's replica.
+/// Maximum number of hosts of a model's replica.
 pub const HOSTS_MAX: u16 = 32;
-/// The most replicas of one template.
+/// Maximum number of replicas of one template.
 pub const REPLICAS_MAX: u16 = 1024;
-/// The highest priority.
+/// Highest priority.
 pub const PRIORITY_MAX: u8 = 9;
 
-/// Names a template: partner, workspace and the template's own name.
+/// Key of a template: partner, workspace and the template's own name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TemplateKey {
-    /// Whose it is.
+    /// Owning partner.
     pub partner: Name,
-    /// The partner's workspace.
+    /// Workspace of the partner.
     pub workspace: Name,
-    /// The template's name within the workspace.
+    /// Name of the template within the workspace.
     pub name: Name,
 }
 
@@ -33,12 +33,12 @@
     }
 }
 
-/// One of a template's replicas, whichever hosts it has at the time.
+/// One replica of a template, independent of the hosts that form it at a given time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SlotId {
-    /// The template.
+    /// Key of the template.
     pub template: TemplateKey,
-    /// 0 up to the template's number of replicas.
+    /// Index of the replica, from 0 up to but excluding the template's number of replicas.
     pub index: u16,
 }
 
@@ -48,18 +48,18 @@
     }
 }
 
-/// What stands behind a template.
+/// Kind of backend that a template describes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// A model engine over several hosts.
+    /// Model engine across several hosts.
     #[default]
     Model,
-    /// A plain service on one host.
+    /// Plain service on one host.
     Service,
 }
 
-/// What the hosts of a replica do with a request.
+/// Part of the request processing that the hosts of a replica perform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
@@ -72,17 +72,17 @@
     Decode,
 }
 
-/// Bounds on the work a template's callers may have in the system.
+/// Limits on the requests of a template's callers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Requests running at once on one replica.
+    /// Maximum number of requests that run on one replica at the same time.
     pub concurrent: u32,
-    /// Requests waiting at one entry.
+    /// Maximum number of requests that wait at one entry.
     pub queue: u32,
-    /// The most tokens of one answer.
+    /// Maximum number of tokens of one answer.
     pub max_tokens: u32,
-    /// The time allowed for a request without a deadline of its own, in milliseconds.
+    /// Time allowed for a request without its own deadline, in milliseconds.
     pub deadline_ms: u32,
 }
 
@@ -92,43 +92,44 @@
     }
 }
 
-/// A template: what replicas a workspace wants.
+/// Template: the replicas that a workspace requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Template {
-    /// Whose it is.
+    /// Owning partner.
     pub partner: Name,
-    /// The partner's workspace.
+    /// Workspace of the partner.
     pub workspace: Name,
-    /// The template's name.
+    /// Name of the template.
     pub name: Name,
-    /// Model engine or plain service.
+    /// Kind of backend: model engine or plain service.
     #[serde(default)]
     pub kind: Kind,
-    /// The model, or the service's name. Callers ask for it by this name.
+    /// Name of the model or service. Callers request it by this name.
     pub model: Name,
-    /// An adapter on top of the model.
+    /// Adapter on top of the model.
     #[serde(default)]
     pub adapter: Option<Name>,
-    /// The model's version.
+    /// Version of the model.
     pub version: Name,
-    /// The replicas' role.
+    /// Role of the replicas.
     #[serde(default)]
     pub role: Role,
-    /// Hosts of one replica.
+    /// Number of hosts of one replica.
     pub hosts: u16,
-    /// Hosts kept beside each replica, named ahead, that may take a lost member's place at once.
+    /// Number of spare hosts assigned to each replica in advance. A spare can take a lost member's
+    /// place at once.
     #[serde(default)]
     pub spares: u16,
-    /// Replicas wanted.
+    /// Number of replicas requested.
     pub replicas: u16,
-    /// 0 to 9; higher goes first among the same partner's templates.
+    /// Priority from 0 to 9. A higher priority goes first among templates of the same partner.
     #[serde(default)]
     pub priority: u8,
     /// Whether a request may run again after it may have run.
     #[serde(default = "yes")]
     pub repeatable: bool,
-    /// Bounds on callers' work.
+    /// Limits on the requests of callers.
     #[serde(default)]
     pub limits: Limits,
 }
@@ -137,7 +138,7 @@
     true
 }
 
-/// A template or workspace that breaks a rule.
+/// Error for a template or workspace that violates a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TemplateError {
     key: &'static str,
@@ -149,7 +150,7 @@
         TemplateError { key, why: why.into() }
     }
 
-    /// The key at fault.
+    /// Returns the name of the invalid setting.
     pub fn key(&self) -> &'static str {
         self.key
     }
@@ -164,7 +165,7 @@
 impl std::error::Error for TemplateError {}
 
 impl Template {
-    /// The template's identity.
+    /// Returns the key of the template.
     pub fn key(&self) -> TemplateKey {
         TemplateKey {
             partner: self.partner.clone(),
@@ -173,67 +174,67 @@
         }
     }
 
-    /// Checks the rules that the types do not carry.
+    /// Checks the rules that the types do not enforce.
     ///
     /// # Errors
-    /// Names the first key at fault.
+    /// Names the first invalid setting.
     pub fn check(&self) -> Result<(), TemplateError> {
         let range = match self.kind {
             Kind::Model => HOSTS_MIN..=HOSTS_MAX,
             Kind::Service => 1..=1,
         };
         if !range.contains(&self.hosts) {
-            let why = format!("{} to {} for this kind", range.start(), range.end());
+            let why = format!("must be {} to {} for this kind", range.start(), range.end());
             return Err(TemplateError::new("hosts", why));
         }
-        // Any two choices of `hosts` members out of `hosts + spares` share a host; see the lease
-        // module for why that must hold.
+        // Any two choices of `hosts` members out of `hosts + spares` must share a host. The lease
+        // module explains why.
         if self.spares >= self.hosts {
             return Err(TemplateError::new("spares", "must be fewer than hosts"));
         }
         if self.replicas > REPLICAS_MAX {
-            return Err(TemplateError::new("replicas", format!("at most {REPLICAS_MAX}")));
+            return Err(TemplateError::new("replicas", format!("must be at most {REPLICAS_MAX}")));
         }
         if self.priority > PRIORITY_MAX {
-            return Err(TemplateError::new("priority", format!("0 to {PRIORITY_MAX}")));
+            return Err(TemplateError::new("priority", format!("must be 0 to {PRIORITY_MAX}")));
         }
         if self.limits.concurrent == 0 {
-            return Err(TemplateError::new("limits.concurrent", "at least 1"));
+            return Err(TemplateError::new("limits.concurrent", "must be at least 1"));
         }
         if self.limits.deadline_ms == 0 {
-            return Err(TemplateError::new("limits.deadline_ms", "at least 1"));
+            return Err(TemplateError::new("limits.deadline_ms", "must be at least 1"));
         }
         if self.limits.max_tokens == 0 {
-            return Err(TemplateError::new("limits.max_tokens", "at least 1"));
+            return Err(TemplateError::new("limits.max_tokens", "must be at least 1"));
         }
         Ok(())
     }
 
-    /// A digest of what a running replica is made of. Two templates with the same shape can keep
-    /// the same replica groups.
+    /// Returns a digest of the fields that determine a running replica. Templates of the same shape
+    /// can keep the same replica groups.
     pub fn shape(&self) -> u64 {
         let parts = (self.kind, &self.model, &self.adapter, &self.version, self.role, self.hosts);
-        xxh3_64(&postcard::to_stdvec(&parts).expect("plain data"))
+        xxh3_64(&postcard::to_stdvec(&parts).expect("plain data always serializes"))
     }
 
-    /// A digest of the weights that a host of the replica holds.
+    /// Returns a digest of the weights that a host of the replica holds.
     pub fn weights(&self) -> u64 {
         let parts = (&self.model, &self.adapter, &self.version, self.hosts);
-        xxh3_64(&postcard::to_stdvec(&parts).expect("plain data"))
+        xxh3_64(&postcard::to_stdvec(&parts).expect("plain data always serializes"))
     }
 }
 
-/// Who may call in a workspace, and its part of the entries' capacity.
+/// Workspace: its callers, and its weight in sharing the entries' capacity.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
-    /// Whose it is.
+    /// Owning partner.
     pub partner: Name,
-    /// The workspace's name.
+    /// Name of the workspace.
     pub workspace: Name,
     /// Digests of the callers' tokens, in hexadecimal. The tokens themselves are never published.
     pub tokens: Vec<String>,
-    /// The workspace's weight where requests wait for the same replicas.
+    /// Weight of the workspace where requests wait for the same replicas.
     #[serde(default = "one")]
     pub weight: u32,
 }
@@ -242,24 +243,27 @@
     1
 }
 
-/// The length of a token digest in hexadecimal digits.
+/// Length of a token digest in hexadecimal digits.
 pub const TOKEN_DIGEST_LEN: usize = 64;
 
 impl Workspace {
-    /// Checks the rules that the types do not carry.
+    /// Checks the rules that the types do not enforce.
     ///
     /// # Errors
-    /// Names the first key at fault.
+    /// Names the first invalid setting.
     pub fn check(&self) -> Result<(), TemplateError> {
         let hex = |t: &String| {
             t.len() == TOKEN_DIGEST_LEN
                 && t.chars().all(|c| c.is_ascii_hexdigit() && !c.is_ascii_uppercase())
         };
         if !self.tokens.iter().all(hex) {
-            return Err(TemplateError::new("tokens", "each is 64 lower-case hexadecimal digits"));
+            return Err(TemplateError::new(
+                "tokens",
+                "each digest must have 64 lower-case hexadecimal digits",
+            ));
         }
         if self.weight == 0 {
-            return Err(TemplateError::new("weight", "at least 1"));
+            return Err(TemplateError::new("weight", "must be at least 1"));
         }
         Ok(())
     }
--- a/crates/oliveworks-core/tests/charts.rs
+++ b/crates/oliveworks-core/tests/charts.rs
@@ -1,4 +1,4 @@
-//! What the chart checker refuses, and that shipped charts are drawn as documented.
+//! Errors that the chart checker must find, and the documented rendering of the shipped charts.
 
 use oliveworks_core::chart::Chart;
 use oliveworks_core::charts;
@@ -16,9 +16,9 @@
 #[test_case("initial: a", "initial: z", "initial state z is not declared"; "initial")]
 #[test_case("go: b", "go: z", "target z is not declared"; "target")]
 #[test_case("on: { go: b }", "on: { fly: b }", "event fly is not declared"; "event")]
-#[test_case("ignores: [go]", "ignores: []", "says nothing of event go"; "missing")]
+#[test_case("ignores: [go]", "ignores: []", "neither handles nor ignores event go"; "missing")]
 #[test_case("go: b", "go: a", "state b is unreachable"; "unreachable")]
-#[test_case("final: true, ", "", "no way out"; "dead end")]
+#[test_case("final: true, ", "", "no outgoing transition"; "dead end")]
 #[test_case("on: { go: b }", "on: { go: b }, ignores: [go]", "both handles and ignores"; "both")]
 #[test_case("chart: t", "chart: t\nmore: 1", "not a chart"; "unknown key")]
 fn a_faulty_chart_is_refused(part: &str, fault: &str, says: &str) {
@@ -37,6 +37,6 @@
             std::fs::write(&path, chart.to_dot()).unwrap();
             continue;
         }
-        assert_eq!(drawn, chart.to_dot(), "{path}: draw it anew with OLIVEWORKS_DRAW=1");
+        assert_eq!(drawn, chart.to_dot(), "{path}: regenerate it with OLIVEWORKS_DRAW=1");
     }
 }
--- a/crates/oliveworks-core/tests/common/mod.rs
+++ b/crates/oliveworks-core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of this crate share.
+//! Helpers shared by the tests of this crate.
 #![allow(dead_code, missing_docs)]
 
 use oliveworks_core::id::{DomainId, HostId, Name, Offset, RecordId};
@@ -33,7 +33,7 @@
     }
 }
 
-/// A pool with a log of its own.
+/// Pool with its own log.
 pub struct Log {
     pub pool: Pool,
     pub next: u64,
--- a/crates/oliveworks-core/tests/feed.rs
+++ b/crates/oliveworks-core/tests/feed.rs
@@ -1,4 +1,4 @@
-//! The feed: trees without cycles, and ages that never promise too much.
+//! Feed: guards against cycles in the trees of sources and against ages that are too low.
 
 use oliveworks_core::feed::{EntryAt, Feed, FeedConfig, Source, agent_sources, entry_sources};
 use oliveworks_core::id::{EntryId, HostId, Millis, Offset};
@@ -87,7 +87,7 @@
     let mut feed = feed();
     assert_eq!(feed.tick(Millis(1_800)), None);
     assert_eq!(feed.tick(Millis(1_801)), Some(Source::Entry(EntryId(2))));
-    // It answers, but knows nothing new itself.
+    // The source answers, but has only a stale proof.
     let mut now = 1_900;
     let mut changed = None;
     while changed.is_none() && now < 9_000 {
@@ -104,7 +104,7 @@
         changed = feed.tick(Millis(now));
     }
     assert_eq!(changed, Some(Source::Log));
-    // The log answers well: after a while the better source gets another try.
+    // The log answers with fresh proofs, so the better source is tried again after a while.
     let mut back = None;
     while back.is_none() && now < 60_000 {
         let asked = feed.ask(Millis(now));
--- a/crates/oliveworks-core/tests/lease.rs
+++ b/crates/oliveworks-core/tests/lease.rs
@@ -1,4 +1,5 @@
-//! Promises: at most one at a time, and a leader's end always before its member's.
+//! Leases: guards against two promises at a time and against a leader's lease that outlasts its
+//! member's.
 
 use oliveworks_core::id::{Epoch, HostId, Millis, View};
 use oliveworks_core::lease::{Grantor, Holder, LeaseConfig, NoGrant};
@@ -44,7 +45,7 @@
     let config = LeaseConfig::default();
     let (mut grantor, now) = awake(&config);
     grantor.grant(now, Epoch(1), View(1), HostId(1), &config).unwrap();
-    grantor.release(Epoch(1), View(1), HostId(2)); // Not the holder.
+    grantor.release(Epoch(1), View(1), HostId(2)); // Host 2 is not the holder.
     assert!(grantor.promise(now).is_some());
     grantor.release(Epoch(1), View(1), HostId(1));
     assert_eq!(grantor.grant(now, Epoch(2), View(1), HostId(2), &config), Ok(()));
@@ -56,11 +57,12 @@
 fn the_leader_ends_first_whatever_the_drift(drift_ppm: u64) {
     let config = LeaseConfig { drift_ppm, ..LeaseConfig::default() };
     let million = 1_000_000;
-    // The slowest leader's clock against the fastest member's, in real microseconds.
+    // Compares the slowest leader's clock with the fastest member's, in real microseconds.
     let leader_real = config.leader_ttl_ms() * 1000 * million / (million - drift_ppm);
     let member_real = config.ttl_ms * 1000 * million / (million + drift_ppm);
     assert!(leader_real <= member_real, "{leader_real} {member_real}");
-    // A restarted member's quiet time on the fastest clock outlasts the promise on the slowest.
+    // The quiet time of a restarted member on the fastest clock outlasts the promise on the
+    // slowest.
     let quiet_real = config.quiet_ms() * 1000 * million / (million + drift_ppm);
     let promise_real = config.ttl_ms * 1000 * million / (million - drift_ppm.min(1000));
     assert!(drift_ppm > 1000 || quiet_real >= promise_real, "{quiet_real} {promise_real}");
@@ -108,7 +110,7 @@
     let mut holder = Holder::new(START, Epoch(1), View(1), &[HostId(1), HostId(2)]);
     let later = START.plus(config.lost_ms * 2);
     assert_eq!(holder.lost(later, &config).len(), 2);
-    holder.forgive(later);
+    holder.reset_silence(later);
     assert!(holder.lost(later, &config).is_empty());
     assert!(holder.ask(later, 7, &config), "it asks at once");
     assert!(!holder.is_whole(later), "and serves nothing before it is answered");
--- a/crates/oliveworks-core/tests/lease_machine.rs
+++ b/crates/oliveworks-core/tests/lease_machine.rs
@@ -1,4 +1,4 @@
-//! Many leaders, few hosts, any order: no two whole views share a host.
+//! Leases under random schedules of many leaders and few hosts: no two complete views share a host.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 const HOSTS: u32 = 5;
 const WIDTH: usize = 3;
 
-/// What happens next.
+/// Step of a random schedule.
 #[derive(Clone, Debug)]
 enum Step {
     Wait(u64),
@@ -21,7 +21,7 @@
     Restart { host: u32 },
 }
 
-/// The reference needs no state of its own: the property is about the tested system alone.
+/// The property concerns only the system under test, so the reference needs no state.
 struct Reference;
 
 impl ReferenceStateMachine for Reference {
@@ -64,7 +64,8 @@
 }
 
 impl World {
-    /// Clocks run at different rates within the bound, and start anywhere.
+    /// Returns a host's time. Clocks run at different rates within the bound and start at different
+    /// times.
     fn clock(&self, host: u32) -> Millis {
         let drift = i64::from(host) * 400 - 800;
         let now = self.now as i64;
@@ -96,7 +97,7 @@
         match step {
             Step::Wait(ms) => world.now += ms,
             Step::Propose { leader, epoch, view, members } => {
-                // A leader that changes its view gives the old one up first.
+                // A leader that changes its view abandons the old one first.
                 let members: Vec<HostId> = members.into_iter().map(HostId).collect();
                 let now = world.clock(leader);
                 let later = world
--- a/crates/oliveworks-core/tests/ledger.rs
+++ b/crates/oliveworks-core/tests/ledger.rs
@@ -1,9 +1,9 @@
-//! Where a request runs or does not.
+//! Ledger: guards against false "not run" answers and against running a request twice.
 
 use oliveworks_core::error::{ErrorKind, Ran};
 use oliveworks_core::id::{Incarnation, Millis, Offset, RequestId};
 use oliveworks_core::ledger::{
-    Before, Begin, Handed, Kept, Key, Ledger, LedgerConfig, Now, Revoked,
+    Begin, EarlierHome, Handed, Kept, Key, Ledger, LedgerConfig, Now, Revoked,
 };
 use test_case::test_case;
 
@@ -31,7 +31,7 @@
     Some(Key { born_ms, homes_at: Offset(0), digest: 1 })
 }
 
-/// The gate's order: what is known first, then whether it may begin.
+/// Decides in the gate's order: first from the records, then whether the request may begin.
 fn gate(ledger: &mut Ledger, now: Now, handed: &Handed) -> Begin {
     ledger.recall(now.mono, handed).unwrap_or_else(|| ledger.begin(now, handed))
 }
@@ -49,7 +49,7 @@
     assert_eq!(ledger.revoke(Millis(0), &handed(1, None)), Revoked::NotRun);
     let refused = ran(gate(&mut ledger, at(1), &handed(1, None)));
     assert_eq!(refused, Some((ErrorKind::ContactLost, Ran::No)));
-    // Another try of the same request may.
+    // Another attempt of the same request may begin.
     assert_eq!(gate(&mut ledger, at(2), &handed(2, None)), Begin::Run);
 }
 
@@ -79,7 +79,8 @@
     assert_eq!(ran(gate(&mut ledger, at(1), &handed(1, None))).unwrap().1, Ran::Unknown);
     ledger.finish(Millis(2), RequestId(7), None);
     assert_eq!(ran(gate(&mut ledger, at(3), &handed(1, None))).unwrap().1, Ran::Yes);
-    // Forgotten, since its time is over: whoever brings it again learns no falsehood.
+    // The record has expired after the request's start limit. A later copy must not be reported as
+    // "not run".
     assert_eq!(ran(gate(&mut ledger, at(5_001), &handed(1, None))).unwrap().1, Ran::Unknown);
     assert!(ledger.is_empty());
     let earlier = Handed { incarnation: Incarnation(4), ..handed(1, None) };
@@ -97,7 +98,7 @@
 #[test]
 fn a_repeated_key_gets_the_kept_answer() {
     let mut ledger = Ledger::new(ME, config());
-    ledger.home_since(at(0), Before::Nobody);
+    ledger.become_home(at(0), EarlierHome::Nobody);
     assert_eq!(gate(&mut ledger, at(0), &handed(1, key(None))), Begin::Run);
     let busy = ran(gate(&mut ledger, at(1), &handed(2, key(None))));
     assert_eq!(busy, Some((ErrorKind::InProgress, Ran::Unknown)));
@@ -110,23 +111,23 @@
     assert_eq!(ran(gate(&mut ledger, at(3), &other)).unwrap().0, ErrorKind::KeyReused);
 }
 
-#[test_case(Before::Nobody, None, 100, true; "the first home there ever was")]
-#[test_case(Before::Others, None, 100, false; "a later home, a key without its time")]
-#[test_case(Before::Others, Some(WALL + 500), 1_000, false; "made before the earlier home had stopped")]
-#[test_case(Before::Others, Some(WALL + 11_500), 12_000, true; "made after it")]
-#[test_case(Before::Others, Some(WALL + 99_000), 12_000, false; "made in the future")]
-#[test_case(Before::Others, None, 60_000, true; "a home as old as keys are kept")]
-#[test_case(Before::OwnRuns, None, 100, false; "a restarted home, a key without its time")]
-#[test_case(Before::OwnRuns, Some(WALL + 900), 1_100, false; "made within the clocks' difference")]
-#[test_case(Before::OwnRuns, Some(WALL + 1_100), 1_200, true; "made since the restart")]
+#[test_case(EarlierHome::Nobody, None, 100, true; "the first home there ever was")]
+#[test_case(EarlierHome::Others, None, 100, false; "a later home, a key without its time")]
+#[test_case(EarlierHome::Others, Some(WALL + 500), 1_000, false; "made before the earlier home had stopped")]
+#[test_case(EarlierHome::Others, Some(WALL + 11_500), 12_000, true; "made after it")]
+#[test_case(EarlierHome::Others, Some(WALL + 99_000), 12_000, false; "made in the future")]
+#[test_case(EarlierHome::Others, None, 60_000, true; "a home as old as keys are kept")]
+#[test_case(EarlierHome::OwnRuns, None, 100, false; "a restarted home, a key without its time")]
+#[test_case(EarlierHome::OwnRuns, Some(WALL + 900), 1_100, false; "made within the clocks' difference")]
+#[test_case(EarlierHome::OwnRuns, Some(WALL + 1_100), 1_200, true; "made since the restart")]
 fn an_unknown_key_begins_only_if_nobody_can_have_run_it(
-    before: Before,
+    before: EarlierHome,
     born: Option<u64>,
     now: u64,
     runs: bool,
 ) {
     let mut ledger = Ledger::new(ME, config());
-    ledger.home_since(at(0), before);
+    ledger.become_home(at(0), before);
     let handed = Handed { not_after: Millis(200_000), ..handed(1, key(born)) };
     match gate(&mut ledger, at(now), &handed) {
         Begin::Run => assert!(runs),
@@ -142,10 +143,10 @@
 #[test]
 fn an_agent_out_of_touch_decides_on_no_key() {
     let mut ledger = Ledger::new(ME, config());
-    ledger.home_since(at(0), Before::Nobody);
+    ledger.become_home(at(0), EarlierHome::Nobody);
     let now = Now { config_age_ms: 10_001, ..at(100) };
     assert_eq!(ran(gate(&mut ledger, now, &handed(1, key(None)))).unwrap().1, Ran::Unknown);
-    ledger.home_lost();
+    ledger.resign_home();
     assert_eq!(ran(gate(&mut ledger, at(100), &handed(2, key(None)))).unwrap().1, Ran::Unknown);
 }
 
--- a/crates/oliveworks-core/tests/placement.rs
+++ b/crates/oliveworks-core/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: what is proposed in which state.
+//! Placement: the records that are proposed in a given state.
 
 mod common;
 
@@ -10,7 +10,8 @@
 use oliveworks_core::record::{Author, Basis, Body};
 use oliveworks_core::template::Template;
 
-/// Hosts 1 to 10 in domain 1, 11 to 20 in domain 2, but for the ones that are gone.
+/// Returns a fleet with hosts 1 to 10 in domain 1 and 11 to 20 in domain 2, without those in
+/// `gone`.
 fn fleet(gone: &[u32]) -> Fleet {
     let mut fleet = Fleet::new(FleetConfig::default());
     fleet.list(Millis(0), &listed(&[]));
@@ -37,7 +38,8 @@
     GroupReport { epoch, from: HostId(1), view: View(1), serving, lost: vec![], leaving, drained }
 }
 
-/// A log with one template and its first group on hosts 1 to 4 (and a spare, 5).
+/// Returns a log with one template and its first group on hosts 1 to 4, plus 5 as an optional
+/// spare.
 fn one_group(spares: u16) -> (Log, Template, Offset, Epoch) {
     let mut log = Log::new();
     let t = template("saffah", "assistant", 4, spares, 1);
@@ -65,7 +67,7 @@
     let (hosts, spares, _) = formed(&records[0]);
     assert_eq!((hosts.len(), spares.len(), records.len()), (4, 1, 1));
     let all: Vec<u32> = hosts.into_iter().chain(spares).collect();
-    assert!(all.iter().all(|h| *h > 10), "the smaller hole is used first: {all:?}");
+    assert!(all.iter().all(|h| *h > 10), "the domain with fewer free hosts is used first: {all:?}");
 }
 
 #[test]
--- a/crates/oliveworks-core/tests/pool.rs
+++ b/crates/oliveworks-core/tests/pool.rs
@@ -1,4 +1,4 @@
-//! The fold: what applies, what is ignored, and that it is the same for every reader.
+//! Pool: which records apply, which are ignored, and that every reader reaches the same state.
 
 mod common;
 
@@ -62,7 +62,7 @@
 #[test_case(1, &[5, 5, 6, 7], Basis::Fresh, Ignored::HostNotFree(HostId(5)); "a host stands twice")]
 #[test_case(1, &[5, 6, 7, 9], Basis::Fresh, Ignored::HostNotFree(HostId(9)); "a host is drained")]
 #[test_case(2, &[5, 6, 7, 8], Basis::Fresh, Ignored::Missing; "no such replica")]
-#[test_case(1, &[5, 6, 7], Basis::Fresh, Ignored::Invalid("the number of hosts".into()); "too few")]
+#[test_case(1, &[5, 6, 7], Basis::Fresh, Ignored::Invalid("wrong number of hosts".into()); "too few")]
 #[test_case(1, &[5, 6, 7, 8], Basis::Supersedes(Epoch(77)), Ignored::Missing; "nothing to supersede")]
 #[test_case(0, &[4, 5, 6, 7], Basis::Alongside(Epoch(2)), Ignored::HostNotFree(HostId(4)); "shares a host")]
 fn a_group_that_does_not_fit_is_ignored(index: u16, hosts: &[u32], basis: Basis, why: Ignored) {
@@ -127,7 +127,7 @@
     assert!(bad.open().is_err());
 }
 
-/// A record of any kind, most of which do not fit.
+/// Generates records of any kind, most of which are not valid at their position.
 fn any_body() -> impl Strategy<Value = (Author, Body)> {
     let author = prop_oneof![Just(partner("saffah")), Just(partner("sahel")), Just(Author::System)];
     let hosts = prop::collection::vec(1u32..14, 4..6);
@@ -169,7 +169,7 @@
             .collect();
         let mut from_snapshot: Option<Pool> = None;
         for (i, record) in all.iter().enumerate() {
-            // A reader that starts from a snapshot and the rest ends where this one does.
+            // A reader that starts from a snapshot and applies the rest reaches the same state.
             if i == cut {
                 from_snapshot = Some(Snapshot::of(&log.pool).open().unwrap());
             }
--- a/crates/oliveworks-core/tests/requests.rs
+++ b/crates/oliveworks-core/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Answers, tries, admission and routing.
+//! Answers, attempts, admission and routing.
 
 mod common;
 
@@ -35,8 +35,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Pieces of two tries and of another request, doubled, dropped and mixed: what is passed on is
-    /// the answer's beginning, and it is whole only if nothing is missing.
+    /// Delivers pieces of two attempts and of another request, with duplicates, losses and
+    /// reordering. The pieces passed on must be a prefix of the answer, and the answer is complete
+    /// only without gaps.
     #[test]
     fn pieces_do_not_mix(total in 1u64..8, deliveries in prop::collection::vec((0u64..3, 0u64..9), 0..60)) {
         let mut assembly = Assembly::new(try_id(1));
@@ -81,7 +82,7 @@
     Refusal::new(kind, ran, "")
 }
 
-fn told(next: Next) -> Ran {
+fn refused_ran(next: Next) -> Ran {
     match next {
         Next::Refuse(refusal) => refusal.ran,
         other => panic!("{other:?}"),
@@ -101,7 +102,7 @@
         let no = refusal(ErrorKind::Overloaded, Ran::No);
         next = relay.refused(Millis(1), no, false, false);
     }
-    assert_eq!(told(next), ran);
+    assert_eq!(refused_ran(next), ran);
 }
 
 #[test_case(Some(Revoked::NotRun), false, Some(Ran::No); "proved")]
@@ -114,7 +115,7 @@
     relay.sent(Epoch(1), 1);
     assert_eq!(relay.failed(Millis(1), "lost", true), Next::Revoke);
     let next = relay.revoked(Millis(1), outcome, false);
-    assert_eq!(Some(told(next)), ran);
+    assert_eq!(Some(refused_ran(next)), ran);
 }
 
 #[test]
@@ -127,7 +128,7 @@
     }
     relay.sent(Epoch(9), 9);
     let next = relay.refused(Millis(1), refusal(ErrorKind::Unavailable, Ran::No), false, true);
-    assert_eq!(told(next), Ran::No);
+    assert_eq!(refused_ran(next), Ran::No);
 }
 
 #[test]
