--- a/crates/oliveworks-gateway/src/callers.rs
+++ b/crates/oliveworks-gateway/src/callers.rs
@@ -1,4 +1,4 @@
-//! Takes callers' connections, and sees each of their requests to its answer.
+//! Accepts callers' connections and handles their requests.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 use crate::relay;
 use crate::state::Gateway;
 
-/// The time between two attempts to accept a connection when the last one failed, in ms.
+/// Pause after a failed attempt to accept a connection, in ms.
 const ACCEPT_AGAIN_MS: u64 = 20;
 
 async fn serve(gateway: Rc<Gateway>, io: Io) {
@@ -54,12 +54,12 @@
     connection.close().await;
 }
 
-/// Who is served at an address.
+/// Kind of client served at an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Audience {
-    /// Callers.
+    /// Callers of the services.
     Callers,
-    /// Whoever asks whether this process is ready.
+    /// Clients that check the readiness of this process or read its metrics.
     Platform,
 }
 
--- a/crates/oliveworks-gateway/src/calls.rs
+++ b/crates/oliveworks-gateway/src/calls.rs
@@ -1,25 +1,26 @@
-//! How many calls to backend servers this system makes at once on its own behalf.
+//! Limit on the number of concurrent calls to backend servers that this system makes for itself.
 //!
-//! A leader that takes over asks each backend server, thousands of them. A connection and its buffers for each at the same
-//! time would need several times the memory that a gateway has otherwise, and a process whose share of a core is small
-//! would read the first answers after the time that it gives them. So calls wait for a place, in the order in which they
-//! come. Orders have places of their own: a question to a backend server that is gone takes its whole time.
+//! A leader that takes over probes each of thousands of backend servers. With a connection and its
+//! buffers for each at the same time, the process would need several times its usual memory, and a
+//! process with a small share of a core would read the first answers after their timeout. Calls
+//! therefore wait for a slot, in order of arrival. Orders have slots of their own, since a probe of
+//! a backend server that is gone occupies its slot for the whole timeout.
 
 use tokio::sync::{Semaphore, SemaphorePermit};
 
-/// Calls of one kind under way at once: enough for ten thousand a second at a few ms each.
+/// Number of concurrent calls of one kind: enough for ten thousand per second at a few ms each.
 const AT_ONCE: usize = 64;
 
-/// What a call is for.
+/// Purpose of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// It asks for a state.
+    /// Reads the state of a backend server.
     Question,
-    /// It changes one.
+    /// Changes the state of a backend server.
     Order,
 }
 
-/// The places for calls.
+/// Slots for calls.
 pub struct Calls {
     questions: Semaphore,
     orders: Semaphore,
@@ -32,7 +33,7 @@
 }
 
 impl Calls {
-    /// Waits for a place; none comes if the process ends.
+    /// Waits for a slot; returns none if the process ends.
     pub async fn place(&self, kind: CallKind) -> Option<SemaphorePermit<'_>> {
         let places = match kind {
             CallKind::Question => &self.questions,
--- a/crates/oliveworks-gateway/src/connection.rs
+++ b/crates/oliveworks-gateway/src/connection.rs
@@ -1,4 +1,5 @@
-//! One connection with a caller: requests are read whole, answers are written as they come.
+//! A caller's connection: requests are read completely before they are handled, answers are written
+//! piece by piece.
 
 use std::time::Duration;
 
@@ -17,51 +18,52 @@
 use crate::dialect::Headers;
 use crate::state::{Gateway, STOP_NOTICE_MS};
 
-/// What bounds a connection before the first configuration has come.
+/// Limits on a connection before the first configuration has arrived, in bytes and ms.
 const HEAD_MAX: usize = 16 << 10;
 const BODY_MAX: usize = 4 << 20;
 const IDLE_MS: u64 = 15_000;
-/// The time that a body may take.
+/// Time allowed for receiving a body, in ms.
 const BODY_MS: u64 = 10_000;
-/// How much longer than promised a connection may rest, so that no request crosses its close.
+/// Time by which a connection may be idle beyond the configured time-out, in ms, so that no request
+/// arrives while the connection is being closed.
 const IDLE_EXTRA_MS: u64 = 2_000;
-/// The time in which the last bytes of a connection leave.
+/// Time allowed for sending the last bytes of a connection, in ms.
 const CLOSE_MS: u64 = 500;
 
-/// A request, read whole.
+/// A request, read completely.
 pub struct Whole {
-    /// Its method.
+    /// Method of the request.
     pub method: Method,
-    /// Path and query, as they came.
+    /// Path and query, unchanged.
     pub target: String,
-    /// Its headers.
+    /// Headers of the request.
     pub headers: Headers,
-    /// Its body.
+    /// Body of the request.
     pub body: Bytes,
 }
 
 impl Whole {
-    /// A header's value.
+    /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(n, _)| n == name);
         found.and_then(|(_, value)| std::str::from_utf8(value).ok())
     }
 }
 
-/// What came on a connection.
+/// Data received on a connection.
 pub enum Received {
     /// A request.
     Request(Box<Whole>),
-    /// Something that is answered with a verdict, after which the connection ends.
+    /// An invalid request, which is answered with a verdict before the connection ends.
     Improper(Verdict),
-    /// Nothing more.
+    /// End of the connection.
     End,
 }
 
-/// The connection ended while an answer was written.
+/// Error for a connection that ended while an answer was written.
 pub struct Gone;
 
-/// A connection with a caller.
+/// A connection to a caller.
 pub struct Connection {
     io: Io,
     codec: Codec,
@@ -79,7 +81,7 @@
 }
 
 impl Connection {
-    /// A connection that has just been accepted.
+    /// Creates the state of a connection that was just accepted.
     pub fn new(gateway: &Gateway, io: Io) -> Connection {
         let head_max =
             gateway.lookup().map_or(HEAD_MAX, |l| l.configuration.limits.max_header_bytes);
@@ -97,7 +99,7 @@
             let next = timeout(Duration::from_millis(idle_ms), self.io.recv(&self.codec));
             let stop = async {
                 let _ = stopping.wait_for(|stopping| *stopping).await;
-                // The platform needs a moment to send its new connections elsewhere.
+                // The platform needs a moment to send new connections to other gateways.
                 sleep(Duration::from_millis(STOP_NOTICE_MS)).await;
             };
             match select(next, stop).await {
@@ -156,12 +158,12 @@
         }
     }
 
-    /// Says in the next answer that the connection ends with it.
+    /// Marks the next answer as the last one on the connection.
     pub fn closes(&mut self) {
         self.closes = true;
     }
 
-    /// Whether another request may follow.
+    /// Returns whether another request may follow.
     pub fn keeps(&self) -> bool {
         !self.closes && self.codec.keepalive()
     }
@@ -179,10 +181,10 @@
         self.io.encode(Message::Item((response, size)), &self.codec).map_err(|_| Gone)
     }
 
-    /// Writes a whole answer.
+    /// Writes a complete answer.
     ///
     /// # Errors
-    /// If the caller is gone.
+    /// Returns an error if the caller has disconnected.
     pub async fn answer(
         &mut self,
         status: StatusCode,
@@ -198,10 +200,10 @@
         self.io.flush(true).await.map_err(|_| Gone)
     }
 
-    /// Begins an answer whose length is not known.
+    /// Begins an answer of unknown length.
     ///
     /// # Errors
-    /// If the caller is gone.
+    /// Returns an error if the caller has disconnected.
     pub fn begin(&mut self, status: StatusCode, headers: &Headers) -> Result<(), Gone> {
         self.head(status, headers, BodySize::Stream)
     }
@@ -209,7 +211,7 @@
     /// Writes a part of an answer.
     ///
     /// # Errors
-    /// If the caller is gone.
+    /// Returns an error if the caller has disconnected.
     pub async fn part(&mut self, bytes: &[u8]) -> Result<(), Gone> {
         let chunk = ntex::util::Bytes::copy_from_slice(bytes);
         self.io.encode(Message::Chunk(Some(chunk)), &self.codec).map_err(|_| Gone)?;
@@ -222,23 +224,23 @@
     /// Ends an answer.
     ///
     /// # Errors
-    /// If the caller is gone.
+    /// Returns an error if the caller has disconnected.
     pub async fn end(&mut self) -> Result<(), Gone> {
         self.io.encode(Message::Chunk(None), &self.codec).map_err(|_| Gone)?;
         self.io.flush(true).await.map_err(|_| Gone)
     }
 
-    /// Waits until the caller is gone.
+    /// Waits until the caller disconnects.
     pub fn gone(&self) -> ntex::io::OnDisconnect {
         self.io.on_disconnect()
     }
 
-    /// Ends the connection after what was written.
+    /// Closes the connection after the data written so far.
     pub async fn close(self) {
         let _ = timeout(Duration::from_millis(CLOSE_MS), self.io.shutdown()).await;
     }
 
-    /// Ends the connection so that no answer on it looks whole.
+    /// Terminates the connection, so that an unfinished answer does not look complete.
     pub fn tear(self) {
         self.io.get_ref().terminate();
     }
--- a/crates/oliveworks-gateway/src/crashers.rs
+++ b/crates/oliveworks-gateway/src/crashers.rs
@@ -1,5 +1,5 @@
-//! Requests that crash the backend servers they run at: tells them apart, finds out whether a host ended under one,
-//! and tells the other gateways.
+//! Requests that crash the backend servers they run at: identifies them by fingerprint, finds out
+//! whether a host ended during one, and reports them to the other gateways.
 
 use oliveworks_gateway_core::Millis;
 use oliveworks_gateway_core::attempts::Failure;
@@ -14,8 +14,10 @@
 use crate::places::Place;
 use crate::state::Gateway;
 
-/// What a request is: who asks for what, where. Not what differs from one try of it to the next, nor what only helps to place it
-/// (its service changes with the configuration and, where it is split, with the id of the try; parts of a prompt are hints).
+/// Returns the fingerprint of a request, computed from who asks for what, and where. Values that
+/// differ between retries of the same request are left out, as are values that only influence
+/// placement: the service changes with the configuration and, where it is split, with the id of the
+/// try, and parts of a prompt are hints.
 pub fn fingerprint(request: &Whole, asked: &Asked, workspace: Option<&str>) -> Fingerprint {
     let parts: [&[u8]; 6] = [
         request.header("host").unwrap_or_default().as_bytes(),
@@ -27,7 +29,8 @@
     ];
     let mut context = Context::new(&SHA256);
     for part in parts {
-        // With its length, so that no two requests are alike by where one part ends.
+        // The length is included so that two requests never become equal by a different split into
+        // parts.
         context.update(&(part.len() as u64).to_le_bytes());
         context.update(part);
     }
@@ -37,28 +40,29 @@
     Fingerprint(short)
 }
 
-/// The first bytes, for people.
+/// Returns the first bytes of a fingerprint in hex, for log lines.
 fn name(request: Fingerprint) -> String {
     request.0[..6].iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// A run of a request that has failed.
+/// A failed run of a request.
 pub struct FailedRun<'a> {
-    /// Where it ran.
+    /// Place of the run.
     pub place: &'a Place,
-    /// When it was sent.
+    /// Time of the send.
     pub sent: Millis,
-    /// When its first event came, if one did.
+    /// Time of the first event, if any.
     pub first_event: Option<Millis>,
-    /// How it failed.
+    /// Kind of the failure.
     pub failure: Failure,
-    /// The id under which it was sent.
+    /// Request id of the run.
     pub id: &'a str,
 }
 
 impl Gateway {
-    /// Whether a run's backend server ended under it: its connection broke off, and then nothing listens there. One that
-    /// leaves ends as planned; one that answers anew, or is silent, was slow, cut off, or reset connections only.
+    /// Returns whether the backend server of a run ended during it: the connection broke off, and
+    /// nothing listens at the address afterwards. A leaving server ends as planned. A server that
+    /// accepts connections again, or is silent, was slow, cut off, or only reset its connections.
     pub async fn ended_under(&self, request: Fingerprint, run: &FailedRun<'_>) -> bool {
         let place = run.place;
         if run.failure != Failure::Lost || place.leaves || self.leaves(&place.server) {
@@ -89,14 +93,14 @@
         true
     }
 
-    /// Others hear at once of what has become known of a request.
+    /// Reports at once to other gateways what has become known about a request.
     fn tell_of_crashers(&self) {
         self.note_convictions();
         self.beat_is_urgent.set(true);
         self.send_now.notify_one();
     }
 
-    /// Says which requests have been convicted.
+    /// Logs the requests that have been convicted.
     pub fn note_convictions(&self) {
         let convicted = self.crashers.borrow_mut().take_new_convictions();
         for request in convicted {
@@ -111,7 +115,7 @@
         }
     }
 
-    /// How a request stands.
+    /// Returns the standing of a request.
     pub fn standing(&self, request: Fingerprint) -> Standing {
         if !self.settings.requests.refuse_crashers {
             return Standing::Clear;
@@ -121,7 +125,7 @@
         standing
     }
 
-    /// A request is not sent, since backend servers ended under it one after the other.
+    /// Logs the rejection of a request during which several backend servers ended in a row.
     pub fn crasher_refused(&self, request: Fingerprint, id: &str, for_ms: u64) {
         self.count("refused_crashers");
         Event::new("crasher_refused")
@@ -131,12 +135,12 @@
             .write();
     }
 
-    /// A request came to its end.
+    /// Records that a request ran to completion.
     pub fn survived(&self, request: Fingerprint) {
         self.crashers.borrow_mut().survived(self.now(), request);
     }
 
-    /// Another gateway told of backend servers that ended under a request.
+    /// Processes a report of another gateway on backend servers that ended during a request.
     pub fn crasher_told(&self, chain: Chain) {
         let request = chain.request;
         if !self.crashers.borrow_mut().told(self.now(), chain) {
@@ -150,14 +154,14 @@
             .write();
     }
 
-    /// What other gateways are to be told of requests under which backend servers ended.
+    /// Returns the reports for other gateways on requests during which backend servers ended.
     pub fn crashers_told(&self) -> Vec<Chain> {
         let told = self.crashers.borrow_mut().to_tell(self.now());
         self.note_convictions();
         told
     }
 
-    /// Waits until a request is convicted.
+    /// Waits until a request is convicted, and returns the end of the conviction.
     async fn convicted(&self, request: Fingerprint) -> Millis {
         loop {
             let news = self.convictions.notified();
@@ -168,8 +172,9 @@
         }
     }
 
-    /// Does something for a request unless it is convicted before: then what was sent is taken back, since a backend server
-    /// that has not begun with it goes on. Tells until when it is convicted.
+    /// Runs a future for a request unless the request is convicted first, in which case the future
+    /// is dropped and the end of the conviction returned. Dropping the future withdraws what was
+    /// sent, and a backend server that has not begun with the request continues to run.
     pub async fn unless_convicted<T>(
         &self,
         request: Fingerprint,
@@ -182,13 +187,13 @@
         }
     }
 
-    /// Whether copies of a request wait for what a run of it tells.
+    /// Returns whether copies of a request wait for the outcome of one that is running.
     pub fn is_tried_already(&self, request: Fingerprint) -> bool {
         let is_off = !self.settings.requests.refuse_crashers;
         !is_off && self.crashers.borrow().is_tried_already(self.now(), request)
     }
 
-    /// A run of a request that is held suspect, for as long as it lasts.
+    /// Registers a run of a suspect request until the returned value is dropped.
     pub fn suspect_run(&self, request: Fingerprint, target: Target) -> Option<SuspectRun<'_>> {
         let standing = self.standing(request);
         if standing == Standing::Clear {
@@ -203,7 +208,7 @@
     }
 }
 
-/// A run of a request that is held suspect.
+/// A registered run of a suspect request.
 pub struct SuspectRun<'a> {
     gateway: &'a Gateway,
     request: Fingerprint,
--- a/crates/oliveworks-gateway/src/dialect.rs
+++ b/crates/oliveworks-gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! What a platform's adapter must say: names and formats, no decisions and no I/O.
+//! Interface to the adapter of a platform: names and formats, without decisions or I/O.
 
 use std::fmt;
 
@@ -12,10 +12,10 @@
 use oliveworks_gateway_core::rate_limits::Rate;
 use serde::{Deserialize, Serialize};
 
-/// Headers in order; names in lower case.
+/// Headers in order, with names in lower case.
 pub type Headers = Vec<(String, Bytes)>;
 
-/// What could not be understood.
+/// Error for data that cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Malformed(pub String);
 
@@ -27,14 +27,14 @@
 
 impl std::error::Error for Malformed {}
 
-/// A stream of the store's records.
+/// A topic of the store, which is a log of records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Topic {
-    /// The operators' configuration.
+    /// Configuration set by the operators.
     Configuration,
     /// Backend servers.
     BackendServers,
-    /// Who gives orders: this system's own.
+    /// Claims to the leadership. This topic is written by gateways only.
     Leaders,
 }
 
@@ -46,34 +46,34 @@
 pub enum Record {
     /// A version of the configuration.
     Configuration(Configuration),
-    /// The operators drain a failure domain, or do so no more. Stands in the configuration's topic.
+    /// Begin or end of the drain of a failure domain; part of the configuration's topic.
     Drain {
-        /// The failure domain.
+        /// Name of the failure domain.
         failure_domain: String,
-        /// Whether it is drained from here on.
+        /// Whether the failure domain is drained from this record on.
         drained: bool,
     },
     /// A backend server.
     BackendServer(BackendServer),
     /// A backend server that is no longer listed.
     BackendServerGone(BackendServerId),
-    /// A backend server's record that cannot be understood: it is not to be used by the one before it.
+    /// A backend server whose record cannot be parsed. Its previous record is no longer valid.
     BackendServerUnusable {
-        /// Its id.
+        /// Id of the backend server.
         id: BackendServerId,
-        /// What is wrong, in words.
+        /// Description of the fault.
         why: String,
     },
-    /// Who leads from here on.
+    /// A claim to the leadership.
     Leader(Claim),
-    /// Something else, or something that cannot be understood.
+    /// An unknown record, or one that cannot be parsed.
     Unknown(String),
 }
 
 /// A call to the store or a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// `GET` or `POST`.
+    /// HTTP method, `GET` or `POST`.
     pub method: &'static str,
     /// Path and query.
     pub target: String,
@@ -83,184 +83,186 @@
     pub body: Bytes,
 }
 
-/// A part of a topic's newest records.
+/// One page of the newest records of a topic.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Page {
     /// Records.
     pub records: Vec<Record>,
-    /// The key to continue after, if there are more.
+    /// Key after which the next page begins; none on the last page.
     pub after: Option<String>,
-    /// The offset at which the topic ended.
+    /// Offset at which the topic ended.
     pub end: u64,
 }
 
-/// What a read of a topic found.
+/// Result of reading a topic from an offset.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Tail {
-    /// Records, perhaps none, and the offset to go on from.
+    /// Records, possibly none, and the offset at which to continue.
     Records(Vec<Record>, u64),
-    /// The offset is not kept; the first that is, if the store says so.
+    /// The offset is no longer kept. Contains the first kept offset, if the store names it.
     Expired(Option<u64>),
-    /// The store turned the call away.
+    /// The store rejected the call with this status.
     Refused(u16),
 }
 
-/// How a claim to lead was answered.
+/// Result of a claim to the leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Claimed {
-    /// It is written at this offset.
+    /// The claim is written at this offset.
     Written(u64),
-    /// Another was written meanwhile.
+    /// Another record was written meanwhile.
     Lost,
-    /// The store turned the call away.
+    /// The store rejected the call with this status.
     Refused(u16),
 }
 
-/// What a caller's headers say.
+/// Properties of a request, read from its headers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Asked {
-    /// The request's id.
+    /// Id of the request.
     pub id: String,
-    /// Its key.
+    /// Key of the caller.
     pub key: Option<String>,
-    /// How long the caller waits.
+    /// Time for which the caller waits, in ms.
     pub deadline_ms: Option<u64>,
-    /// The model that it asks for.
+    /// Requested model.
     pub model: Option<String>,
-    /// Tokens of its prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// What its prompt consists of, as the caller names it: the same for the same prompt.
+    /// The caller's name for the contents of the prompt, equal for equal prompts.
     pub prompt: Option<String>,
-    /// The last event that the caller has.
+    /// Last event received by the caller.
     pub last_event: Option<u64>,
 }
 
-/// What this system says with a request.
+/// Information that this system adds to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Said<'a> {
-    /// How long the backend server may work.
+    /// Time left for the backend server, in ms.
     pub deadline_ms: u64,
-    /// Which backend server is meant.
+    /// Id of the intended backend server.
     pub server: &'a str,
-    /// The workspace that the request belongs to.
+    /// Workspace of the request.
     pub workspace: Option<&'a str>,
-    /// The last event that the caller has.
+    /// Last event received by the caller.
     pub last_event: Option<u64>,
-    /// Its rank among others, 0 the highest.
+    /// Priority of the request; 0 is the highest.
     pub priority: Option<u8>,
 }
 
-/// When a backend server that refuses wants to be asked again.
+/// Time after which a rejecting backend server may be asked again.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum RetryAfter {
-    /// It does not say.
+    /// The answer names no time.
     #[default]
     NotTold,
-    /// After so many ms.
+    /// Number of ms to wait.
     Ms(u64),
-    /// It says so in a way that cannot be understood.
+    /// The value cannot be parsed.
     Unreadable(String),
 }
 
-/// The requests a second that a backend server takes from all gateways together.
+/// Rate limit of a backend server for all gateways together.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum NamedLimit {
-    /// It names none.
+    /// The answer names no limit.
     #[default]
     NotTold,
-    /// It takes so many.
+    /// Rate of accepted requests.
     Rate(Rate),
-    /// It says so in a way that cannot be understood.
+    /// The value cannot be parsed.
     Unreadable(String),
 }
 
-/// The era that an answer of the store names.
+/// Era named in an answer of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum NamedEra {
-    /// It names none.
+    /// The answer names no era.
     #[default]
     NotTold,
-    /// Which copy of itself the store answers from.
+    /// Era of the store.
     Era(Era),
-    /// It says so in a way that cannot be understood.
+    /// The value cannot be parsed.
     Unreadable(String),
 }
 
-/// What a backend server's head says.
+/// Properties of an answer, read from its head.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Answered {
-    /// The request that it answers.
+    /// Id of the request that is answered.
     pub id: Option<String>,
-    /// Whether it carries the backend server's signature.
+    /// Whether the answer carries the backend server's signature.
     pub signed: bool,
-    /// Whether it says that the request did not run.
+    /// Whether the answer says that the request did not run.
     pub not_run: bool,
-    /// Whether its body is encoded, which no caller asked for.
+    /// Whether the body is encoded, for which no caller asks.
     pub encoded: bool,
-    /// Whether the backend server says that it leaves.
+    /// Whether the backend server announces to leave.
     pub leaving: bool,
-    /// When this gateway may send to it again, if it refuses.
+    /// Time after which this gateway may send again, in a rejection.
     pub retry_after: RetryAfter,
-    /// The limit that it names.
+    /// Rate limit named by the backend server.
     pub limit: NamedLimit,
-    /// Names of headers that speak of the backend server and that nothing here reads.
+    /// Names of headers about the backend server that this gateway does not read.
     pub unread: Vec<String>,
 }
 
-/// How a platform speaks.
+/// Message formats of a platform.
 pub trait Dialect: 'static {
-    /// Reads what matters of a caller's headers.
+    /// Reads the relevant headers of a caller's request.
     ///
     /// # Errors
-    /// If the request has no id.
+    /// Returns an error if the request has no id.
     fn asked(&self, headers: &Headers) -> Result<Asked, Malformed>;
-    /// The headers that a backend server gets: the caller's, less those that are the system's to
-    /// set, and what it says.
+    /// Returns the headers for a backend server: those of the caller, except for headers reserved
+    /// for this system, and those with the information in `said`.
     fn outgoing(&self, headers: &Headers, said: &Said<'_>) -> Headers;
-    /// Reads what matters of an answer's head.
+    /// Reads the relevant parts of an answer's head.
     fn answered(&self, status: u16, headers: &Headers) -> Answered;
-    /// The header that tells a caller when to come back.
+    /// Returns the header with the time after which a caller may retry.
     fn come_back(&self, ms: u64) -> (String, String);
-    /// The header that names the request in an answer of this system's own.
+    /// Returns the header with the request id for an answer of this system itself.
     fn request_id(&self, id: &str) -> (String, String);
-    /// Where the platform asks whether a process is ready.
+    /// Returns the path at which the platform checks the readiness of a process.
     fn ready_path(&self) -> &'static str;
 
-    /// Reads which era an answer of the store is of.
+    /// Reads the era named in an answer of the store.
     fn store_era(&self, headers: &Headers) -> NamedEra;
-    /// Asks for a topic's newest records.
+    /// Builds the call for a page of a topic's newest records.
     fn newest(&self, topic: Topic, after: Option<&str>) -> Call;
-    /// Reads them.
+    /// Parses the answer to that call.
     ///
     /// # Errors
-    /// If they cannot be understood.
+    /// Returns an error if the answer cannot be parsed.
     fn page(&self, topic: Topic, status: u16, body: &[u8]) -> Result<Page, Malformed>;
-    /// Reads a topic on from an offset; the store may wait for a record.
+    /// Builds the call that reads a topic from an offset; the store may wait up to `wait_ms` for a
+    /// record.
     fn tail(&self, topic: Topic, from: u64, wait_ms: u64) -> Call;
-    /// Reads what it answers to a read from `from`.
+    /// Parses the answer to a read from offset `from`.
     ///
     /// # Errors
-    /// If it cannot be understood.
+    /// Returns an error if the answer cannot be parsed.
     fn tailed(&self, topic: Topic, from: u64, status: u16, body: &[u8]) -> Result<Tail, Malformed>;
-    /// Claims to lead if the topic still ends at `end`.
+    /// Builds the call that claims the leadership if the topic still ends at `end`.
     fn claim(&self, end: Place, claimant: u64) -> Call;
-    /// Reads what it answers.
+    /// Parses the answer to a claim.
     ///
     /// # Errors
-    /// If it cannot be understood.
+    /// Returns an error if the answer cannot be parsed.
     fn claimed(&self, status: u16, body: &[u8]) -> Result<Claimed, Malformed>;
 
-    /// Gives an order to a backend server.
+    /// Builds the call that sends an order to a backend server.
     ///
-    /// It is refused if `expects` is given and the backend server has begun more or fewer orders.
+    /// The server rejects the order if `expects` is given and differs from the number of orders
+    /// that the server has begun.
     fn order(&self, server: &str, fence: u64, order: &Order, expects: Option<u64>) -> Call;
-    /// Reads how it was answered.
+    /// Interprets the status of the answer to an order.
     fn ordered(&self, status: u16) -> Outcome;
-    /// Asks a backend server for its state.
+    /// Builds the call that asks a backend server for its state.
     fn report(&self, server: &str) -> Call;
-    /// Reads it; nothing if another backend server answers at the address.
+    /// Parses the state; none if another backend server answers at the address.
     ///
     /// # Errors
-    /// If it cannot be understood.
+    /// Returns an error if the answer cannot be parsed.
     fn reported(&self, status: u16, body: &[u8]) -> Result<Option<Holding>, Malformed>;
 }
--- a/crates/oliveworks-gateway/src/drains.rs
+++ b/crates/oliveworks-gateway/src/drains.rs
@@ -1,4 +1,4 @@
-//! Carries out drains of failure domains: takes them in, and tells what is still open there.
+//! Drains of failure domains: begin and end of drains, and reports on outstanding requests there.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -12,11 +12,11 @@
 use crate::follow::ToldBy;
 use crate::state::Gateway;
 
-/// The time between two lines on each drain, in ms: an operator who waits for a domain to be empty sees it
-/// soon, and a drain of hours stays readable.
+/// Time between two log lines on each drain, in ms. An operator waiting for a domain to become
+/// empty sees the progress soon, and the log of a drain of several hours stays readable.
 const TELL_MS: u64 = 2_000;
 
-/// A failure domain is to be drained.
+/// Begins the drain of a failure domain.
 pub fn begin(gateway: &Gateway, failure_domain: &str) {
     let now = gateway.now();
     if !gateway.drains.borrow_mut().begin(now, failure_domain) {
@@ -26,27 +26,28 @@
     gateway.plan_now.notify_one();
     Event::new("drain_begins")
         .with("failure_domain", failure_domain)
-        // The store may have taken the record at any moment since this proof.
+        // The store may have accepted the record at any time since this proof.
         .with("proof_before_ms_ago", gateway.freshness.get().age_ms(now))
         .with("open_requests", gateway.open_there(failure_domain))
         .write();
 }
 
-/// A drain has ended, as its own record says.
+/// Ends a drain because of its own record.
 pub fn end(gateway: &Gateway, failure_domain: &str) {
     let ended = gateway.drains.borrow_mut().end(gateway.now(), failure_domain);
     ended.iter().for_each(|ended| take_end(gateway, ended, "its record is gone"));
 }
 
-/// Whether drains are in force that the store was not seen to hold since it came back from a copy, and what it lacked has
-/// been written again.
+/// Returns whether a snapshot is needed to confirm drains: some drains in force have not been seen
+/// in the store since it was restored from a copy, and the time for writing missing records again
+/// is over.
 pub fn must_read_anew(gateway: &Gateway) -> bool {
     gateway.drains.borrow().any_unconfirmed()
         && !gateway.store_may_lack_records()
         && gateway.election.borrow().store_answers()
 }
 
-/// All newest records were read, with these drains among them.
+/// Processes a snapshot in which `drained` are the drained failure domains.
 pub fn read_anew(gateway: &Gateway, drained: &BTreeSet<String>, told_by: ToldBy) {
     let era = gateway.store_era.get();
     let now = gateway.now();
@@ -55,7 +56,7 @@
             gateway.drains.borrow_mut().read_in_part(drained);
             return;
         }
-        // What another gateway tells is in force there, and may be missing in the store.
+        // A drain named by another gateway is in force there, and may be missing in the store.
         ToldBy::Gateway { .. } if now < era.others_lack_records_until() => {
             gateway.drains.borrow_mut().read_in_part(&BTreeSet::new());
             return;
@@ -66,7 +67,7 @@
     ended.iter().for_each(|ended| take_end(gateway, ended, "not among the newest records"));
 }
 
-/// A drain has ended: what was drained may have turned cold meanwhile.
+/// Processes the end of a drain: the backend servers may have become cold meanwhile.
 fn take_end(gateway: &Gateway, ended: &Ended, why: &str) {
     gateway.drain_leaves_cold(&ended.failure_domain);
     gateway.count("drains_ended");
@@ -78,7 +79,7 @@
         .write();
 }
 
-/// Tells of each drain, while it lasts, what is still open there.
+/// Logs the outstanding requests of each drained failure domain while the drain lasts.
 pub async fn tell(gateway: Rc<Gateway>) {
     loop {
         sleep(Duration::from_millis(TELL_MS)).await;
@@ -94,13 +95,14 @@
 }
 
 impl Gateway {
-    /// Drains that ended so lately that a record which is read now may be from before.
+    /// Returns the drains that ended so recently that a record read now may have been written
+    /// before the end.
     pub fn drains_ended_lately(&self) -> Vec<(String, u64)> {
         let lag_ms = self.settings.record_lag_ms();
         self.drains.borrow_mut().ended_within(self.now(), lag_ms)
     }
 
-    /// Another gateway saw a drain end.
+    /// Processes the end of a drain observed by another gateway.
     pub fn drain_ended_elsewhere(&self, failure_domain: &str, ms_ago: u64) {
         let at = self.now().saturating_sub(ms_ago);
         if !self.drains.borrow_mut().ended_elsewhere(failure_domain, at) {
@@ -113,7 +115,7 @@
             .write();
     }
 
-    /// Whether a service has backend servers, and all of them are drained.
+    /// Returns whether a service has backend servers and all of them are drained.
     pub fn is_all_drained(&self, service: &str) -> bool {
         let drains = self.drains.borrow();
         if drains.is_empty() {
@@ -124,7 +126,7 @@
         servers.peek().is_some() && servers.all(|server| drains.holds(&server.failure_domain))
     }
 
-    /// Requests of this gateway that are open in a failure domain.
+    /// Returns the number of this gateway's outstanding requests in a failure domain.
     pub fn open_there(&self, failure_domain: &str) -> u32 {
         let balance = self.balance.borrow();
         let open: BTreeMap<Target, u32> =
--- a/crates/oliveworks-gateway/src/eras.rs
+++ b/crates/oliveworks-gateway/src/eras.rs
@@ -1,4 +1,5 @@
-//! Takes in which copy of itself the store answers from.
+//! Tracking of the store's era, which changes when the store is restored from an older copy of its
+//! data.
 
 use std::net::SocketAddr;
 
@@ -10,21 +11,23 @@
 use crate::events::Event;
 use crate::state::Gateway;
 
-/// Counts answers of the store whose era cannot be understood.
+/// Counter of store answers whose era cannot be parsed.
 const UNREADABLE: &str = "store_era_unreadable";
 
 impl Gateway {
-    /// Which copy of itself the store answers from.
+    /// Returns the current era of the store.
     pub fn era(&self) -> Era {
         self.store_era.get().era()
     }
 
-    /// Whether the store may lack what was acknowledged before it came back from a copy.
+    /// Returns whether the store may lack records that it had acknowledged before it was restored
+    /// from a copy.
     pub fn store_may_lack_records(&self) -> bool {
         self.store_era.get().may_lack_records(self.now())
     }
 
-    /// The store answered a call that was made at `sent`; tells what the era of its answer means.
+    /// Processes the era named in the store's answer to a call sent at `sent`, and returns its
+    /// meaning.
     pub fn hear_store_era(&self, sent: Millis, named: &NamedEra, call: &str) -> Told {
         match named {
             NamedEra::NotTold => Told::Known,
@@ -39,7 +42,7 @@
         }
     }
 
-    /// Another gateway answered a question that was asked at `sent` with a place of an era.
+    /// Processes the era named by another gateway in its answer to a question sent at `sent`.
     pub fn era_told_by_gateway(&self, sent: Millis, era: Era, address: SocketAddr) {
         if era > self.era() {
             self.take_era(sent, era, &address.to_string());
@@ -58,7 +61,7 @@
         told
     }
 
-    /// The store answers from another copy: what it holds is not known yet.
+    /// Begins a new era, in which the contents of the store are not known yet.
     fn begin_era(&self, era: Era, before: Option<Era>, told_by: &str) {
         self.stored_version.set(None);
         TOPICS.iter().for_each(|topic| self.passing(*topic).borrow_mut().forget());
--- a/crates/oliveworks-gateway/src/events.rs
+++ b/crates/oliveworks-gateway/src/events.rs
@@ -1,4 +1,5 @@
-//! Log lines with fields: one for each decision on a request or on what this process believes.
+//! Structured log lines: one for each decision on a request, and for each change in the state known
+//! to this process.
 
 use std::fmt::Debug;
 
@@ -6,11 +7,11 @@
 use oliveworks_runtime::logs::EVENT_TARGET;
 use serde_json::{Map, Value};
 
-/// A line that is being put together.
+/// A log line under construction.
 pub struct Event(Map<String, Value>);
 
 impl Event {
-    /// A line of a kind.
+    /// Creates a line of a kind.
     pub fn new(kind: &str) -> Event {
         let mut fields = Map::new();
         fields.insert("kind".into(), kind.into());
@@ -23,7 +24,7 @@
         self
     }
 
-    /// Adds a field in the words that developers see.
+    /// Adds a field in debug format.
     pub fn debug(self, name: &str, value: impl Debug) -> Event {
         self.with(name, format!("{value:?}"))
     }
--- a/crates/oliveworks-gateway/src/exchange.rs
+++ b/crates/oliveworks-gateway/src/exchange.rs
@@ -1,12 +1,14 @@
-//! One connection to a backend server or the store, and what is said on it.
+//! HTTP/1 client connections to backend servers and the store.
 //!
-//! hyper's client and not ntex's: a backend server may send an answer that ends with its
-//! connection, whose body ntex's client drops, and its pool is out of our hands. The connection is
-//! driven by whoever waits on it, so dropping an exchange ends it at once.
+//! hyper's client is used instead of ntex's for two reasons: ntex's client drops the body of an
+//! answer that ends with its connection, as backend servers may send it, and its connection pool
+//! cannot be controlled. The connection is driven by the task that waits on it, so dropping an
+//! exchange ends it at once.
 //!
-//! One that is dropped before its answer is whole is reset, and not closed: what was sent and has not arrived, as
-//! behind a cut, would arrive when the cut heals, beside what was sent elsewhere in its place, and an order would be
-//! carried out long after it counted as unanswered.
+//! An exchange that is dropped before its answer is complete is reset rather than closed.
+//! Otherwise, data in transit during a network partition would arrive when the partition heals: a
+//! request would run in addition to its repeat at another server, and an order would be carried out
+//! long after it counted as unanswered.
 
 use std::fmt;
 use std::future::{Future, poll_fn};
@@ -28,21 +30,21 @@
 
 type Driver = http1::Connection<TokioIo<TcpStream>, Full<Bytes>>;
 
-/// Why no connection came up.
+/// Reason why no connection could be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoConnection {
-    /// The address answers that nothing listens there.
+    /// The address rejects connections, since nothing listens there.
     Refused,
-    /// Nothing answers.
+    /// No response from the address.
     Silent,
 }
 
-/// Why there is no whole answer.
+/// Reason why there is no complete answer.
 #[derive(Debug)]
 pub enum Broken {
-    /// The connection ended, or what came is no answer.
+    /// The connection ended, or the received data is not a valid answer.
     Connection(String),
-    /// The time is over.
+    /// The timeout expired.
     Late,
     /// The answer is too large.
     Large,
@@ -62,7 +64,7 @@
 pub struct Exchange {
     sender: http1::SendRequest<Full<Bytes>>,
     driver: Option<Pin<Box<Driver>>>,
-    /// Whether something was sent whose answer is not whole.
+    /// Whether a request was sent whose answer is not complete.
     awaits: bool,
 }
 
@@ -76,16 +78,16 @@
     }
 }
 
-/// The status of a backend server that is not the one meant.
+/// Status of an answer from a backend server that is not the intended one.
 pub const MISDIRECTED: u16 = 421;
-/// The largest head of an answer, in bytes.
+/// Largest head of an answer, in bytes.
 const HEAD_MAX: usize = 64 << 10;
 
 impl Exchange {
     /// Opens a connection.
     ///
     /// # Errors
-    /// If none comes up in time.
+    /// Returns the reason if no connection can be opened in time.
     pub async fn open(address: SocketAddr, within_ms: u64) -> Result<Exchange, NoConnection> {
         let connecting = TcpStream::connect(address);
         let stream = match tokio::time::timeout(Duration::from_millis(within_ms), connecting).await
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Whether another request can be sent on it.
+    /// Returns whether another request can be sent on the connection.
     pub async fn is_usable(&mut self) -> bool {
         poll_fn(|context| {
             self.drive(context);
@@ -125,7 +127,7 @@
     /// Sends a request and waits for the head of its answer.
     ///
     /// # Errors
-    /// If the connection ends or what comes is no answer.
+    /// Returns an error if the connection ends or the received data is not a valid answer.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -140,10 +142,10 @@
         .map_err(|error| Broken::Connection(error.to_string()))
     }
 
-    /// The next bytes of an answer's body; none at its end.
+    /// Returns the next bytes of an answer's body; none at its end.
     ///
     /// # Errors
-    /// If the body breaks off.
+    /// Returns an error if the body breaks off.
     pub async fn next(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, Broken> {
         loop {
             let frame = poll_fn(|context| {
@@ -166,10 +168,10 @@
         }
     }
 
-    /// A whole body.
+    /// Returns a complete body.
     ///
     /// # Errors
-    /// If it breaks off or is larger than `max`.
+    /// Returns an error if the body breaks off or is larger than `max`.
     pub async fn whole(&mut self, body: &mut Incoming, max: usize) -> Result<Bytes, Broken> {
         let mut all = Vec::new();
         while let Some(part) = self.next(body).await? {
@@ -182,13 +184,13 @@
     }
 }
 
-/// The headers of an answer.
+/// Returns the headers of an answer.
 pub fn headers_of(response: &Response<Incoming>) -> Headers {
     let pairs = response.headers().iter();
     pairs.map(|(n, v)| (n.as_str().to_owned(), Bytes::copy_from_slice(v.as_bytes()))).collect()
 }
 
-/// A request out of a call to an address.
+/// Builds the HTTP request of a call.
 fn request_of(call: &Call, address: SocketAddr) -> Result<Request<Full<Bytes>>, Broken> {
     let mut request = Request::builder().method(call.method).uri(&call.target);
     request = request.header("host", address.to_string());
@@ -198,23 +200,24 @@
     request.body(Full::new(call.body.clone())).map_err(|e| Broken::Connection(e.to_string()))
 }
 
-/// The largest answer to a call of this system's own, in bytes.
+/// Largest answer to a call of this system itself, in bytes.
 const ANSWER_MAX: usize = 16 << 20;
 
-/// A whole answer to a call of this system's own.
+/// A complete answer to a call of this system itself.
 pub struct Reply {
-    /// Its status.
+    /// Status of the answer.
     pub status: u16,
-    /// Its headers.
+    /// Headers of the answer.
     pub headers: Headers,
-    /// Its body.
+    /// Body of the answer.
     pub body: Bytes,
 }
 
 /// Makes a call on an open connection.
 ///
 /// # Errors
-/// If no whole answer comes in time. The call may have been done nevertheless.
+/// Returns an error if no complete answer arrives in time. The call may have taken effect
+/// nevertheless.
 pub async fn call(
     exchange: &mut Exchange,
     address: SocketAddr,
--- a/crates/oliveworks-gateway/src/follow.rs
+++ b/crates/oliveworks-gateway/src/follow.rs
@@ -1,4 +1,4 @@
-//! Follows a topic of the store, step by step, through the store itself or another gateway.
+//! Reads a topic step by step, from the store itself or through another gateway.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,62 +17,65 @@
 use crate::state::Gateway;
 use crate::store::Client;
 
-/// The pause after a failed call, in ms; doubles up to the second figure.
+/// First and longest pause after a failed call, in ms. The pause doubles with each failure.
 const RETRY_MS: (u64, u64) = (40, 320);
-/// How long the store may take to answer a gateway that it is not known to answer, while others know
-/// what it holds, in ms: many times a usual answer, and short beside the two seconds and more in which
-/// a change must be in force. With the usual limit of 2.95 s a domain of five gateways, three of which a
-/// silent store left without an answer, had a change after 3.4 s in place of 3.
+/// Timeout of a call to the store, in ms, if the store is not known to answer this gateway and
+/// others know what it holds. The value is many times a usual response time, and short compared to
+/// the time of more than 2 s within which a change must be in force. With the usual timeout of 2.95
+/// s, a domain of five gateways, three of which got no answer from a silent store, received a
+/// change after 3.4 s instead of 3 s.
 const TRY_MS: u64 = 400;
 
-/// A topic that is followed.
+/// A reader of one topic.
 pub struct Follower {
     client: Client,
     asking: Option<Asking>,
     topic: Topic,
     following: Following,
     pause_ms: u64,
-    /// Where the last step was made, as lines tell it.
+    /// Source of the last step, as reported in the log.
     read_from: Option<ReadFrom>,
 }
 
-/// What one step of following brought.
+/// Result of one step.
 pub struct Step {
-    /// Records that were added, or all newest ones.
+    /// Records that were added, or the newest record of each key.
     pub records: Vec<Record>,
-    /// Whether these are all newest records and not just what was added.
+    /// Whether the records are a snapshot of all newest records, as opposed to the added ones.
     pub snapshot: bool,
-    /// When the call was sent.
+    /// Time at which the call was sent.
     pub sent: Millis,
-    /// How long the store held it back because nothing was new, or the gateway that was asked did.
+    /// Time for which the store or the asked gateway held the call back for lack of new records, in
+    /// ms.
     pub held_ms: u64,
-    /// Who told.
+    /// Source of the records.
     pub told_by: ToldBy,
 }
 
-/// Who told what a step brought.
+/// Source of the records of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ToldBy {
     /// The store.
     Store,
     /// Another gateway.
     Gateway {
-        /// The age of its proof that nothing is newer when it answered; none without one.
+        /// Age of the gateway's proof, when it answered, that the store holds nothing newer; none
+        /// without a proof.
         proof_age_ms: Option<u64>,
-        /// The newest version of the configuration that it knows the store to hold.
+        /// Newest configuration version that the gateway knows the store to hold.
         stored_version: Option<u64>,
     },
 }
 
 impl Step {
-    /// A call to the store that brought nothing, not even a proof.
+    /// Creates the step of a call to the store that returned neither records nor a proof.
     fn without_news(sent: Millis) -> Step {
         Step { records: Vec::new(), snapshot: false, sent, held_ms: 0, told_by: ToldBy::Store }
     }
 }
 
 impl Follower {
-    /// Follows a topic that was not read yet.
+    /// Creates a reader of a topic that has not been read yet.
     pub fn new(gateway: &Rc<Gateway>, topic: Topic) -> Follower {
         Follower {
             client: Client::new(gateway),
@@ -84,18 +87,18 @@
         }
     }
 
-    /// The place up to which everything was read.
+    /// Returns the position up to which everything was read.
     pub fn place(&self) -> Option<Place> {
         self.following.place()
     }
 
-    /// Reads all newest records with the next step, from the store itself if that answers.
+    /// Requests a snapshot with the next step, from the store itself if it answers.
     pub fn read_anew(&mut self) {
         self.following.read_anew();
     }
 
-    /// Makes one step, through the store or another gateway; on failure, says so and pauses.
-    /// `wait_ms` is how long the store may hold it back.
+    /// Makes one step, through the store or another gateway. Logs a failure and pauses after it.
+    /// `wait_ms` is the longest time for which the store may hold the call back.
     pub async fn step(&mut self, wait_ms: u64) -> Option<Step> {
         let gateway = self.client.gateway().clone();
         self.forget_former_place(&gateway);
@@ -107,11 +110,12 @@
                 ReadFrom::Gateway(address) => self.step_through(&gateway, address).await,
             }
         };
-        // What was asked before a pause may have been answered for as long, or never.
+        // A call made before a pause of the process may have been answered long ago, or may never
+        // be.
         gateway.unless_resumed(step).await.flatten()
     }
 
-    /// Forgets a place of another era: the store has given its offset out again.
+    /// Discards a position of another era, since the store has assigned its offset again.
     fn forget_former_place(&mut self, gateway: &Gateway) {
         let Some(place) = self.following.forget_other_eras(gateway.era()) else { return };
         Event::new("place_is_void")
@@ -122,7 +126,7 @@
             .write();
     }
 
-    /// A line when the topic is read elsewhere than with the last step.
+    /// Logs a change of the source from which the topic is read.
     fn tell_read_from(&mut self, gateway: &Gateway, read_from: ReadFrom) {
         if self.read_from.replace(read_from) == Some(read_from) {
             return;
@@ -206,8 +210,9 @@
             Some(asking) => asking,
             None => Asking::open(address).await?,
         };
-        // The planner goes by how young records are, so a leader wants them all; and a host that the store listed from an older
-        // copy is known to live by its next record.
+        // The planner uses the age of records, so a leader needs repeated records as well. A host
+        // that the store listed from an older copy of its data is known to be alive by its next
+        // record.
         let leads = gateway.election.borrow().leads().is_some();
         let repeats = leads || gateway.doubts_any_host() || gateway.store_may_lack_records();
         let answer = asking.ask(self.topic, self.place(), repeats).await?;
@@ -218,16 +223,17 @@
         }
         let known = self.client.gateway().passing(self.topic).borrow();
         if answer.snapshot && known.is_ahead_of(answer.next) {
-            // What it lacks may be newer than what it knows, and has not ended.
+            // Records that the gateway lacks may be newer than those that it knows, and do not
+            // count as removed.
             return Err("it knows less than this gateway".to_owned());
         }
         Ok(answer)
     }
 
-    /// Asks a gateway for all newest records, beside the steps.
+    /// Asks a gateway for all newest records, independent of the steps.
     ///
     /// # Errors
-    /// If it does not tell them, in words.
+    /// Returns a description of the failure if the gateway does not return records.
     pub async fn newest_of(&mut self, address: SocketAddr) -> Result<Vec<Record>, String> {
         let mut asking = Asking::open(address).await?;
         let answer = asking.ask(self.topic, None, false).await?;
@@ -241,7 +247,8 @@
         let mut after: Option<String> = None;
         let mut first_end = None;
         if self.topic == Topic::Leaders {
-            // Its last records are enough, and there is no key to ask the newest ones for.
+            // The last records of this topic are enough, and they have no keys by which to ask for
+            // the newest ones.
             return self.tail(Place::new(gateway.era(), 0), 0).await;
         }
         loop {
@@ -250,7 +257,7 @@
             let page =
                 gateway.dialect.page(self.topic, status, &body).map_err(|e| e.to_string())?;
             records.extend(page.records);
-            // Pages are no snapshot: what changed since the first is read again.
+            // Pages do not form a consistent snapshot: changes since the first page are read again.
             let end = *first_end.get_or_insert(Place::new(gateway.era(), page.end));
             if end.era != gateway.era() {
                 return Err("the store came back from a copy between two pages".to_owned());
@@ -272,7 +279,7 @@
         let (status, body) = self.client.call(&call, wait_ms).await?;
         let era = gateway.era();
         if era != place.era && from != 0 {
-            // What the answer holds does not follow what was read before.
+            // The records of the answer do not continue those read before.
             return Ok(Step::without_news(sent));
         }
         let tail = gateway
--- a/crates/oliveworks-gateway/src/heartbeat.rs
+++ b/crates/oliveworks-gateway/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What a heartbeat holds, and what a gateway does with one that it hears.
+//! Contents of heartbeats, and the processing of received ones.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,91 +22,93 @@
 use crate::peers::PEER_MS;
 use crate::state::{Gateway, Peer};
 
-/// How long a suspicion is told on.
+/// Time for which a suspicion is reported, in ms.
 const SUSPECT_MS: u64 = 400;
-/// How long ago something from a target is told on.
+/// Longest age, in ms, at which data received from a target is reported as recent.
 const HEARD_MS: u64 = 200;
-/// How long ago another gateway of this failure domain told so, in ms: with its own 200 ms and the
-/// way, half of the 600 ms that a group's silence takes to be noticed at the least.
+/// The same for reports of other gateways of this failure domain, in ms. Added to their own 200 ms
+/// and the transmission time, this is half of the 600 ms that the detection of a silent group takes
+/// at least.
 const HEARD_NEAR_MS: u64 = 100;
-/// Gateways that one heartbeat names. Each is named by many, so that every gateway of hundreds is heard of
-/// twice a second and more.
+/// Number of gateways named in one heartbeat. Each gateway is named by many others, so that every
+/// one of hundreds of gateways is reported at least twice a second.
 const PEERS_TOLD: usize = 2;
-/// How long a leader may be without the store before others may take its place.
+/// Time for which a leader may be without the store before others may replace it, in ms.
 const LEADER_STORE_MS: u64 = 2_500;
 
-/// What a gateway sees.
+/// Heartbeat of a gateway.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Beat {
     node: String,
     failure_domain: String,
-    /// The leader's newest heartbeat that the sender knows.
+    /// Newest heartbeat of the leader known to the sender.
     leader: Option<LeaderSeen>,
-    /// Whether the store answers the sender, and it goes on reading it.
+    /// Whether other gateways may rely on the sender to read the store: the store answers the
+    /// sender, and the sender is not stopping.
     store_answers: bool,
     /// Whether the sender reads the store itself.
     reads_store: bool,
-    /// How old the sender's proof is that the store holds nothing newer; none without one.
+    /// Age of the sender's proof that the store holds nothing newer, in ms; none without a proof.
     proof_age_ms: Option<u64>,
-    /// Which copy of itself the store answers from, as far as the sender has heard.
+    /// Newest era of the store known to the sender.
     era: Era,
-    /// The newest version of the configuration that the sender holds.
+    /// Newest configuration version held by the sender.
     version: Option<u64>,
-    /// Whose the next figures are.
+    /// Scope of the figures in the next two fields.
     figures: Figures,
-    /// Requests that are open.
+    /// Outstanding requests.
     telling: Telling,
-    /// Requests that looked for a place lately, by model.
+    /// Recent requests that looked for a place, per model.
     looked: Vec<(ModelKey, Looked)>,
-    /// Groups that the sender sees standing still.
+    /// Groups that the sender observes as stalled.
     suspects: Vec<u64>,
-    /// Groups that the sender sees running slowly.
+    /// Groups that the sender observes as slow.
     slow: Vec<u64>,
-    /// Backend servers that said they leave.
+    /// Backend servers that announced to leave.
     leaving: Vec<Leaving>,
-    /// Requests under which backend servers ended one after the other.
+    /// Requests during which several backend servers ended in a row.
     crashers: Vec<Chain>,
-    /// Rate limits that backend servers name.
+    /// Rate limits named by backend servers.
     limits: Vec<Limit>,
-    /// Failure domains whose drain has ended lately, and how many ms ago.
+    /// Failure domains whose drain has ended recently, with the time since then in ms.
     ended_drains: Vec<(String, u64)>,
-    /// Whether any gateway has had a request.
+    /// Whether any gateway has received a request.
     traffic: bool,
     /// Other gateways.
     peers: Vec<PeerTold>,
-    /// Gateways that have fallen silent and may still take their part of a bound, by their names' hashes,
-    /// and how many ms ago each was heard.
+    /// Silent gateways that may still use their share of a limit, as hashes of their names, each
+    /// with the time since its last message in ms.
     silent: Vec<(u64, u64)>,
 }
 
-/// Whose figures a heartbeat holds.
+/// Scope of the figures in a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum Figures {
-    /// None: the sender does not know the listener's failure domain.
+    /// No figures, because the sender does not know the recipient's failure domain.
     None,
-    /// The sender's own, as gateways of its failure domain are told.
+    /// Figures of the sender alone, for gateways of its own failure domain.
     OfGateway,
-    /// Those of all gateways of the sender's failure domain, as others are told.
+    /// Sums over the gateways of the sender's failure domain, for other failure domains.
     OfFailureDomain,
 }
 
 impl Beat {
-    /// Whether the leader should hear it at once.
+    /// Returns whether the leader should receive the heartbeat at once.
     pub fn is_urgent(&self) -> bool {
         !self.suspects.is_empty() || !self.slow.is_empty() || !self.leaving.is_empty()
     }
 }
 
-/// A leader's heartbeat that is passed on.
+/// A forwarded heartbeat of the leader.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct LeaderSeen {
     /// The heartbeat.
     pub heartbeat: Heartbeat,
-    /// Where the leader listens.
+    /// Peer address of the leader.
     pub address: SocketAddr,
 }
 
-/// Another gateway, as it is told on.
+/// A gateway as named in heartbeats of others.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct PeerTold {
     node: String,
@@ -115,7 +117,7 @@
     heard_ms_ago: u64,
 }
 
-/// What all gateways of the own failure domain need to know of this one.
+/// Returns the heartbeat for gateways of this gateway's failure domain.
 pub fn own(gateway: &Gateway) -> Beat {
     let now = gateway.now();
     gateway.suspects.borrow_mut().retain(|_, at| now < *at + SUSPECT_MS);
@@ -151,7 +153,7 @@
     }
 }
 
-/// What this gateway's failure domain knows of open requests, as others are told.
+/// Returns what this failure domain knows of outstanding requests, for reports to other domains.
 pub fn known(gateway: &Gateway) -> Known {
     let now = gateway.now();
     let balance = gateway.balance.borrow();
@@ -160,7 +162,8 @@
     Known { open: balance.domain_open(now), heard }
 }
 
-/// What another failure domain is told: the sum of what this domain's gateways told.
+/// Returns the heartbeat for another failure domain, with the sums over the gateways of this
+/// domain.
 pub fn for_domain(gateway: &Gateway, own: &Beat, known: &Known, listener: &str) -> Beat {
     let now = gateway.now();
     let source = domain_source(listener);
@@ -172,7 +175,7 @@
     Beat { figures: Figures::OfFailureDomain, telling, looked, ..own.clone() }
 }
 
-/// What a gateway is told whose failure domain is not known yet: no figures.
+/// Returns the heartbeat, without figures, for a gateway whose failure domain is unknown.
 pub fn for_stranger(own: &Beat) -> Beat {
     let (figures, telling, looked) = (Figures::None, Telling::default(), Vec::new());
     Beat { figures, telling, looked, ..own.clone() }
@@ -195,7 +198,8 @@
     told.collect()
 }
 
-/// Takes a heartbeat in; what it says of the leader is left to the caller.
+/// Processes a heartbeat, except for what it says about the leader, which is returned to the
+/// caller.
 pub fn heard(gateway: &Gateway, from: SocketAddr, beat: Beat) -> Option<LeaderSeen> {
     let now = gateway.now();
     if beat.node == gateway.settings.node {
@@ -242,7 +246,7 @@
     beat.leader
 }
 
-/// Notes from which targets others have just heard.
+/// Records the targets from which others have recently received data.
 fn hear_telling(gateway: &Gateway, now: Millis, source: Source, telling: &Telling) {
     let mut balance = gateway.balance.borrow_mut();
     let open = telling.open.iter().filter(|count| count.heard).map(|count| count.target);
@@ -251,7 +255,7 @@
     }
 }
 
-/// Notes what others have open.
+/// Records the requests that others have outstanding.
 fn hear_open(gateway: &Gateway, now: Millis, source: Source, telling: Telling) {
     let mut balance = gateway.balance.borrow_mut();
     let load = |count: Count| (count.target, count.load);
@@ -262,7 +266,7 @@
     }
 }
 
-/// Notes who shares what all gateways together may send.
+/// Records the gateways that share the limits on what all gateways may send together.
 fn know_sharers(gateway: &Gateway, now: Millis, beat: &Beat) {
     let sender = std::iter::once((members::hash(&beat.node), now));
     let told = beat
@@ -281,7 +285,7 @@
         heard_at: now,
         store_answers: beat.store_answers,
         reads_store: beat.reads_store,
-        // One that is older than this process is as good as none.
+        // A proof older than this process is treated like no proof.
         proved_at: beat.proof_age_ms.and_then(|age_ms| now.checked_sub(age_ms)),
         era: beat.era,
         version: beat.version,
--- a/crates/oliveworks-gateway/src/host_says.rs
+++ b/crates/oliveworks-gateway/src/host_says.rs
@@ -1,4 +1,5 @@
-//! Takes in what backend servers say of themselves in their answers, beside the answer itself.
+//! Processing of what backend servers say about themselves in their answers, such as limits,
+//! backoffs and leaving.
 
 use log::warn;
 use oliveworks_gateway_core::Millis;
@@ -10,37 +11,38 @@
 use crate::events::Event;
 use crate::state::Gateway;
 
-/// How long a gateway that learns of a leaving backend server tells others, in ms: ten heartbeats, of which some may be
-/// lost. Whoever learns of it from them tells it on for as long.
+/// Time for which a gateway reports a leaving backend server to others, in ms: ten heartbeats, some
+/// of which may be lost. Gateways that learn of it from a report repeat the report for the same
+/// time.
 const LEAVING_TOLD_MS: u64 = 1_000;
 
-/// Names of headers that nothing here reads and that are reported.
+/// Largest number of names of unread headers that are reported.
 const UNREAD_NAMES_MAX: usize = 32;
 
-/// Who answered.
+/// Sender of an answer.
 #[derive(Clone, Copy, Debug)]
 pub struct Sender<'a> {
-    /// The backend server.
+    /// Id of the backend server.
     pub server: &'a str,
-    /// When its life had begun as far as was known when the request was sent.
+    /// Start of the server's incarnation, as known when the request was sent.
     pub life: Option<Born>,
-    /// When the request was sent.
+    /// Time at which the request was sent.
     pub sent_at: Millis,
-    /// Whether a caller's request was answered, and not a call of this system's own.
+    /// Whether the answer is to a caller's request, as opposed to a call of this system itself.
     pub to_request: bool,
 }
 
-/// A backend server that leaves, as gateways tell each other.
+/// A leaving backend server, as reported between gateways.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Leaving {
     /// The backend server.
     target: Target,
-    /// When the life began that it leaves in.
+    /// Start of the incarnation that is leaving.
     life: Option<Born>,
 }
 
 impl Gateway {
-    /// Takes in what a backend server's answer to a request or a call says of its sender.
+    /// Processes what an answer to a request or a call says about its sender.
     pub fn heed(&self, sender: Sender<'_>, answered: &Answered, request: &str) {
         let Sender { server, life, .. } = sender;
         self.hear_limit(sender, answered, request);
@@ -59,8 +61,8 @@
         }
     }
 
-    /// Reports headers that speak of a backend server and that nothing here reads, once a name: what hosts begin to say is
-    /// seen by operators before it is missed.
+    /// Reports, once per name, answer headers about the backend server that this gateway does not
+    /// read. Operators thereby see new headers of hosts before anyone misses them.
     fn report_unread(&self, server: &str, names: &[String]) {
         if names.is_empty() {
             return;
@@ -77,7 +79,7 @@
         }
     }
 
-    /// A backend server asked to be left alone for so long.
+    /// Starts a backoff that a backend server asked for.
     fn back_off(&self, server: &str, ms: u64, request: &str) {
         self.count("refusals_with_retry_after");
         let is_news = self.backoffs.borrow_mut().asked(self.now(), Target::of(server), ms);
@@ -91,7 +93,7 @@
         }
     }
 
-    /// A backend server leaves: it gets nothing new, and the leader is told.
+    /// Marks a backend server as leaving: it gets no new requests, and the leader is informed.
     fn host_leaves(&self, server: &str, life: Option<Born>, told_by: &str) {
         if !self.directory.borrow_mut().leaves(server, life) {
             return;
@@ -112,7 +114,7 @@
         self.send_now.notify_one();
     }
 
-    /// Another gateway was told by a backend server that it leaves.
+    /// Processes another gateway's report that a backend server is leaving.
     pub fn leaves_by_another(&self, leaving: Leaving) {
         let server = self.directory.borrow().id(leaving.target).cloned();
         if let Some(server) = server {
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Backend servers that are to be told on as leaving.
+    /// Returns the leaving backend servers to report to other gateways.
     pub fn leaving_told(&self) -> Vec<Leaving> {
         let now = self.now();
         let mut told = self.leaving_told.borrow_mut();
@@ -128,7 +130,7 @@
         told.iter().map(|(_, leaving)| *leaving).collect()
     }
 
-    /// Counts a request that is sent to a backend server which asked to be left alone, or names a limit.
+    /// Counts requests sent to a backend server that is in a backoff or names a limit.
     pub fn count_send(&self, target: Target) {
         if self.rate_limits.borrow_mut().limits.sent(target) {
             self.count("sent_to_limited_hosts");
--- a/crates/oliveworks-gateway/src/leader.rs
+++ b/crates/oliveworks-gateway/src/leader.rs
@@ -1,4 +1,4 @@
-//! Gives the planner's orders while this gateway leads.
+//! Elections, and the execution of the planner's commands while this gateway leads.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,20 +23,22 @@
 use crate::state::Gateway;
 use crate::{peers, store};
 
-/// The time between two looks at the plans.
+/// Longest time between two planning rounds, in ms.
 const TICK_MS: u64 = 40;
-/// The time between two looks when an answer asks for one at once, in ms: the median repair of a large
-/// group takes 0.80 s in place of 1.05 s, and a burst of answers does not take all of the processor.
+/// Shortest time between two planning rounds when an answer requests one at once, in ms. The median
+/// repair of a large group takes 0.80 s instead of 1.05 s, and a burst of answers does not use up
+/// the processor.
 const LOOK_MIN_MS: u64 = 10;
-/// How long a leader that was paused gives no orders.
+/// Time after a pause in which a leader sends no orders, in ms.
 const LISTEN_MS: u64 = 250;
-/// The time between two lines on each model, and two looks at what is to be told of domains.
+/// Time between two log lines on each model, and between two checks for changed lines on failure
+/// domains, in ms.
 const DESCRIBE_MS: u64 = 1_000;
-/// The pace above which a host gets a line.
+/// Slowdown factor above which a host gets a log line.
 const PACE_TOLD: f64 = 1.25;
-/// The longest that an order may take to be answered.
+/// Timeout of an order, in ms.
 const ORDER_MS: u64 = 250;
-/// The longest that a backend server may take to tell its state.
+/// Timeout of a probe of a backend server's state, in ms.
 const PROBE_MS: u64 = 120;
 
 /// Runs elections, and plans while this gateway leads.
@@ -52,7 +54,8 @@
             fence = leads;
             change(&gateway, fence).await;
         }
-        // After a pause others may lead: what they said meanwhile is heard first.
+        // Another gateway may have become leader during a pause: messages that arrived meanwhile
+        // are processed before any planning.
         let listens =
             gateway.now() < gateway.awake_since() + LISTEN_MS && gateway.awake_since() > 0;
         if let Some(fence) = fence.filter(|_| !listens) {
@@ -112,7 +115,7 @@
     }
 }
 
-/// Begins or ends to lead.
+/// Starts or stops leading.
 async fn change(gateway: &Rc<Gateway>, fence: Option<u64>) {
     gateway.planners.borrow_mut().clear();
     let Some(fence) = fence else {
@@ -130,7 +133,7 @@
     }
 }
 
-/// A planner that knows the state of each of a service's hosts as it is now.
+/// Creates a planner with the current state of each host of a service.
 async fn take_over(gateway: &Rc<Gateway>, service: &str, engine: &Engine, fence: u64) -> Planner {
     let config = gateway.settings.policy.planner.clone();
     let mut planner = Planner::new(config, engine.clone(), fence, gateway.now());
@@ -163,13 +166,13 @@
     planner
 }
 
-/// How a question for a backend server's state ended.
+/// Outcome of a probe of a backend server's state.
 enum Asked {
     Holding(Holding),
     Silent {
         refused: bool,
     },
-    /// Another backend server answers there.
+    /// Another backend server answers at the address.
     Replaced,
 }
 
@@ -186,8 +189,8 @@
     }
 }
 
-/// Makes a call to a backend server on a connection of its own, and takes in what its answer says of its sender;
-/// fails with whether the address refused the connection.
+/// Calls a backend server on a new connection and processes what the answer says about its sender.
+/// The error is whether the address refused the connection.
 async fn make(
     gateway: &Gateway,
     server: &str,
@@ -239,7 +242,7 @@
     }
 }
 
-/// A line for each model whose part of the hosts has changed.
+/// Logs each model whose share of the hosts has changed.
 fn tell_parts(planner: &Planner, before: &BTreeMap<String, f64>) {
     for (model, part) in
         planner.parts().iter().filter(|(model, part)| before.get(*model) != Some(part))
@@ -253,7 +256,7 @@
     }
 }
 
-/// A line for a group that ended.
+/// Logs the end of a group.
 fn tell_ending(ending: Ending) {
     Event::new("group_ended")
         .with("group", ending.group)
@@ -264,7 +267,7 @@
         .write();
 }
 
-/// A line for free hosts that wait beside a model which refuses callers.
+/// Logs free hosts that wait although a model rejects callers.
 fn tell_waiting(gateway: &Gateway, planner: &mut Planner) {
     for waiting in planner.waiting_hosts(gateway.now()) {
         gateway.count("free_hosts_wait");
@@ -287,16 +290,16 @@
     }
 }
 
-/// The groups of a model that serve.
+/// Load of the serving groups of a model.
 #[derive(Default)]
 struct Serving {
-    /// Requests that are open there.
+    /// Outstanding requests at these groups.
     open: u32,
     slots: u32,
     groups: usize,
 }
 
-/// Tells the planner how busy the groups of each model are.
+/// Reports the load of each model's groups to the planner.
 fn tell_load(gateway: &Gateway, service: &str, planner: &mut Planner) {
     let now = gateway.now();
     let mut loads: BTreeMap<String, Serving> = BTreeMap::new();
@@ -340,7 +343,7 @@
     groups
 }
 
-/// Publishes what has changed in the leader's table, under the next numbers.
+/// Publishes the changes of the leader's table under the next numbers.
 fn publish(gateway: &Gateway, new: &Table) {
     let changes = gateway.table.borrow().changes_to(new);
     if changes.is_empty() {
@@ -349,7 +352,8 @@
     let new_leader = gateway.table.borrow().fence != new.fence;
     let regrouped = new_leader || changes.iter().any(Change::regroups);
     if !changes.iter().all(|change| gateway.change_table(change.clone())) {
-        // Another leader's table is newer: this one is about to hear that it leads no more.
+        // The table of another leader is newer, and this gateway is about to learn that it no
+        // longer leads.
         return;
     }
     gateway.changes_to_pass.borrow_mut().extend(changes);
@@ -359,7 +363,7 @@
     }
 }
 
-/// A line on how many groups of each model serve.
+/// Logs the number of serving groups per model.
 fn tell_groups(table: &Table) {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for group in &table.groups {
@@ -409,14 +413,14 @@
     gateway.plan_now.notify_one();
 }
 
-/// A line for a host that says it is slower than usual.
+/// Logs a host that reports to be slower than usual.
 fn tell_pace(server: &str, pace: Option<f64>) {
     if let Some(pace) = pace.filter(|pace| *pace > PACE_TOLD) {
         Event::new("host_is_slow").with("host", server).with("pace", pace).write();
     }
 }
 
-/// A line for a host that holds other models than it was last known to.
+/// Logs a host that holds other models than last known.
 fn tell_holding(planner: &Planner, server: &str, holding: &Holding) {
     let Some(before) = planner.holding(server) else { return };
     if (&before.models, &before.staging) == (&holding.models, &holding.staging) {
@@ -439,7 +443,8 @@
     order: &Call,
 ) -> Outcome {
     let _place = gateway.calls.place(CallKind::Order).await;
-    // It may lead no more by the time that it has a place, and not every host checks fences.
+    // The gateway may have lost the leadership while it waited for a free call slot, and some hosts
+    // don't check fences.
     if gateway.election.borrow().leads() != Some(fence) {
         return Outcome::Unanswered;
     }
--- a/crates/oliveworks-gateway/src/lib.rs
+++ b/crates/oliveworks-gateway/src/lib.rs
@@ -1,36 +1,36 @@
-//! A gateway: an entry that calls backend servers directly and forms replica groups itself.
+//! A gateway: an entry point that calls backend servers directly and forms replica groups itself.
 //!
-//! Gateways need nothing beside them but a metadata store and backend servers that check fences:
-//! no agent on the hosts, no disk. What a platform calls things, and how its calls look, is behind
-//! [`dialect::Dialect`]; what is decided is in `oliveworks-gateway-core`.
+//! Gateways need only a metadata store and backend servers that check fencing tokens: no agent on
+//! the hosts and no disk. The names and message formats of a platform are behind
+//! [`dialect::Dialect`]; decisions are made in `oliveworks-gateway-core`.
 //!
-//! | module | does |
+//! | module | contents |
 //! |---|---|
 //! | [`settings`] | the settings file |
-//! | [`dialect`] | what a platform's adapter must say |
-//! | [`process`] | starts and stops everything |
-//! | `connection` | reads requests of one connection and writes their answers |
-//! | [`reload`] | tells what has changed in settings that are read again |
-//! | `callers`, `relay` | take requests, and see each to its answer |
-//! | `exchange` | one connection to a backend server or the store |
+//! | [`dialect`] | interface to the adapter of a platform |
+//! | [`process`] | start and stop |
+//! | `connection` | reads the requests of one connection and writes their answers |
+//! | [`reload`] | logs changes in settings that are read again |
+//! | `callers`, `relay` | accept requests and relay each one to backend servers |
+//! | `exchange` | connections to backend servers and the store |
 //! | `store` | calls to the platform's store |
-//! | `eras` | which copy of itself the store answers from |
-//! | `follow`, `sources` | follow a topic of the store, through it or another gateway |
-//! | `records`, `missing` | take in what the topics tell |
+//! | `eras` | era of the store, which changes when it is restored from a copy |
+//! | `follow`, `sources` | follow a topic of the store, directly or through another gateway |
+//! | `records`, `missing` | process the records of the topics |
 //! | `drains` | drains of failure domains |
-//! | `versions` | versions of the configuration that other gateways hold |
-//! | `passing` | passes the store's records on to other gateways |
-//! | `table`, `places` | groups that serve, and where requests can be sent |
-//! | `obstacles` | what keeps a request from a place |
-//! | `slow_start` | cold backend servers, and what they are sent |
-//! | `pending_send` | requests that were given to a backend server and are not sent yet |
-//! | `rate_limits` | backend servers that name a rate limit, and what they are sent |
-//! | `host_says` | takes in what hosts say of themselves in their answers |
+//! | `versions` | configuration versions held by other gateways |
+//! | `passing` | forwards the store's records to other gateways |
+//! | `table`, `places` | serving groups, and the destinations of requests |
+//! | `obstacles` | reasons that make a place ineligible for a request |
+//! | `slow_start` | cold backend servers and the limits on their load |
+//! | `pending_send` | requests with a chosen backend server that are not sent yet |
+//! | `rate_limits` | rate limits named by backend servers, and permits |
+//! | `host_says` | processes what hosts say about themselves in their answers |
 //! | `crashers` | requests that crash the backend servers they run at |
-//! | `suspicions` | groups that stand still or run slowly |
-//! | `leader` | gives the planner's orders |
-//! | `calls` | how many calls a leader makes at once |
-//! | `peers`, `heartbeat` | tells the other gateways, and hears them |
+//! | `suspicions` | stalled and slow groups |
+//! | `leader` | elections, and execution of the planner's commands |
+//! | `calls` | limit on concurrent calls of a leader |
+//! | `peers`, `heartbeat` | messages between gateways |
 
 mod callers;
 mod calls;
--- a/crates/oliveworks-gateway/src/members.rs
+++ b/crates/oliveworks-gateway/src/members.rs
@@ -1,5 +1,5 @@
-//! Which gateways share what all of them together may send: takes in who was heard, and tells of those who have
-//! fallen silent.
+//! Gateways that share limits on what all of them may send together: records messages from them,
+//! and reports the silent ones.
 
 use oliveworks_gateway_core::Millis;
 use oliveworks_gateway_core::members::Members;
@@ -8,20 +8,20 @@
 use crate::settings::Settings;
 use crate::state::Gateway;
 
-/// No other gateway is known yet.
+/// Returns the initial state, in which no other gateway is known.
 pub fn members(settings: &Settings, now: Millis) -> Members {
     let own = settings.listen.peers.ip();
     let alone = settings.seeds.iter().all(|seed| seed.ip() == own);
     Members::new(hash(&settings.node), alone, now)
 }
 
-/// How a gateway's name stands in what is shared out by it.
+/// Returns the hash of a gateway's name, used as its id in the computation of shares.
 pub fn hash(node: &str) -> u64 {
     xxh3_64(node.as_bytes())
 }
 
 impl Gateway {
-    /// Notes gateways that were heard, and when.
+    /// Records gateways with the time of the last message from each.
     pub fn shares_with(&self, gateways: impl IntoIterator<Item = (u64, Millis)>) {
         let mut members = self.members.borrow_mut();
         for (gateway, at) in gateways {
@@ -29,7 +29,8 @@
         }
     }
 
-    /// Gateways that have fallen silent and may still take their part, and how long ago each was heard.
+    /// Returns the silent gateways that may still use their share, each with the time since its
+    /// last message in ms.
     pub fn silent_gateways(&self) -> Vec<(u64, u64)> {
         let now = self.now();
         let members = self.members.borrow();
--- a/crates/oliveworks-gateway/src/missing.rs
+++ b/crates/oliveworks-gateway/src/missing.rs
@@ -1,11 +1,11 @@
-//! Takes backend servers out of the directory that are missing from the list.
+//! Removal of backend servers that are missing from the list.
 
 use oliveworks_gateway_core::missing::{Left, Look, Missing};
 
 use crate::events::Event;
 use crate::state::Gateway;
 
-/// Takes out those that are missing for long.
+/// Removes backend servers that have been missing for long enough.
 pub fn sweep(gateway: &Gateway, missing: &mut Missing) {
     let now = gateway.now();
     for id in missing.forget_gone(now) {
--- a/crates/oliveworks-gateway/src/obstacles.rs
+++ b/crates/oliveworks-gateway/src/obstacles.rs
@@ -1,4 +1,5 @@
-//! What keeps a request from a place: every choice, and every send after it, asks here.
+//! Obstacles that make a place ineligible for a request. Every choice of a place, and every send
+//! after it, is checked here.
 
 use oliveworks_gateway_core::balance::Target;
 use oliveworks_gateway_core::obstacles::Obstacle;
@@ -7,18 +8,18 @@
 use crate::places::Place;
 use crate::state::Gateway;
 
-/// Places for a request.
+/// Places of a service, divided by whether a request may be sent there.
 #[derive(Default)]
 pub struct Places {
-    /// Those that it may be sent to now, however busy they are.
+    /// Eligible places, regardless of their load.
     pub open: Vec<Place>,
-    /// What keeps it from each of the others.
+    /// Obstacle at each of the other places.
     pub obstacles: Vec<Obstacle>,
 }
 
 impl Gateway {
-    /// Parts the places of a service into those that a request may be sent to now, however busy they are, and the others.
-    /// `tried` are those that it was sent to before.
+    /// Divides the places of a service into those that are eligible for a request, regardless of
+    /// their load, and the others. `tried` are the targets of earlier attempts.
     pub fn part_places(
         &self,
         service: &str,
@@ -26,7 +27,8 @@
         allowed: Allowed<'_>,
         tried: &[Target],
     ) -> Places {
-        // A request may be the first thing that runs after a pause, which has to be known by then.
+        // A request may be the first code to run after a pause of the process, and the pause has to
+        // be detected before the choice.
         self.tick();
         let mut places = Places::default();
         let mut without_permit = Vec::new();
@@ -49,11 +51,11 @@
         places
     }
 
-    /// What a place takes, in requests a second, if that is bound: the lower of what it bears while it is cold and of the
-    /// limit that it names.
+    /// Returns the request rate that a place accepts, in requests per second, if it is limited: the
+    /// lower of its rate while cold and its named limit.
     ///
     /// # Errors
-    /// If something else than its limit keeps a request from it.
+    /// Returns an obstacle if a request is prevented by anything other than the named limit.
     fn rate_bound(
         &self,
         service: &str,
@@ -69,13 +71,14 @@
         Ok(cold.into_iter().chain(limit).reduce(f64::min))
     }
 
-    /// Whether a request that was given to a place may still be sent there.
+    /// Returns whether a request may still be sent to the place that was chosen for it.
     pub fn may_still_send(&self, place: &Place, allowed: Allowed<'_>) -> bool {
         let stops = |obstacle: Obstacle| obstacle.stops_a_send();
         !self.leaves(&place.server) && !self.obstacle(place, allowed).is_some_and(stops)
     }
 
-    /// What keeps a request from a place, but for how much of a cold one is taken.
+    /// Returns the obstacle between a request and a place, if any, except for a used-up share of a
+    /// cold one.
     fn obstacle(&self, place: &Place, allowed: Allowed<'_>) -> Option<Obstacle> {
         let (now, target) = (self.now(), place.candidate.target);
         let region = self.settings.regions.get(&place.failure_domain);
--- a/crates/oliveworks-gateway/src/passing.rs
+++ b/crates/oliveworks-gateway/src/passing.rs
@@ -1,10 +1,12 @@
-//! Passes the store's records on between gateways: who asks follows a topic through another gateway as
-//! it would follow the store.
+//! Forwarding of the store's records between gateways: a gateway follows a topic through another
+//! gateway as it would follow the store.
 //!
-//! Over TCP and not in datagrams: a configuration may be far larger than one. Frames and their bodies
-//! are those of libraries. Whoever serves answers from what it holds and opens nothing itself, so that
-//! questions never go in circles. Rejected: QUIC, whose handshake costs more processor time than the
-//! few questions a second that a gateway asks.
+//! The transport is TCP, since a configuration may be far larger than a datagram. Framing and
+//! encoding are those of libraries. The answering gateway uses only the records that it holds and
+//! asks nobody else, so questions never form a cycle.
+//!
+//! Rejected: QUIC, whose handshake costs more processor time than the few questions per second that
+//! a gateway asks.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -23,43 +25,44 @@
 use crate::dialect::{Record, Topic};
 use crate::state::Gateway;
 
-/// The longest that a question is held back until there is news, in ms: a gateway that answers no more
-/// is noticed within this time and the next.
+/// Longest time for which a question is held back until there are new records, in ms. A gateway
+/// that has stopped answering is noticed within this time plus the next one.
 pub const HOLD_MS: u64 = 500;
-/// The time that an answer may take beyond that, and a connection to come up, in ms: many times the way
-/// between failure domains, and short beside the second after which a proof is missed.
+/// Time allowed for an answer beyond that, and for opening a connection, in ms. The value is many
+/// times the transmission time between failure domains, and short compared to the 1 s after which a
+/// proof is missed.
 const ANSWER_MS: u64 = 300;
-/// The largest answer, in bytes.
+/// Largest answer, in bytes.
 const ANSWER_MAX: usize = 16 << 20;
-/// The time between two attempts to accept a connection when the last one failed, in ms.
+/// Pause after a failed attempt to accept a connection, in ms.
 const ACCEPT_AGAIN_MS: u64 = 20;
 
-/// Asks for what is newer than what the asker holds.
+/// Question for records newer than those held by the asking gateway.
 #[derive(Debug, Serialize, Deserialize)]
 struct Question {
     topic: Topic,
-    /// The place up to which the asker holds everything; none if it holds nothing.
+    /// Position up to which the asking gateway holds all records; none if it holds no records.
     from: Option<Place>,
-    /// Whether records are wanted that say what the asker holds already.
+    /// Whether records that repeat what the asking gateway already holds are included.
     repeats: bool,
 }
 
-/// What another gateway answers.
+/// Answer of another gateway.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Answer {
-    /// Records from the asker's place on, or the newest of each key.
+    /// Records from the position of the question on, or the newest record of each key.
     pub records: Vec<Record>,
-    /// Whether these are all newest records and not just what was added.
+    /// Whether the records are a snapshot of all newest records, as opposed to the added ones.
     pub snapshot: bool,
-    /// The place after them.
+    /// Position after the records.
     pub next: Place,
-    /// How long the question was held back.
+    /// Time for which the question was held back, in ms.
     pub held_ms: u64,
-    /// How old the proof was then that nothing is newer; none without one.
+    /// Age of the proof, at that moment, that nothing is newer, in ms; none without a proof.
     pub proof_age_ms: Option<u64>,
-    /// The newest version of the configuration that the store is known to hold.
+    /// Newest configuration version that the store is known to hold.
     pub stored_version: Option<u64>,
-    /// How long ago a call to the store last failed at a gateway that reads it.
+    /// Time since a call to the store last failed at a gateway that reads the store, in ms.
     pub store_failed_ms_ago: Option<u64>,
 }
 
@@ -80,7 +83,7 @@
     /// Opens a connection.
     ///
     /// # Errors
-    /// If none comes up in time, in words.
+    /// Returns a description of the failure if no connection can be opened in time.
     pub async fn open(address: SocketAddr) -> Result<Asking, String> {
         let connecting = TcpStream::connect(address);
         let stream = timeout(Duration::from_millis(ANSWER_MS), connecting).await;
@@ -91,16 +94,16 @@
         Ok(Asking { address, frames: framed(stream) })
     }
 
-    /// Whom it asks.
+    /// Returns the address of the asked gateway.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Asks for what is newer, with or without repeats of what is held; nothing if the other gateway has
-    /// nothing to tell.
+    /// Asks for newer records, with or without repeats of those held. Returns nothing if the other
+    /// gateway cannot tell what is newer.
     ///
     /// # Errors
-    /// If no answer comes in time or it cannot be read, in words.
+    /// Returns a description of the failure if no readable answer arrives in time.
     pub async fn ask(
         &mut self,
         topic: Topic,
@@ -120,7 +123,7 @@
     }
 }
 
-/// Takes questions of other gateways.
+/// Accepts connections of other gateways and answers their questions.
 pub async fn accept(gateway: Rc<Gateway>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -164,14 +167,14 @@
     }
 }
 
-/// The answer once there is news or a younger proof, or the time is over.
+/// Returns the answer when there are new records or a younger proof, or when the time is over.
 async fn held_back(gateway: &Gateway, question: &Question) -> Option<Answer> {
     let began = gateway.now();
     let notified = gateway.news(question.topic).notified();
     let mut told = tell(gateway, question);
     let nothing_new = |answer: &Answer| answer.records.is_empty() && !answer.snapshot;
     if told.as_ref().is_none_or(nothing_new) {
-        // Late is as good as news: the answer says what is known then.
+        // A time-out is handled like a notification: the answer holds what is known by then.
         let _ = timeout(Duration::from_millis(HOLD_MS), notified).await;
         told = tell(gateway, question);
     }
@@ -195,7 +198,8 @@
     };
     let now = gateway.now();
     let proof_age_ms = match topic {
-        // Of backend servers, too, it says whether the store is heard: records may be as late.
+        // For backend servers, the age also shows whether the gateway receives answers of the
+        // store: their records may be late by as much.
         Topic::Configuration | Topic::BackendServers => gateway.freshness.get().age_ms(now),
         Topic::Leaders => None,
     };
@@ -211,7 +215,7 @@
     })
 }
 
-/// The newest record of each key, as this gateway holds them.
+/// Returns the newest record of each key, as held by this gateway.
 fn newest(gateway: &Gateway, topic: Topic) -> Vec<Record> {
     match topic {
         Topic::Configuration => {
--- a/crates/oliveworks-gateway/src/peers.rs
+++ b/crates/oliveworks-gateway/src/peers.rs
@@ -1,7 +1,8 @@
-//! What gateways tell each other: datagrams, several a second, each complete in itself.
+//! Messages between gateways: datagrams, sent several times a second, each complete in itself.
 //!
-//! Datagrams and not QUIC connections: nothing here must arrive, a lost one is followed by the next,
-//! and no gateway may wait for another. What must hold is in the store or in fences.
+//! Datagrams are preferred to QUIC connections, since no delivery has to be guaranteed: a lost
+//! message is replaced by the next one, and no gateway may wait for another. All state that must be
+//! reliable is in the store or protected by fencing tokens.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,41 +23,42 @@
 use crate::rate_limits::ToLimiter;
 use crate::state::Gateway;
 
-/// The time between two heartbeats.
+/// Time between two heartbeats, in ms.
 const BEAT_MS: u64 = 100;
-/// Silence after which a gateway is no longer told to others.
+/// Silence after which a gateway is no longer named to others, in ms.
 pub const PEER_MS: u64 = 3_000;
-/// Silence after which a gateway is forgotten.
+/// Silence after which a gateway is forgotten, in ms.
 const FORGET_MS: u64 = 60_000;
-/// The largest datagram.
+/// Largest size of a datagram, in bytes.
 const DATAGRAM_MAX: usize = 60_000;
-/// The time between two questions for a newer table, in ms: the way there and back between failure
-/// domains, so that one loss costs little more than that.
+/// Time between two requests for a newer table, in ms: the round-trip time between failure domains,
+/// so that one lost message costs little more than one round trip.
 const ASK_TABLE_MS: u64 = 20;
-/// The same while parts of a whole table come, which take longer, in ms: a megabyte at 80 Mbit/s.
+/// The same while parts of a whole table are arriving, in ms. Their transfer takes longer: 1 MB at
+/// 80 Mbit/s.
 const ASK_WHOLE_MS: u64 = 100;
 
-/// What one gateway says to another.
+/// A message between two gateways.
 #[derive(Debug, Serialize, Deserialize)]
 enum Message {
-    /// What it sees, several times a second.
+    /// Heartbeat, sent several times a second.
     Beat(Box<Beat>),
-    /// A change of the table.
+    /// Change of the table.
     Change(Box<Change>),
-    /// Part of the whole table, for a gateway that is too far behind for changes.
+    /// Part of the whole table, for a gateway that has missed too many changes.
     Part(Box<Part>),
-    /// Asks for what is newer than the table that the sender holds.
+    /// Request for what is newer than the table held by the sender.
     AskTable(Version),
-    /// Asks the limiter of a backend server for a permit.
+    /// Request for a permit, sent to the limiter of a backend server.
     AskPermit(Question),
-    /// A limiter's answer.
+    /// Answer of a limiter.
     Permit(Answer),
-    /// Tells the limiter of a backend server of a call that could not wait for a permit.
+    /// Report to the limiter of a backend server that a call was made without waiting for a permit.
     Spent(Target),
 }
 
 impl Message {
-    /// The counter of the bytes that are sent in messages of this kind.
+    /// Returns the name of the counter of bytes sent in messages of this kind.
     fn bytes_counter(&self) -> &'static str {
         match self {
             Message::Beat(_) => "heartbeat_bytes",
@@ -67,7 +69,7 @@
     }
 }
 
-/// Where datagrams go: to gateways that are known, and to seeds that are not known yet.
+/// Returns the recipients of datagrams: the known gateways, and the seeds that are not known yet.
 fn recipients(gateway: &Gateway) -> Recipients {
     let own = gateway.settings.listen.peers;
     let peers = gateway.peers.borrow();
@@ -100,7 +102,7 @@
     Some(bytes)
 }
 
-/// Sends a message; a datagram that does not leave is as good as one that is lost on its way.
+/// Sends a message. A datagram that cannot be sent is treated like one lost in transit.
 fn send_to(gateway: &Gateway, socket: &UdpSocket, message: &Message, addresses: &[SocketAddr]) {
     if addresses.is_empty() {
         return;
@@ -115,7 +117,7 @@
 fn send_beats(gateway: &Gateway, socket: &UdpSocket) {
     let Recipients { near, mut far } = recipients(gateway);
     let beat = heartbeat::own(gateway);
-    // The leader acts on suspicions, so it hears of them first.
+    // The leader acts on suspicions and therefore receives them first.
     let leader = gateway.leader_address.get().filter(|_| beat.is_urgent());
     let unreached = |address: &SocketAddr| !near.contains(address) && !far.contains(address);
     if let Some(address) = leader.filter(unreached) {
@@ -133,7 +135,7 @@
     send_to(gateway, socket, &Message::Beat(Box::new(beat)), &near);
 }
 
-/// Addresses by the failure domain of the gateway there, if that is known.
+/// Groups addresses by the failure domain of their gateway; none if the failure domain is unknown.
 fn by_domain(
     gateway: &Gateway,
     addresses: &[SocketAddr],
@@ -148,8 +150,9 @@
     found
 }
 
-/// Passes on changes of the table that are new here: a leader to all its recipients, others to their own
-/// failure domain if they came from another. So two copies of each go to a failure domain.
+/// Forwards changes of the table that are new here. The leader sends them to all its recipients,
+/// other gateways to their own failure domain if the changes came from another one. Each failure
+/// domain therefore receives two copies of a change.
 fn send_changes(gateway: &Gateway, socket: &UdpSocket) {
     let changes = std::mem::take(&mut *gateway.changes_to_pass.borrow_mut());
     if changes.is_empty() {
@@ -164,7 +167,7 @@
     }
 }
 
-/// Says to limiters what is to be said.
+/// Sends the pending messages to limiters.
 fn send_to_limiters(gateway: &Gateway, socket: &UdpSocket) {
     for (limiter, message) in gateway.take_messages_to_limiters() {
         let message = match message {
@@ -175,7 +178,7 @@
     }
 }
 
-/// Sends heartbeats, and changes of the table and messages to limiters when there are some.
+/// Sends heartbeats, and pending changes of the table and messages to limiters.
 pub async fn send(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
     let mut beat_at = 0;
     loop {
@@ -193,7 +196,7 @@
     }
 }
 
-/// Takes a leader's heartbeat in, and asks for what its table has newer than the one held.
+/// Processes a heartbeat of the leader, and requests the newer part of the leader's table.
 fn hear_leader(gateway: &Gateway, socket: &UdpSocket, from: SocketAddr, leader: LeaderSeen) {
     let now = gateway.now();
     let LeaderSeen { heartbeat, address } = leader;
@@ -205,7 +208,8 @@
     if told == held {
         confirm_table(gateway, heartbeat);
     }
-    // A sender that has just heard of it may lack it too; the next datagram asks again.
+    // The sender may have heard of the newer table only recently and may lack it. The next datagram
+    // leads to another request.
     if told > held && now >= gateway.ask_table_at.get() {
         gateway.ask_table_at.set(now + ASK_TABLE_MS);
         gateway.count("tables_asked");
@@ -213,7 +217,7 @@
     }
 }
 
-/// The leader has just said that the table which is held here is its newest one.
+/// Records that the leader has confirmed the held table as its newest one.
 fn confirm_table(gateway: &Gateway, heartbeat: Heartbeat) {
     let newest = gateway.election.borrow().heartbeat();
     if newest.is_some_and(|newest| newest == heartbeat) {
@@ -240,8 +244,9 @@
     }
 }
 
-/// Takes a change of the table in, and passes it on if it came from another failure domain. One that does not
-/// fit is left out: it is old, or one before it is missing, which the next heartbeat shows.
+/// Applies a change of the table, and forwards it if it came from another failure domain. A change
+/// that does not fit is dropped: the change is old, or an earlier one is missing, which the next
+/// heartbeat reveals.
 fn take_change(gateway: &Gateway, from: SocketAddr, change: Change) {
     if !gateway.change_table(change.clone()) {
         return;
@@ -256,7 +261,7 @@
     }
 }
 
-/// Takes part of a whole table in.
+/// Processes a part of a whole table.
 fn take_part(gateway: &Gateway, part: Part) {
     gateway.ask_table_at.set(gateway.now() + ASK_WHOLE_MS);
     let Some(table) = gateway.table_parts.borrow_mut().take(part) else { return };
@@ -285,7 +290,7 @@
     }
 }
 
-/// Takes datagrams in.
+/// Receives and processes datagrams.
 pub async fn receive(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; DATAGRAM_MAX + 1];
     loop {
@@ -300,7 +305,8 @@
     }
 }
 
-/// How many gateways come before this one when a new leader is needed: those that the store answers.
+/// Returns the number of gateways that precede this one as candidates for the leadership. Only
+/// gateways that the store answers count.
 pub fn rank(gateway: &Gateway) -> u64 {
     let now = gateway.now();
     let peers = gateway.peers.borrow();
--- a/crates/oliveworks-gateway/src/pending_send.rs
+++ b/crates/oliveworks-gateway/src/pending_send.rs
@@ -1,12 +1,12 @@
-//! Requests that were given to a backend server and are not sent yet.
+//! Requests for which a backend server was chosen but which have not been sent yet.
 
 use oliveworks_gateway_core::balance::Target;
 use oliveworks_gateway_core::rate_limits::permits::Permit;
 
 use crate::state::Gateway;
 
-/// A request that was given to a backend server and is not sent yet: it counts against what this gateway may send there, and
-/// no longer if it is dropped unsent.
+/// A request for which a backend server was chosen but which has not been sent yet. It counts
+/// against what this gateway may send there until it is dropped unsent.
 pub struct PendingSend<'a> {
     gateway: &'a Gateway,
     target: Target,
@@ -15,7 +15,7 @@
 }
 
 impl Gateway {
-    /// Counts a request as on its way to a backend server.
+    /// Counts a request as about to be sent to a backend server.
     pub fn pending_send(&self, target: Target) -> PendingSend<'_> {
         if let Some(slow_starts) = self.slow_starts.borrow_mut().as_mut() {
             slow_starts.chosen(target);
@@ -26,7 +26,8 @@
 }
 
 impl PendingSend<'_> {
-    /// Whether it may be sent: its target may have named a rate limit since it was chosen, and a permit may have ended.
+    /// Returns whether the request may be sent: the target may have named a rate limit since it was
+    /// chosen, and a permit may have expired.
     pub fn may_be_sent(&mut self) -> bool {
         let now = self.gateway.now();
         let mut rate_limits = self.gateway.rate_limits.borrow_mut();
@@ -36,7 +37,7 @@
         rate_limits.may_send(now, self.target, self.permit)
     }
 
-    /// It is sent now.
+    /// Records that the request is sent now.
     pub fn sent(&mut self) {
         self.sent = true;
         if let Some(slow_starts) = self.gateway.slow_starts.borrow_mut().as_mut() {
--- a/crates/oliveworks-gateway/src/places.rs
+++ b/crates/oliveworks-gateway/src/places.rs
@@ -1,4 +1,4 @@
-//! Where requests can be sent: backend servers that stand alone, and heads of replica groups.
+//! Destinations of requests: single backend servers, and heads of replica groups.
 
 use std::net::SocketAddr;
 
@@ -7,40 +7,40 @@
 
 use crate::state::Gateway;
 
-/// Somewhere that a request can be sent.
+/// A destination of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Place {
-    /// The backend server's id.
+    /// Id of the backend server.
     pub server: BackendServerId,
-    /// Where it listens.
+    /// Address of the backend server.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the backend server.
     pub failure_domain: String,
-    /// How it is counted.
+    /// Properties by which the load balancer compares places.
     pub candidate: Candidate,
-    /// The group that it heads.
+    /// Epoch of the group whose head the backend server is; none for a single backend server.
     pub epoch: Option<u64>,
-    /// Whether it, or another member of its group, leaves or is gone.
+    /// Whether the backend server or another member of its group is leaving or gone.
     pub leaves: bool,
 }
 
-/// How long a leader's table is believed without a heartbeat.
+/// Time for which a leader's table is used without a heartbeat, in ms.
 const TABLE_MS: u64 = 2_000;
-/// What an open request costs the next one at a plain backend server, in ms.
+/// Cost of an outstanding request for the next one at a single backend server, in ms.
 const PLAIN_OPEN_MS: f64 = 5.0;
-/// The same at a replica group, beside what its prompt costs.
+/// The same at a replica group, in ms, in addition to the cost of reading its prompt.
 const GROUP_OPEN_MS: f64 = 1.0;
 
 impl Gateway {
-    /// Whether the leader's table is young enough to be used. One that never came is not: a process
-    /// that has just started goes by the list of backend servers until a leader is heard.
+    /// Returns whether the leader's table is recent enough to be used. A process that has just
+    /// started has no table, and uses the list of backend servers until it hears from a leader.
     fn table_is_young(&self) -> bool {
         let came = self.table.borrow().number > 0;
         let leads = self.election.borrow().leads().is_some();
         came && (leads || self.now() < self.table_heard_at.get() + TABLE_MS)
     }
 
-    /// Backend servers that stand alone.
+    /// Returns the backend servers of a service as single places.
     pub fn plain_places(&self, service: &str) -> Vec<Place> {
         let directory = self.directory.borrow();
         let servers = directory.of_service(service);
@@ -65,14 +65,14 @@
         }
     }
 
-    /// Whether a backend server leaves or is gone, as far as is known now.
+    /// Returns whether a backend server is known to be leaving or gone.
     pub fn leaves(&self, server: &str) -> bool {
         let directory = self.directory.borrow();
         directory.get(server).is_some_and(|server| server.draining)
             || self.missing.borrow().has_gone(server)
     }
 
-    /// Heads of groups that serve a model.
+    /// Returns the heads of the groups that serve a model.
     pub fn group_places(&self, service: &str, model: &str) -> Vec<Place> {
         if self.table_is_young() {
             return self.table_places(service, model);
@@ -104,7 +104,7 @@
                 let head = &group.members[0];
                 let candidate = Candidate {
                     target: Target::of(head),
-                    // A slow group writes as fast as usual only with fewer requests.
+                    // A slow group reaches the usual output speed only with fewer requests.
                     slots: (f64::from(group.slots) / group.pace()).ceil() as u32,
                     near: group.failure_domain == self.settings.failure_domain,
                     open_ms: GROUP_OPEN_MS * group.pace(),
--- a/crates/oliveworks-gateway/src/process.rs
+++ b/crates/oliveworks-gateway/src/process.rs
@@ -1,4 +1,4 @@
-//! Starts and stops a gateway.
+//! Start and stop of a gateway.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,13 +16,13 @@
 use crate::state::{Gateway, STOP_NOTICE_MS};
 use crate::{drains, leader, passing, peers, records, reload};
 
-/// Time of the grace that is left unused.
+/// Time of the grace period that is left unused, in ms.
 const GRACE_MARGIN_MS: u64 = 700;
 
-/// Runs a gateway until SIGTERM; at SIGHUP, `read` reads its settings again.
+/// Runs a gateway until SIGTERM. On SIGHUP, the settings are read again by `read`.
 ///
 /// # Errors
-/// If it cannot listen where its settings say.
+/// Returns an error if a listening address of the settings cannot be bound.
 pub async fn run(
     settings: Settings,
     read: impl Fn() -> anyhow::Result<Settings> + 'static,
@@ -42,10 +42,10 @@
     run_until(settings, dialect, Clock::new(), told).await
 }
 
-/// Runs a gateway until it is told to stop.
+/// Runs a gateway until the future `told` completes.
 ///
 /// # Errors
-/// If it cannot listen where its settings say.
+/// Returns an error if a listening address of the settings cannot be bound.
 pub async fn run_until(
     settings: Settings,
     dialect: Rc<dyn Dialect>,
@@ -76,7 +76,8 @@
     Ok(())
 }
 
-/// Lets the platform notice, finishes what is under way, and ends.
+/// Waits until the platform has noticed the stop, and for requests in flight, up to the end of the
+/// grace period.
 async fn stop(gateway: &Rc<Gateway>) {
     Event::new("stop_begins").with("open_requests", gateway.open_requests.get()).write();
     let began = gateway.now();
@@ -94,6 +95,6 @@
         sleep(Duration::from_millis(50)).await;
     }
     Event::new("stop_ends").with("cut_off", gateway.open_requests.get()).write();
-    // The thread that writes lines gets a moment.
+    // The thread that writes the log gets time for the last lines.
     sleep(Duration::from_millis(20)).await;
 }
--- a/crates/oliveworks-gateway/src/rate_limits.rs
+++ b/crates/oliveworks-gateway/src/rate_limits.rs
@@ -1,5 +1,5 @@
-//! Rate limits that backend servers name: takes in what answers and other gateways tell of them, and gets permits for
-//! requests.
+//! Rate limits named by backend servers: processes what answers and other gateways say about
+//! limits, and obtains permits for requests.
 
 use std::net::SocketAddr;
 
@@ -19,20 +19,21 @@
 use crate::places::Place;
 use crate::state::Gateway;
 
-/// The time between two lines of one backend server's limit, in ms: it may name another in each answer.
+/// Time between two log lines on the limit of one backend server, in ms. Each answer may name a
+/// different limit.
 const TELL_MS: u64 = 1_000;
 
-/// What is to be said to the limiter of a backend server.
+/// Message to the limiter of a backend server.
 #[derive(Clone, Copy, Debug)]
 pub enum ToLimiter {
-    /// A permit is wanted.
+    /// Request for a permit.
     Question(Question),
-    /// A call was made that could not wait for one.
+    /// Report of a call that was made without waiting for a permit.
     Spent(Target),
 }
 
 impl Gateway {
-    /// Takes in which limit an answer names.
+    /// Processes the limit named in an answer.
     pub fn hear_limit(&self, sender: Sender<'_>, answered: &Answered, request: &str) {
         let rate = match &answered.limit {
             NamedLimit::NotTold => None,
@@ -53,7 +54,7 @@
         self.learn(target, request, |limits, now| limits.heard(now, heard));
     }
 
-    /// Takes in what another gateway knows of a limit.
+    /// Processes a limit reported by another gateway.
     pub fn limit_told(&self, limit: Limit) {
         let target = limit.target;
         {
@@ -84,8 +85,8 @@
         }
     }
 
-    /// A line for a limit that has changed from `before`; `sent_before` is how many requests this gateway had sent under it
-    /// and how long it had been in force, in ms.
+    /// Logs a change of a limit. `before` is the previous limit, and `sent_before` the number of
+    /// requests sent under it by this gateway and the time for which it was in force, in ms.
     fn tell_limit(
         &self,
         target: Target,
@@ -113,20 +114,24 @@
             .write();
     }
 
-    /// What a backend server takes from all gateways, in requests a second, if it names a limit.
+    /// Returns the limit of a backend server for all gateways together, in requests per second, if
+    /// it names one.
     pub fn limit_per_s(&self, target: Target) -> Option<f64> {
         self.rate_limits.borrow().limits.rate(target).map(Rate::per_s)
     }
 
-    /// Whether a request may be given to a backend server as far as its limit goes.
+    /// Returns whether the limit of a backend server allows a request now.
     pub fn limit_allows(&self, target: Target) -> bool {
         self.rate_limits.borrow().check(self.now(), target, Need::Only).is_ok()
     }
 
-    /// Asks a permit for one of the places that lack one, and parts these into open ones and others.
+    /// Requests a permit for one of the places that lack one, and divides these places into
+    /// eligible ones and others.
     ///
-    /// A place of another failure domain is not asked for while one of this one is open, nor one that was tried. Rejected: to
-    /// ask for several at once (all but one of their permits lie unused).
+    /// A place in a remote failure domain is not asked for while a local one is eligible, nor is a
+    /// place that was already tried.
+    ///
+    /// Rejected: requesting several permits at once, since all but one of them would remain unused.
     pub fn want_permits(&self, without_permit: Vec<Place>, tried: &[Target], places: &mut Places) {
         if without_permit.is_empty() {
             return;
@@ -151,7 +156,7 @@
         }
     }
 
-    /// Asks for a permit, unless that is of no use now; tells whether it was asked for.
+    /// Requests a permit unless that is of no use now, and returns whether it was requested.
     fn want_permit(&self, target: Target, need: Need) -> bool {
         let now = self.now();
         let members = self.members.borrow();
@@ -186,12 +191,12 @@
         self.send_now.notify_one();
     }
 
-    /// What is to be said to limiters, and where they listen.
+    /// Returns and removes the pending messages to limiters, with their addresses.
     pub fn take_messages_to_limiters(&self) -> Vec<(SocketAddr, ToLimiter)> {
         std::mem::take(&mut *self.to_limiters.borrow_mut())
     }
 
-    /// Answers a gateway that wants a permit.
+    /// Answers a gateway that requests a permit.
     pub fn answer_permit(&self, question: Question) -> Answer {
         self.limit_told(question.limit);
         let members = self.members.borrow();
@@ -200,7 +205,7 @@
         answer
     }
 
-    /// Takes a limiter's answer in.
+    /// Processes the answer of a limiter.
     pub fn permit_answered(&self, answer: Answer) {
         self.limit_told(answer.limit);
         self.rate_limits.borrow_mut().answered(self.now(), answer);
@@ -209,8 +214,8 @@
         }
     }
 
-    /// A call of this system's own was made to a backend server. It is never held back, since a replica group's safety may hang
-    /// on it, but it counts.
+    /// Counts one of this system's own calls to a backend server. Such a call is never held back,
+    /// since the safety of a replica group may depend on it, but it counts against the limit.
     pub fn call_made(&self, server: &str) {
         let target = Target::of(server);
         let members = self.members.borrow();
@@ -221,10 +226,11 @@
         }
     }
 
-    /// Another gateway has made a call to a backend server whose limiter this one is.
+    /// Counts a call made by another gateway to a backend server whose limiter is this gateway.
     pub fn call_made_elsewhere(&self, target: Target) {
         let members = self.members.borrow();
-        // One that takes another gateway for the limiter leaves it at that: it is an estimate for a moment.
+        // If this gateway considers another one the limiter, the report is not forwarded: such a
+        // difference lasts only a moment, and the count is an estimate.
         let _ = self.rate_limits.borrow_mut().spent(self.now(), target, &members);
     }
 }
--- a/crates/oliveworks-gateway/src/readiness.rs
+++ b/crates/oliveworks-gateway/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Tells the platform whether this process should be sent callers, and its figures.
+//! Readiness checks and metrics for the platform.
 
 use std::rc::Rc;
 
@@ -8,13 +8,13 @@
 use crate::connection::{Connection, Received};
 use crate::state::Gateway;
 
-/// Where figures are told.
+/// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// What the names of figures begin with.
+/// Prefix of the names of metrics.
 const FIGURES_PREFIX: &str = "oliveworks_gateway";
 
-/// Serves a connection of the platform's.
+/// Serves a connection of the platform.
 pub async fn serve(gateway: Rc<Gateway>, io: Io) {
     let mut connection = Connection::new(&gateway, io);
     while let Received::Request(request) = connection.receive(&gateway).await {
--- a/crates/oliveworks-gateway/src/records.rs
+++ b/crates/oliveworks-gateway/src/records.rs
@@ -1,4 +1,4 @@
-//! Takes in what the followed topics tell: configuration, backend servers, leaders.
+//! Processing of the followed topics: configuration, backend servers and leaders.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -22,14 +22,14 @@
 use crate::state::Gateway;
 use crate::{drains, missing, versions};
 
-/// The longest that the store holds a read of the configuration back while it may lack records, in ms: drains that are not
-/// written again end soon after that time.
+/// Longest time for which the store may hold back a read of the configuration while records may be
+/// missing in the store, in ms. Drains that are not written again end soon after this time.
 const SETTLING_WAIT_MS: u64 = 300;
-/// How long the store holds a read of the leaders' topic back.
+/// Longest time for which the store may hold back a read of the leaders' topic, in ms.
 const LEADERS_WAIT_MS: u64 = 15_000;
-/// The time between two reads of backend servers' records while new ones come.
+/// Time between two reads of the backend servers' records while new ones appear, in ms.
 const SERVERS_QUICK_MS: u64 = 300;
-/// How long after the last new one the list counts as complete.
+/// Time without new backend servers after which the list counts as complete, in ms.
 const SERVERS_SETTLE_MS: u64 = 1_500;
 
 fn take_configuration(gateway: &Gateway, step: Step, next: Option<Place>) {
@@ -69,14 +69,14 @@
     }
 }
 
-/// Forgets how long callers of routes wait that a configuration no longer has.
+/// Removes the remaining waits of callers for routes that are absent from a configuration.
 fn forget_waits(gateway: &Gateway, configuration: &Configuration) {
     let names = configuration.routes.iter().map(|route| route.name.as_str());
     let routes: BTreeSet<&str> = names.collect();
     gateway.waits.borrow_mut().retain(|route| routes.contains(route));
 }
 
-/// Follows all topics, once other gateways had time to be heard.
+/// Follows all topics, after other gateways had time to send heartbeats.
 pub async fn follow(gateway: Rc<Gateway>) {
     versions::others_heard(&gateway).await;
     ntex::rt::spawn(follow_configuration(gateway.clone()));
@@ -96,8 +96,8 @@
         }
         let Some(step) = follower.step(wait_ms).await else { continue };
         let (sent, held_ms, told_by) = (step.sent, step.held_ms, step.told_by);
-        // An answer with records proves only what was so when the call was sent, perhaps long ago:
-        // the next call is answered at once and proves more.
+        // An answer with records proves the state of the store only at the time of the call, which
+        // may be long ago. The next call is not held back, so its answer gives a younger proof.
         wait_ms = if step.records.is_empty() { longest_wait_ms } else { 0 };
         if gateway.store_may_lack_records() {
             wait_ms = wait_ms.min(SETTLING_WAIT_MS);
@@ -112,7 +112,7 @@
     }
 }
 
-/// Takes in a newer version that another gateway holds, if the store has not told it in time.
+/// Adopts a newer version held by another gateway if the store has not delivered it in time.
 async fn take_from_others(gateway: &Gateway, follower: &mut Follower) {
     let records = versions::catch_up(gateway, follower).await;
     if records.is_empty() {
@@ -123,7 +123,7 @@
     take_configuration(gateway, step, follower.place());
 }
 
-/// Notes how young the configuration is known to be.
+/// Records the age of the proof that the configuration is current.
 fn prove(gateway: &Gateway, sent: Millis, held_ms: u64, told_by: ToldBy) {
     if !gateway.step_proves(gateway.now()) {
         return;
@@ -140,18 +140,20 @@
     gateway.freshness.set(freshness);
 }
 
-/// Keeps what a step brought for gateways that ask this one; `next` is the place after it.
+/// Keeps the records of a step for gateways that read through this one; `next` is the position
+/// after them.
 fn keep(gateway: &Gateway, topic: Topic, step: &Step, next: Option<Place>) {
     let mut passing = gateway.passing(topic).borrow_mut();
     match next {
         Some(next) if step.snapshot => passing.read_anew(next),
         Some(next) => passing.followed(step.records.clone(), next),
-        // The place is lost: the topic is read anew with the next step.
+        // The position is unknown: the next step reads the whole topic again.
         None => {}
     }
 }
 
-/// Whether who told a list may not have heard the store for longer than records lag.
+/// Returns whether the source of a list may have been without an answer of the store for longer
+/// than records lag.
 fn is_late(gateway: &Gateway, told_by: ToldBy) -> bool {
     let lag_ms = gateway.settings.record_lag_ms();
     match told_by {
@@ -160,22 +162,22 @@
     }
 }
 
-/// What taking records of backend servers in brought.
+/// Result of processing records of backend servers.
 #[derive(Default)]
 struct Taken {
-    /// Whether one was not listed before.
+    /// Whether a backend server was listed that was unknown before.
     new: bool,
-    /// The records, for gateways that ask this one.
+    /// Records kept for gateways that read through this one.
     kept: Vec<Kept<Record>>,
 }
 
-/// Whether a younger record of a backend server is known.
+/// Returns whether a younger record of the backend server is known.
 fn is_overtaken(gateway: &Gateway, server: &BackendServer) -> bool {
     let directory = gateway.directory.borrow();
     directory.get(&server.id).is_some_and(|known| !server.may_follow(known))
 }
 
-/// Whether a backend server has started again under the id that it had; says so.
+/// Returns whether a backend server has restarted under the same id, and logs the restart.
 fn starts_anew(gateway: &Gateway, server: &BackendServer) -> bool {
     let directory = gateway.directory.borrow();
     let known = directory.get(&server.id);
@@ -193,7 +195,7 @@
     true
 }
 
-/// A record with what its backend server said in answers.
+/// Adds to a record what the backend server itself said about leaving.
 fn with_leaving(gateway: &Gateway, record: Record) -> Record {
     match record {
         Record::BackendServer(server) => {
@@ -203,7 +205,7 @@
     }
 }
 
-/// Takes records in.
+/// Processes the records of backend servers.
 fn take_servers(gateway: &Gateway, repeats: &mut Repeats, step: Step) -> Taken {
     let mut missing = gateway.missing.borrow_mut();
     let mut taken = Taken::default();
@@ -286,7 +288,8 @@
     taken
 }
 
-/// Notes up to when the list is known: another gateway may not have heard the store for a while.
+/// Records up to which time the list is known. Another gateway may not have received an answer of
+/// the store for a while.
 fn note_list_read(gateway: &Gateway, sent: Millis, held_ms: u64, told_by: ToldBy) {
     let read_at = match told_by {
         ToldBy::Store => sent,
@@ -298,14 +301,15 @@
     gateway.list_read_at.set(gateway.list_read_at.get().max(read_at));
 }
 
-/// Keeps records of backend servers for gateways that ask this one, and wakes these if there is news for them.
+/// Keeps records of backend servers for gateways that read through this one, and notifies these if
+/// there are new records.
 fn keep_servers(gateway: &Gateway, kept: Vec<Kept<Record>>, snapshot: bool, next: Option<Place>) {
     let news = snapshot || kept.iter().any(|kept| !kept.is_repeat);
     let mut passing = gateway.passing(Topic::BackendServers).borrow_mut();
     match next {
         Some(next) if snapshot => passing.read_anew(next),
         Some(next) => passing.followed_with_repeats(kept, next),
-        // The place is lost: the topic is read anew with the next step.
+        // The position is unknown: the next step reads the whole topic again.
         None => {}
     }
     drop(passing);
@@ -330,7 +334,7 @@
             let taken = take_servers(&gateway, &mut repeats, step);
             keep_servers(&gateway, taken.kept, snapshot, follower.place());
             let pause_ms = listing.read(gateway.now(), taken.new);
-            // Another gateway holds the next question back until it has news.
+            // Another gateway holds back the next question until there are new records.
             if follower.place().is_some() && told_by == ToldBy::Store {
                 sleep(Duration::from_millis(pause_ms)).await;
             }
@@ -339,7 +343,7 @@
     }
 }
 
-/// Follows who leads.
+/// Follows the topic of leaders.
 async fn follow_leaders(gateway: Rc<Gateway>) {
     let mut follower = Follower::new(&gateway, Topic::Leaders);
     loop {
--- a/crates/oliveworks-gateway/src/relay.rs
+++ b/crates/oliveworks-gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! Sees a request to its answer.
+//! Relays a request to backend servers until its caller has an answer.
 
 mod attempt;
 mod crashers;
@@ -27,23 +27,25 @@
 use crate::places::Place;
 use crate::state::Gateway;
 
-/// What a request's deadline is if its caller names none.
+/// Deadline of a request whose caller names none, in ms, counted from its receipt.
 const DEADLINE_MS: u64 = 30_000;
-/// When a caller may come back.
+/// Shortest time after which a rejected caller may retry, in ms.
 const COME_BACK_MS: u64 = 1_300;
-/// A random time on top, so that those who were refused together do not come back together.
+/// Upper limit of the random time, in ms, added to the retry time. The jitter keeps callers that
+/// were rejected together from retrying together.
 const COME_BACK_SPREAD_MS: u64 = 1_300;
-/// The same from a gateway that stops: others take callers, or it is back soon.
+/// Shortest retry time sent by a gateway that is stopping, in ms. The time is short because other
+/// gateways accept callers or this gateway is back soon.
 const COME_BACK_STOPPING_MS: u64 = 200;
-/// The same when keys are not honoured for a while.
+/// Shortest retry time sent while the configuration is too old to honour keys, in ms.
 const COME_BACK_STALE_MS: u64 = 1_000;
 
-/// How an answer ended.
+/// Outcome of writing an answer to a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// Whole: another request may follow.
+    /// The answer is complete, and another request may follow on the connection.
     Whole,
-    /// Broken off: the connection must end without looking whole.
+    /// The answer broke off. The connection must end without looking complete to the caller.
     Torn,
 }
 
@@ -53,39 +55,39 @@
     }
 }
 
-/// A request that is seen to its answer.
+/// A request in flight.
 struct Job<'a> {
     gateway: &'a Gateway,
     request: &'a Whole,
     asked: Asked,
     route: Route,
     service: String,
-    /// The model, if replica groups serve it.
+    /// Requested model, if the service serves models by replica groups.
     model: Option<String>,
-    /// The longest pass of a replica group of the model.
+    /// Duration of the longest pass of a replica group of the model, in ms; 0 if unknown.
     pass_ms: u64,
     workspace: Option<String>,
-    /// Regions that the workspace's requests may be served in; empty if any may serve them.
+    /// Regions that may serve requests of the workspace; empty if there is no restriction.
     workspace_regions: Vec<String>,
     priority: Option<u8>,
     received: Millis,
     deadline: Millis,
-    /// What is sent, told apart from other requests.
+    /// Fingerprint of the request's content, equal for all copies of the same request.
     fingerprint: Fingerprint,
     attempts: Attempts,
     tried: Vec<Target>,
-    /// What the caller has of the stream.
+    /// Position in the event stream up to which the caller has received events.
     progress: Progress,
-    /// Whether the caller has the head of a stream.
+    /// Whether the head of a streamed answer was sent to the caller.
     begun: bool,
-    /// How its answer comes about.
+    /// Facts about the answer's timeliness, such as delays and number of sends.
     served: Served,
-    /// The leader's table by which it was sent: fence and number.
+    /// Fence and number of the leader's table that the last send was based on.
     table: (u64, u64),
     log: Vec<String>,
 }
 
-/// Answers with a verdict of this system's own.
+/// Answers with a verdict of the gateway itself.
 pub async fn refuse(
     gateway: &Gateway,
     connection: &mut Connection,
@@ -114,7 +116,7 @@
     }
 }
 
-/// Sees a request to its answer.
+/// Relays a request to backend servers and returns how writing its answer ended.
 pub async fn handle(gateway: &Rc<Gateway>, connection: &mut Connection, request: Whole) -> End {
     gateway.count("requests");
     gateway.traffic.set(true);
@@ -221,7 +223,7 @@
 }
 
 impl Job<'_> {
-    /// Whether what this gateway knows of keys is young enough.
+    /// Returns whether the proof that the configuration is current is recent enough to honour keys.
     fn may_send(&self) -> bool {
         let gateway = self.gateway;
         let freshness = gateway.freshness.get();
@@ -250,14 +252,15 @@
                 Ok(found) => found,
                 Err(until) => return self.refuse_crasher(connection, until).await,
             };
-            // Hosts that ask to be left alone are there: more of them may not help, and they are not idle.
+            // Backend servers in a backoff exist and are not idle, so more of them may not help: a
+            // lack of places for this reason does not count as unmet demand.
             let lacks_place = found.as_ref().is_err_and(|none| none.reason != NoTarget::Backoff);
             self.note_demand(lacks_place);
             let place = match found {
                 Ok(place) => place,
                 Err(none) => return self.refuse_without_place(connection, &none).await,
             };
-            // While it waited for a place a copy of it may have begun.
+            // A copy of the request may have been sent while this one waited for a place.
             if gateway.is_tried_already(fingerprint) {
                 return self.refuse_copy(connection).await;
             }
@@ -310,7 +313,7 @@
         }
     }
 
-    /// Tells a caller that there is no place for its request.
+    /// Rejects a request for which there is no place.
     async fn refuse_without_place(
         &mut self,
         connection: &mut Connection,
@@ -333,7 +336,7 @@
         self.give_up(connection, self.attempts.verdict(now), come_back_ms).await
     }
 
-    /// Notes where the request goes, for the choices of others and for people; tells when.
+    /// Records the send in the load counts and in the log, and returns its time.
     fn begin_send(&mut self, place: &Place) -> Millis {
         self.table = self.gateway.table_version();
         let (target, tokens) = (place.candidate.target, self.asked.prompt_tokens);
@@ -356,20 +359,24 @@
         now
     }
 
-    /// Whether a target counts for less in the next choices, since an attempt there failed.
+    /// Returns whether a target gets a penalty in later choices because an attempt there failed.
     ///
-    /// Also if it refused: a host that ends its requests at once holds nothing open and would draw the next ones. It
-    /// refuses 18 in 100 fewer for that (4,726 in place of 5,759 on three plays of a day on which a third of the hosts
-    /// refuse), and as many callers are served. Not if it is left alone for a time that it named: after that it is as good
-    /// as any. Rejected: to send one that names no time nothing for a while, doubled with each refusal in a row, since
-    /// what it does take is missed under load (0.79 of callers served in place of 0.81).
+    /// A refusal counts as well: a host that rejects its requests at once has nothing outstanding
+    /// and would attract the next ones. The penalty reduces refusals by 18 in 100 (4,726 instead of
+    /// 5,759 in three runs of a day on which a third of the hosts refuse), and the number of served
+    /// callers stays the same. A host that named a backoff time gets no penalty, since it is as
+    /// good as any other afterwards.
+    ///
+    /// Rejected: a backoff, doubled with each consecutive refusal, for hosts that name no time. The
+    /// requests that such a host does accept are then missing under load (0.79 of callers served
+    /// instead of 0.81).
     fn is_to_blame(&self, target: Target, tried: &Tried) -> bool {
         let Tried::Failed { failure, .. } = tried else { return false };
         let now = self.gateway.now();
         *failure != Failure::Refused || self.gateway.backoffs.borrow().until(now, target).is_none()
     }
 
-    /// Counts an answer by whether it came in time; returns the outcome for the log.
+    /// Counts an answer by its timeliness and returns the outcome for the log.
     fn count_served(&mut self) -> &'static str {
         let now = self.gateway.now();
         if self.served.first_after_ms == 0 {
@@ -387,7 +394,7 @@
         timeliness.outcome()
     }
 
-    /// Counts a request that looks for its first place, by its model.
+    /// Counts a request that looks for its first place, per model.
     fn note_demand(&self, refused: bool) {
         let Some(model) = self.model.as_ref().filter(|_| self.attempts.sent() == 0) else { return };
         let key = ModelKey::of(&self.service, model);
@@ -416,13 +423,13 @@
     }
 }
 
-/// Counts a request at its target, however its attempt ends.
+/// Counts a request as outstanding at its target until dropped, however the attempt ends.
 struct Open<'a> {
     gateway: &'a Gateway,
     target: Target,
-    /// Tokens of its prompt.
+    /// Number of tokens in the prompt.
     tokens: u32,
-    /// When the first event came from there, if one did.
+    /// Time of the first event from the target, if any.
     first_event: Cell<Option<Millis>>,
     failed: bool,
 }
--- a/crates/oliveworks-gateway/src/relay/attempt.rs
+++ b/crates/oliveworks-gateway/src/relay/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one backend server or replica group.
+//! A single attempt of a request at one backend server or replica group.
 
 use std::cell::Cell;
 
@@ -21,13 +21,14 @@
 use crate::pending_send::PendingSend;
 use crate::places::Place;
 
-/// The silence after which a plain request that may be repeated goes elsewhere.
+/// Silence, in ms, after which a repeatable request without a model is sent to another backend
+/// server.
 const PLAIN_SILENCE_MS: u64 = 400;
-/// The same, in times of its route's goal, if that is longer.
+/// Factor on the goal of the route; the product replaces the silence above if it is longer.
 const PLAIN_SILENCE_GOALS: u64 = 2;
-/// The time before the deadline at which the final answer is given.
+/// Time before the deadline at which the final answer is sent, in ms.
 const DEADLINE_MARGIN_MS: u64 = 30;
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which are not forwarded.
 const CONNECTION_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -40,13 +41,13 @@
     "proxy-authenticate",
 ];
 
-/// What one attempt came to.
+/// Outcome of one attempt.
 pub(super) enum Tried {
-    /// The caller has its whole answer.
+    /// The caller has received the complete answer.
     Done,
-    /// It failed; `gone` is whether the backend server has ended.
+    /// The attempt failed; `gone` is whether the backend server has ended.
     Failed { failure: Failure, gone: bool },
-    /// The caller is gone.
+    /// The caller has disconnected.
     Left,
 }
 
@@ -70,7 +71,7 @@
         builder.body(Full::new(self.request.body.clone())).ok()
     }
 
-    /// Sends the request to one place and passes on what comes.
+    /// Sends the request to one place and forwards the answer.
     pub(super) async fn attempt(
         &mut self,
         connection: &mut Connection,
@@ -90,7 +91,8 @@
                 };
             }
         };
-        // While the connection came up keys may have been taken away, a drain begun, or the host asked for less.
+        // While the connection was being opened, keys may have been revoked, a drain may have
+        // begun, or the host may have lowered its limit.
         let may_send = self.may_send()
             && self.gateway.may_still_send(place, self.allowed())
             && choice.may_be_sent();
@@ -121,7 +123,8 @@
             if status == MISDIRECTED
                 && let Some(epoch) = place.epoch
             {
-                // It is no head, or another backend server has its address: the leader asks.
+                // The target is not the head of the group, or its address belongs to another
+                // backend server. The leader finds out by a probe.
                 self.gateway.suspect(epoch);
             }
             return failed;
@@ -132,7 +135,8 @@
         self.whole(connection, exchange, response, headers, place).await
     }
 
-    /// Whether an answer is the place's own to this request, so that what it says of its sender holds for that.
+    /// Returns whether an answer belongs to this request and comes from the intended backend
+    /// server, so that its statements about the sender are valid.
     fn is_of_the_place(&self, status: u16, answered: &Answered) -> bool {
         status != MISDIRECTED && answered.id.as_deref().is_none_or(|id| id == self.asked.id)
     }
@@ -152,7 +156,7 @@
         }
     }
 
-    /// What an answer's head alone decides.
+    /// Returns the outcome of the attempt if the head of the answer alone decides it.
     fn judge(&self, status: u16, answered: &Answered) -> Option<Tried> {
         let mine = answered.id.as_deref().is_none_or(|id| id == self.asked.id);
         let success = (200..300).contains(&status);
@@ -183,7 +187,7 @@
         answer.await?.map_err(|_| Failure::Lost)
     }
 
-    /// Waits for something from a place, unless it stands still or the time is over.
+    /// Waits for data from a place until the place counts as stalled or the deadline is near.
     async fn unless_silent<T>(
         &self,
         place: &Place,
@@ -209,14 +213,14 @@
         }
     }
 
-    /// When a place counts as standing still, if nothing comes from it.
+    /// Returns the time at which a place counts as stalled if nothing arrives from it.
     fn silent_at(&self, place: &Place, since: Millis) -> Option<Millis> {
         if self.route.repeat != Repeat::Idempotent {
             return None;
         }
         let base = since.max(self.gateway.awake_since());
         if self.model.is_none() {
-            // Where it cannot go elsewhere, it waits until its time is over.
+            // A request with no attempt left waits until its deadline.
             let again = self.attempts.sent() < self.route.max_attempts;
             let silence_ms = PLAIN_SILENCE_MS.max(self.route.goal_ms * PLAIN_SILENCE_GOALS);
             return again.then_some(base + silence_ms);
@@ -257,7 +261,7 @@
         kept.collect()
     }
 
-    /// Passes on an answer that must be whole before the caller sees any of it.
+    /// Forwards an answer that must be complete before the caller receives any of it.
     async fn whole(
         &mut self,
         connection: &mut Connection,
@@ -285,7 +289,7 @@
         }
     }
 
-    /// Passes on a stream, event by event.
+    /// Forwards a stream event by event.
     async fn stream(
         &mut self,
         connection: &mut Connection,
--- a/crates/oliveworks-gateway/src/relay/crashers.rs
+++ b/crates/oliveworks-gateway/src/relay/crashers.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request under which backend servers ended.
+//! Treatment of requests during which backend servers ended.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
 use crate::places::Place;
 
 impl Job<'_> {
-    /// Whether the backend server of a run that failed has ended, so that the run need not count against the request: not
-    /// again if others had ended under it before.
+    /// Returns whether the backend server of a failed run has ended, in which case the run need not
+    /// count against the request. Returns false if several had already ended in earlier runs.
     pub(super) async fn has_ended(&self, run: &FailedRun<'_>) -> bool {
         if self.gateway.now() >= self.deadline {
             return false;
@@ -24,12 +24,13 @@
         if !ended || !gateway.standing(self.fingerprint).is_strong_suspect() {
             return ended;
         }
-        // Before it is sent on, those that ran beside it are heard of, and more of them may have ended elsewhere.
+        // Before the request is sent again, ends reported for requests that ran beside it are
+        // awaited, as well as further ends at other gateways.
         sleep(Duration::from_millis(SETTLED_MS)).await;
         false
     }
 
-    /// Notes that an attempt was taken back.
+    /// Records that an attempt was withdrawn.
     pub(super) fn take_back(&mut self, place: &Place, sent_before: u32) {
         let now = self.gateway.now();
         self.log.push(format!("taken back from {} at {} ms", place.server, now - self.received));
@@ -39,7 +40,8 @@
         self.attempts.failed(now, failure, false);
     }
 
-    /// Refuses a copy of a request that may crash its backend server, while another one is tried.
+    /// Rejects a copy of a request that may crash its backend server while another copy is being
+    /// tried.
     pub(super) async fn refuse_copy(&mut self, connection: &mut Connection) -> (End, String) {
         self.log.push("backend servers ended under the same request, which is being tried".into());
         self.gateway.count("refused_copies");
@@ -47,9 +49,11 @@
         self.give_up(connection, verdict, COME_BACK_MS).await
     }
 
-    /// Refuses a request under which backend servers ended one after the other: this try has not run, and tells its
-    /// caller when one may. Rejected: a status for a request that is never right (it may be once the server is mended, and
-    /// it is the same request that another server may bear).
+    /// Rejects a request during which several backend servers ended in a row. The answer says that
+    /// this try has not run and when the caller may retry.
+    ///
+    /// Rejected: a status for requests that can never succeed. The request may succeed once the
+    /// server is fixed, and another server may handle the same request.
     pub(super) async fn refuse_crasher(
         &mut self,
         connection: &mut Connection,
--- a/crates/oliveworks-gateway/src/relay/placing.rs
+++ b/crates/oliveworks-gateway/src/relay/placing.rs
@@ -1,4 +1,4 @@
-//! Looks for a place for a request.
+//! Search for a place for a request.
 
 use std::time::Duration;
 
@@ -16,11 +16,11 @@
 use crate::obstacles::Places;
 use crate::places::Place;
 
-/// The part of its goal that a request waits for a place, in hundredths.
+/// Longest wait for a first place, in hundredths of the goal of the route.
 const WAIT_PERCENT: u64 = 22;
-/// How long a stream that has begun waits for a place to go on.
+/// Longest wait for a place to resume a request that was sent before, in ms.
 const RESUME_WAIT_MS: u64 = 1_800;
-/// The time between two looks for a place.
+/// Time between two searches for a place, in ms.
 const LOOK_MS: u64 = 15;
 
 impl Job<'_> {
@@ -35,14 +35,14 @@
         Allowed { route: &self.route.regions, workspace: &self.workspace_regions }
     }
 
-    /// This gateway's part of the callers of its model.
+    /// Returns this gateway's share of the callers of the model.
     fn callers_part(&self) -> CallersPart {
         let Some(model) = &self.model else { return CallersPart::UNKNOWN };
         let key = ModelKey::of(&self.service, model);
         self.gateway.demand.borrow().callers_part(self.gateway.now(), key)
     }
 
-    /// Leaves out replica groups of which this gateway has taken its part.
+    /// Removes replica groups whose quota for this gateway is used up.
     fn admit(&self, full_at: f64, parts: Parts, candidates: &mut Vec<Candidate>) {
         let asking = Asking {
             tokens: self.asked.prompt_tokens,
@@ -55,8 +55,8 @@
         admission.admit(self.gateway.now(), &balance, &asking, candidates);
     }
 
-    /// Chooses among places that are open to it, if one takes it now. A request that goes on after an attempt is not held
-    /// up by admission: its caller has waited for it already.
+    /// Chooses among eligible places, if one has room now. A request that resumes after an attempt
+    /// skips admission, since its caller has already waited for it.
     fn choose(&self, places: &[Place], goes_on: bool) -> Result<Target, NoTarget> {
         let full_at = self.gateway.settings.requests.full_at;
         let came_back = self.served.came_back && !goes_on;
@@ -79,8 +79,9 @@
         }
     }
 
-    /// Chooses for a request that may be held suspect: away from other suspects, so that the next end tells most; where
-    /// each place has some, away from strong ones.
+    /// Chooses a place for a request that may be suspect. Places with other suspects are avoided,
+    /// since an end of a backend server then tells most about its cause. If all places have
+    /// suspects, only places with strong suspects are avoided.
     fn choose_apart(
         &self,
         places: &[Place],
@@ -101,7 +102,8 @@
         found.or_else(|_| self.choose(places, goes_on))
     }
 
-    /// Counts whether a request stays in this failure domain; `near` is whether it could.
+    /// Counts whether a request stays in the local failure domain; `near` is whether a local place
+    /// was eligible.
     fn count_way(&self, place: &Place, near: bool) {
         let way = match (place.candidate.near, near) {
             (true, _) => "requests_near",
@@ -111,21 +113,22 @@
         self.gateway.count(way);
     }
 
-    /// Whether a request that found no place waits for one no longer.
+    /// Returns whether a request that found no place stops waiting.
     ///
-    /// One that was sent before waits also where none is in sight, since a group may form meanwhile; but not for hosts
-    /// that asked to be left alone if its caller has nothing yet: it is better told when these take requests again.
+    /// A request that was sent before also waits if no place is expected, since a group may form
+    /// meanwhile. The exception is a backoff of the hosts while the caller has received nothing: an
+    /// early answer that names the retry time serves the caller better.
     fn is_final(&self, no_place: &NoPlace, goes_on: bool, until: Millis) -> bool {
         let waits_anyway = match no_place.reason {
             NoTarget::Backoff => self.begun,
-            // A drain may take hours.
+            // A drain may last for hours.
             NoTarget::Drained => false,
             _ => goes_on,
         };
         self.gateway.now() >= until || !waits_anyway && no_place.lasts_until(until)
     }
 
-    /// Why there is no place among those that are parted, if none takes it.
+    /// Returns the reason why no place was found, from the failed choice or the obstacles.
     fn no_place(&self, places: &Places, found: NoTarget) -> NoPlace {
         if !places.open.is_empty() {
             return found.into();
@@ -151,8 +154,8 @@
         }
     }
 
-    /// Chooses where to send it; waits a little if all places are taken, and for a first one not at all where
-    /// there is none or it is known that none comes free.
+    /// Chooses where to send the request. Waits for a limited time if all places are taken. A first
+    /// attempt does not wait if there is no place or none is known to become free in time.
     pub(super) async fn place(&mut self, standing: Standing) -> Result<Place, NoPlace> {
         let goes_on = self.begun || self.attempts.sent() > 0;
         let patience_ms = match goes_on {
@@ -180,7 +183,8 @@
                 return Err(no_place);
             }
             let look = Duration::from_millis(LOOK_MS);
-            // Also over when a permit comes, which does not hold for long.
+            // The wait also ends when a permit arrives, since permits are valid for a short time
+            // only.
             let _ = timeout(look, self.gateway.permits_came.notified()).await;
         }
     }
--- a/crates/oliveworks-gateway/src/reload.rs
+++ b/crates/oliveworks-gateway/src/reload.rs
@@ -1,15 +1,15 @@
-//! What SIGHUP does: the settings are read again, and the log says what has changed.
+//! Handling of SIGHUP: the settings are read again, and the log names the changes.
 //!
-//! Nothing takes effect before the next start: sockets, bounds and the weights of decisions are read once, so that a
-//! process never decides by some settings of before and some of after. A file that is wrong is told by the key
-//! at fault, long before a restart would fail by it.
+//! Changes take effect only at the next start. Sockets, limits and decision parameters are read
+//! once, so that a process never mixes old and new settings in its decisions. An error in the file
+//! is logged with the key at fault, long before a restart would fail because of it.
 
 use serde_json::Value;
 
 use crate::events::Event;
 use crate::settings::Settings;
 
-/// Writes what has changed in settings that were read again.
+/// Logs the changes in settings that were read again.
 pub(crate) fn tell(held: &Settings, read: anyhow::Result<Settings>) {
     let event = Event::new("reload");
     let event = match read {
@@ -22,7 +22,7 @@
     event.write();
 }
 
-/// The keys in which settings differ, such as `bounds.drain_ms`.
+/// Returns the keys whose values differ, such as `bounds.drain_ms`.
 pub fn changed_keys(held: &Settings, new: &Settings) -> Vec<String> {
     let mut keys = Vec::new();
     if let (Ok(held), Ok(new)) = (serde_json::to_value(held), serde_json::to_value(new)) {
--- a/crates/oliveworks-gateway/src/settings.rs
+++ b/crates/oliveworks-gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! A gateway's settings.
+//! Settings of a gateway.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,56 +13,57 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// This gateway's name, unique among gateways.
+    /// Name of this gateway, unique among gateways.
     pub node: String,
-    /// Its failure domain.
+    /// Failure domain of this gateway.
     pub failure_domain: String,
-    /// Where it listens.
+    /// Listening addresses.
     pub listen: Listen,
-    /// Some gateways to ask for the others; they may be stale. Only their hosts matter: gateways
-    /// hear each other at the port of `listen.peers`.
+    /// Addresses of some gateways to contact first; they may be stale. Only the host part is used,
+    /// since gateways communicate on the port of `listen.peers`.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// The platform's store.
     pub store: Store,
-    /// What must hold.
+    /// Guarantees that the gateway has to keep.
     pub bounds: Bounds,
-    /// The region of each failure domain; needed where routes or workspaces name regions.
+    /// Region of each failure domain; required if routes or workspaces name regions.
     #[serde(default)]
     pub regions: BTreeMap<String, String>,
-    /// What may be lost at once with every promise kept.
+    /// Losses that may occur at once without breaking a guarantee.
     #[serde(default)]
     pub tolerance: Tolerance,
-    /// How it treats requests.
+    /// Handling of requests.
     #[serde(default)]
     pub requests: Requests,
-    /// The weights of its decisions.
+    /// Parameters of decisions.
     #[serde(default)]
     pub policy: Policy,
-    /// Logs.
+    /// Logging.
     #[serde(default)]
     pub log: LogConfig,
 }
 
-/// The weights of a gateway's decisions.
+/// Parameters of a gateway's decisions.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// Which hosts form groups, and what the others load.
+    /// Parameters of the planner, which chooses the hosts that form groups and the models that
+    /// other hosts load.
     pub planner: PlannerConfig,
-    /// How much of what groups have free this gateway takes.
+    /// Parameters of the share of free capacity that this gateway may use.
     pub admission: AdmissionConfig,
 }
 
-/// Where a gateway listens.
+/// Listening addresses of a gateway.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
-    /// For callers, TCP.
+    /// Address for callers, TCP.
     pub callers: SocketAddr,
-    /// For whoever asks whether it is ready, and for metrics, TCP.
+    /// Address for readiness checks and metrics, TCP.
     pub ready: SocketAddr,
-    /// For other gateways, UDP and TCP.
+    /// Address for other gateways, UDP and TCP.
     pub peers: SocketAddr,
 }
 
@@ -70,81 +71,83 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Store {
-    /// Its address.
+    /// Address of the store.
     pub address: SocketAddr,
-    /// The longest that it holds a call back when the configuration has not changed; by default
-    /// 65 in 100 of `bounds.apply_ms`, or of `bounds.domain_drain_ms` if that is less.
+    /// Longest time for which the store holds a call back while the configuration is unchanged, in
+    /// ms; by default 65 in 100 of `bounds.apply_ms`, or of `bounds.domain_drain_ms` if that is
+    /// less.
     #[serde(default)]
     pub configuration_wait_ms: Option<u64>,
-    /// The time between two reads of backend servers' records; by default 65 in 100 of
+    /// Time between two reads of the backend servers' records, in ms; by default 65 in 100 of
     /// `bounds.drain_ms`.
     #[serde(default)]
     pub servers_every_ms: Option<u64>,
-    /// The time between two records of a backend server.
+    /// Time between two records of a backend server, in ms.
     #[serde(default = "default_heartbeat_ms")]
     pub heartbeat_ms: u64,
-    /// The longest that a call may take beyond its waiting.
+    /// Timeout of a call, in ms, in addition to the time for which the store may hold it back.
     #[serde(default = "default_call_ms")]
     pub call_ms: u64,
 }
 
-/// What must hold.
+/// Guarantees that a gateway has to keep.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// The time after which a leaving backend server gets nothing new.
+    /// Time after which a leaving backend server gets no new requests, in ms.
     pub drain_ms: u64,
-    /// The time after which a published configuration is in force.
+    /// Time after which a published configuration is in force, in ms.
     pub apply_ms: u64,
-    /// The time that a stopping process has.
+    /// Grace period of a stopping process, in ms.
     pub grace_ms: u64,
-    /// The time after which a key that was taken away serves nothing; none if it is not bound.
+    /// Time after which a revoked key is no longer honoured, in ms; none if it is not limited.
     #[serde(default)]
     pub revoke_ms: Option<u64>,
-    /// Repeats for each request, over all gateways.
+    /// Repeated sends allowed per request, over all gateways.
     pub repeat_ratio: f64,
-    /// Repeats beyond that in a window, over all gateways.
+    /// Repeated sends allowed in addition per window, over all gateways.
     pub repeat_extra: f64,
-    /// The window.
+    /// Length of the window, in ms.
     pub repeat_window_ms: u64,
-    /// The time after which a drained failure domain gets no requests; none if it is not bound.
+    /// Time after which a drained failure domain gets no requests, in ms; none if it is not
+    /// limited.
     #[serde(default)]
     pub domain_drain_ms: Option<u64>,
-    /// What a cold backend server may be sent; none if it is not bound.
+    /// Limit on requests to a cold backend server; none if they are not limited.
     #[serde(default)]
     pub slow_start: Option<SlowStartBound>,
 }
 
-/// What may be lost at once.
+/// Losses that may occur at once.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Tolerance {
-    /// Failure domains.
+    /// Number of failure domains.
     pub failure_domains: usize,
 }
 
-/// What all gateways together may send to a cold backend server in a second: its own figure times
-/// `excess`, and `extra` more.
+/// Limit on the requests per second that all gateways together send to a cold backend server: the
+/// rate that the server can take times `excess`, plus `extra`.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SlowStartBound {
-    /// The factor on the requests a second that it bears.
+    /// Factor on the rate that the server can take.
     pub excess: f64,
-    /// Requests beyond that.
+    /// Requests per second in addition.
     pub extra: f64,
 }
 
-/// How requests are treated.
+/// Handling of requests.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Requests {
-    /// The time that a connection to a backend server may take.
+    /// Timeout for opening a connection to a backend server, in ms.
     pub connect_ms: u64,
-    /// The load, in parts of its slots, at which a backend server takes no more.
+    /// Load, as a fraction of its slots, at which a backend server accepts no more requests.
     pub full_at: f64,
-    /// The largest whole answer that is kept until it is complete.
+    /// Largest answer that is buffered until it is complete, in bytes.
     pub answer_max: usize,
-    /// Whether requests under which backend servers ended one after the other are refused.
+    /// Whether requests during which several backend servers ended in a row are rejected.
     pub refuse_crashers: bool,
 }
 
@@ -162,26 +165,30 @@
     1_000
 }
 
-/// The part of a bound that a read of the store may be late, in hundredths: each read is priced.
+/// Part of a limit by which a read of the store may be late, in hundredths. Reads are not made more
+/// often because each one is charged.
 const READ_PERCENT: u64 = 65;
 
 impl Settings {
-    /// The longest that the store holds a read of the configuration and of drains back. It may miss to
-    /// answer one that comes with a change, so that only the next read brings it: well within both bounds.
+    /// Returns the longest time for which the store holds back a read of the configuration and of
+    /// drains, in ms. The store may fail to answer a read that arrives together with a change, so
+    /// that only the next read returns the change. Both limits leave enough time for that.
     pub fn configuration_wait_ms(&self) -> u64 {
         let Bounds { apply_ms, domain_drain_ms, .. } = self.bounds;
         let bound = domain_drain_ms.map_or(apply_ms, |drain_ms| drain_ms.min(apply_ms));
         self.store.configuration_wait_ms.unwrap_or(bound * READ_PERCENT / 100)
     }
 
-    /// The time between two reads of backend servers' records: one that leaves is seen by the next,
-    /// and what is left of its bound is for the read itself and for requests on their way.
+    /// Returns the time between two reads of the backend servers' records, in ms. A leaving server
+    /// is noticed by the next read, and the rest of the limit is left for the read itself and for
+    /// requests in transit.
     pub fn servers_every_ms(&self) -> u64 {
         self.store.servers_every_ms.unwrap_or(self.bounds.drain_ms * READ_PERCENT / 100)
     }
 
-    /// How long before it is taken in a record of a backend server may have been written: it is written
-    /// with a heartbeat, and taken in with the next read of the list.
+    /// Returns the longest time between the writing of a backend server's record and its processing
+    /// here, in ms: the record is written with a heartbeat and processed with the next read of the
+    /// list.
     pub fn record_lag_ms(&self) -> u64 {
         self.store.heartbeat_ms + self.servers_every_ms() + self.store.call_ms
     }
@@ -189,7 +196,8 @@
 
 impl Check for Settings {
     fn check(&self) -> Result<(), String> {
-        // Before what is worked out from it, which would be named in its place.
+        // Checked before the values derived from it, whose names would otherwise appear in the
+        // error.
         if self.bounds.domain_drain_ms == Some(0) {
             return Err("bounds.domain_drain_ms: must be more than 0".into());
         }
--- a/crates/oliveworks-gateway/src/slow_start.rs
+++ b/crates/oliveworks-gateway/src/slow_start.rs
@@ -1,4 +1,5 @@
-//! Cold backend servers: takes in what tells of them, and tells of which this gateway's part is taken.
+//! Cold backend servers: processes evidence that a server is cold, and logs when this gateway's
+//! share of one is used up.
 
 use oliveworks_gateway_core::Millis;
 use oliveworks_gateway_core::backend_servers::{BackendServer, BackendServerId, Born};
@@ -12,10 +13,10 @@
 use crate::settings::Settings;
 use crate::state::Gateway;
 
-/// The time between two lines that a part is taken, in ms: refusals come by the hundred.
+/// Time between two log lines on used-up shares, in ms, since rejections come by the hundred.
 const TELL_MS: u64 = 1_000;
 
-/// Nothing is known yet; none if what cold backend servers are sent is not bound.
+/// Returns the initial state; none if the load on cold backend servers is not limited.
 pub fn slow_starts(settings: &Settings, now: Millis) -> Option<SlowStarts> {
     let bound = settings.bounds.slow_start?;
     let config = SlowStartConfig {
@@ -26,7 +27,7 @@
     Some(SlowStarts::new(config, now))
 }
 
-/// A line for a backend server that turns cold.
+/// Logs a backend server that becomes cold.
 fn tell(server: &BackendServerId, now: Millis, known: Known) {
     Event::new("host_is_cold")
         .with("host", &**server)
@@ -36,13 +37,14 @@
 }
 
 impl Gateway {
-    /// How the backend servers of a service begin, if that is bound.
+    /// Returns the ramp-up of the backend servers of a service, if it is limited.
     fn slow_start_of(&self, service: &str) -> Option<SlowStart> {
         self.lookup()?.service(service)?.slow_start
     }
 
-    /// Whether the backend servers of a service may begin slowly, and how, if that is known. What tells that one is cold may come
-    /// before the first configuration does, and is not told again.
+    /// Returns whether the backend servers of a service may have a limited ramp-up, and its
+    /// parameters if known. Evidence that a server is cold may arrive before the first
+    /// configuration and is not repeated.
     fn may_start_slowly(&self, service: &str) -> Option<Option<SlowStart>> {
         match self.lookup() {
             None => Some(None),
@@ -50,7 +52,7 @@
         }
     }
 
-    /// Takes in what a record says of how cold its backend server is.
+    /// Processes what a record says about its backend server being cold.
     pub fn take_cold(&self, server: &BackendServer, listed: Listed) {
         let now = self.now();
         let mut slow_starts = self.slow_starts.borrow_mut();
@@ -64,7 +66,8 @@
         }
     }
 
-    /// A backend server's record for a gateway that takes the list over: as cold as it counts here.
+    /// Returns the record of a backend server for a gateway that adopts the list, with the
+    /// remaining cold time known here.
     pub fn as_cold_as_known(&self, server: &BackendServer) -> BackendServer {
         let mut told = server.clone();
         if let (Some(terms), Some(slow_starts)) =
@@ -76,13 +79,14 @@
         told
     }
 
-    /// Whether a backend server is doubted: then a record that says what the one before it said is news.
+    /// Returns whether the state of any backend server is in doubt. A record that repeats its
+    /// predecessor then counts as news.
     pub fn doubts_any_host(&self) -> bool {
         let slow_starts = self.slow_starts.borrow();
         slow_starts.as_ref().is_some_and(|slow_starts| slow_starts.doubts_any(self.now()))
     }
 
-    /// A failure domain is drained no more: its backend servers may be cold.
+    /// Records the end of a drain: the backend servers of the failure domain may be cold.
     pub fn drain_leaves_cold(&self, failure_domain: &str) {
         let directory = self.directory.borrow();
         for server in directory.iter().filter(|s| s.failure_domain == failure_domain) {
@@ -93,8 +97,9 @@
         }
     }
 
-    /// A backend server is listed whose failure domain's drain has ended just before: its record may be from before
-    /// that. Those that were listed then are doubted with the end itself.
+    /// Processes the listing of a backend server whose failure domain's drain has just ended: its
+    /// record may be older than the end. Servers that were listed at the end are handled by the end
+    /// itself.
     pub fn doubt_after_drain(&self, server: &BackendServer) {
         let (now, lag_ms) = (self.now(), self.settings.record_lag_ms());
         if !self.drains.borrow().has_ended_within(now, &server.failure_domain, lag_ms) {
@@ -106,10 +111,11 @@
         });
     }
 
-    /// A backend server is not reached. If that lasts, it may come back cold.
+    /// Records that a backend server could not be reached. If that lasts, it may be cold
+    /// afterwards.
     ///
-    /// Rejected: taking each failed call for a loss (a host that missed one call would be sent few requests
-    /// for seconds, and callers refused beside it).
+    /// Rejected: treating each failed call as a loss. A host that missed one call would be sent few
+    /// requests for seconds, and callers would be rejected meanwhile.
     pub fn lose(&self, server: &str) {
         if !self.suspensions.borrow().is_lost(Target::of(server)) {
             return;
@@ -121,7 +127,8 @@
         }
     }
 
-    /// A backend server of a service has begun a life of which its record does not tell.
+    /// Records that a backend server has begun a new incarnation, of which its record does not tell
+    /// yet.
     pub fn starts_again(&self, server: &str, service: &str, born: Born) {
         let Some(terms) = self.may_start_slowly(service) else { return };
         let id: BackendServerId = server.into();
@@ -144,7 +151,7 @@
         }
     }
 
-    /// Something came from a backend server of a service.
+    /// Records that data has arrived from a backend server.
     pub fn reached(&self, service: &str, target: Target) {
         let Some(terms) = self.slow_start_of(service) else { return };
         if let Some(slow_starts) = self.slow_starts.borrow_mut().as_mut() {
@@ -152,10 +159,11 @@
         }
     }
 
-    /// What a backend server of a service bears, in requests a second, if it is cold.
+    /// Returns the request rate that a cold backend server can take, in requests per second; none
+    /// if it is not cold or not limited.
     ///
     /// # Errors
-    /// If this gateway has taken its part of it.
+    /// Returns an obstacle if this gateway has used up its share of the rate.
     pub fn cold_rate(&self, service: &str, target: Target) -> Result<Option<f64>, Obstacle> {
         let Some(terms) = self.slow_start_of(service) else { return Ok(None) };
         let mut slow_starts = self.slow_starts.borrow_mut();
--- a/crates/oliveworks-gateway/src/sources.rs
+++ b/crates/oliveworks-gateway/src/sources.rs
@@ -1,4 +1,4 @@
-//! Where this gateway reads the store's records: in the store, or through another gateway.
+//! Choice of the source of the store's records: the store itself or another gateway.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,21 +11,22 @@
 use crate::events::Event;
 use crate::state::{Gateway, Peer};
 
-/// Silence after which a gateway of this failure domain does not count as a reader, in ms: seven
-/// heartbeats.
+/// Silence, in ms, after which a gateway of the local failure domain does not count as a reader:
+/// seven heartbeats.
 const NEAR_SILENT_MS: u64 = 700;
-/// The same of another failure domain, in ms, whose gateways are heard now and then.
+/// The same for gateways of remote failure domains, in ms, whose heartbeats arrive only now and
+/// then.
 const FAR_SILENT_MS: u64 = 3_000;
-/// What a proof may be older than the longest time for which the store holds a call back, in ms: the way
-/// to the store and back, and of the heartbeat that tells of it.
+/// Time that a proof may be older than the longest time for which the store holds a call back, in
+/// ms: the round trip to the store and the transmission of the heartbeat with the proof.
 const PROOF_SLACK_MS: u64 = 400;
-/// How long a gateway that did not answer is not asked, in ms.
+/// Time during which a gateway that did not answer is not asked again, in ms.
 const AVOID_MS: u64 = 2_000;
-/// The time between two calls to a store that turns this gateway away, while others answer it, in ms:
-/// each such call is priced, and short beside the four seconds that a proof is good for.
+/// Time between two calls to a store that rejects this gateway while it answers others, in ms. Each
+/// such call is charged, and the time is short compared to the 4 s for which a proof is valid.
 const STORE_AGAIN_MS: u64 = 1_500;
 
-/// Where the next step of a topic is made.
+/// Returns the source of the next step of a topic.
 pub fn next(gateway: &Gateway, following: &Following) -> ReadFrom {
     let own = Own {
         name: &gateway.settings.node,
@@ -38,7 +39,7 @@
     following.source(own, &known(gateway, &peers), rand::random())
 }
 
-/// The gateways that were heard lately.
+/// Returns the gateways that were heard from recently.
 fn known<'a>(gateway: &Gateway, peers: &'a BTreeMap<String, Peer>) -> Vec<Known<'a>> {
     let now = gateway.now();
     let avoided = gateway.avoided.borrow();
@@ -62,27 +63,28 @@
 }
 
 impl Gateway {
-    /// Whether others may count on this gateway to read the store. Not once it stops: the next one takes over while this one
-    /// still answers, and not some time after it has ended.
+    /// Returns whether others may rely on this gateway to read the store. A stopping gateway
+    /// returns false, so that the next reader takes over while this one still answers, and not some
+    /// time after its end.
     pub fn reads_for_others(&self) -> bool {
         self.election.borrow().store_answers() && !self.is_stopping()
     }
 
-    /// Whether this gateway reads the store now.
+    /// Returns whether this gateway reads the store now.
     pub fn reads_store(&self) -> bool {
         let proved_at = self.store_proved_at.get();
         proved_at.is_some_and(|at| is_young(self, self.now(), at)) && self.reads_for_others()
     }
 }
 
-/// Whether a proof that the store held nothing newer then is as young as a reader's should be: it is
-/// renewed each time that the store has held a call back for as long as it may.
+/// Returns whether a proof that the store held nothing newer is as young as a reader's proof should
+/// be. A reader renews its proof whenever the store has held a call back for the longest time.
 fn is_young(gateway: &Gateway, now: Millis, proved_at: Millis) -> bool {
     now < proved_at + gateway.settings.configuration_wait_ms() + PROOF_SLACK_MS
 }
 
-/// Whether the store is not known to answer this gateway, and others know what it holds: a call that
-/// it may leave unanswered is not to keep this one from asking them for long.
+/// Returns whether the store is not known to answer this gateway while others know what it holds. A
+/// call that may stay without an answer must then not delay questions to these gateways for long.
 pub fn tries_the_store(gateway: &Gateway) -> bool {
     let now = gateway.now();
     let proven = gateway.store_proved_at.get().is_some_and(|at| is_young(gateway, now, at));
@@ -91,7 +93,7 @@
     !proven && peers.values().any(|peer| informed(peer.proved_at))
 }
 
-/// A gateway did not answer: it is not asked for a while.
+/// Records that a gateway did not answer, so that no question is sent there for a while.
 pub fn avoid(gateway: &Gateway, address: SocketAddr, topic: Topic, why: &str) {
     let now = gateway.now();
     let mut avoided = gateway.avoided.borrow_mut();
--- a/crates/oliveworks-gateway/src/state.rs
+++ b/crates/oliveworks-gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of a gateway share.
+//! State shared by the modules of a gateway.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -42,172 +42,176 @@
 use crate::settings::Settings;
 use crate::{members, slow_start};
 
-/// Another gateway.
+/// A peer gateway.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Where it listens.
+    /// Address of its peer socket.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the peer.
     pub failure_domain: String,
-    /// When it was last heard, by this gateway or one that told so.
+    /// Time of the last message from the peer, received by this gateway or reported by a third one.
     pub heard_at: Millis,
-    /// Whether the store answered it when it was last heard here, and it went on reading it.
+    /// Whether other gateways may rely on the peer to read the store, as of its last heartbeat.
     pub store_answers: bool,
-    /// Whether it read the store itself then.
+    /// Whether the peer read the store itself, as of its last heartbeat.
     pub reads_store: bool,
-    /// Until when it knew then that the store held nothing newer than it; none if it did not tell.
+    /// Time of the peer's proof that the store held nothing newer; none without a proof.
     pub proved_at: Option<Millis>,
-    /// Which copy of itself the store answered from then, as far as it had heard.
+    /// Newest era of the store known to the peer, as of its last heartbeat.
     pub era: Era,
-    /// The newest version of the configuration that it held then; none if it had none, or was not heard itself.
+    /// Newest configuration version held by the peer; none if it holds no version or sent no
+    /// heartbeat to this gateway.
     pub version: Option<u64>,
 }
 
-/// How long after a stop begins new connections may still come: the platform asks once a second whether a
-/// process is ready, and takes it out after two refusals.
+/// Time after the begin of a stop during which new connections may still arrive, in ms. The
+/// platform checks the readiness of a process once a second and removes it after two failed checks.
 pub const STOP_NOTICE_MS: u64 = 2_300;
-/// A gap between two ticks after which this process has been asleep.
+/// Gap between two ticks, in ms, after which the process counts as having been paused.
 const ASLEEP_MS: u64 = 150;
-/// A gap after which what waits looks at the clock again, in ms: shorter ones cost less than asking anew.
+/// Gap between two ticks, in ms, after which waiting tasks check the clock again. For shorter gaps,
+/// repeating their requests would cost more than waiting.
 const RESUMED_MS: u64 = 1_000;
 
-/// A gateway's shared state. Belongs to one thread.
+/// Shared state of a gateway; belongs to one thread.
 pub struct Gateway {
-    /// Its settings.
+    /// Settings of this gateway.
     pub settings: Settings,
-    /// How the platform speaks.
+    /// Format of the platform's messages.
     pub dialect: Rc<dyn Dialect>,
-    /// The clock, which counts suspensions of the machine.
+    /// Clock that also counts the time in which the host was suspended.
     pub clock: Clock,
-    /// The newest configuration.
+    /// Newest configuration.
     pub lookup: RefCell<Option<Rc<Lookup>>>,
-    /// Failure domains that the operators drain.
+    /// Failure domains drained by the operators.
     pub drains: RefCell<Drains>,
-    /// How young it is.
+    /// Age of the proof that the configuration is current.
     pub freshness: Cell<Freshness>,
-    /// Backend servers that the platform lists.
+    /// Backend servers listed by the platform.
     pub directory: RefCell<Directory>,
-    /// Up to when it is known what the store told of backend servers.
+    /// Time up to which the store's list of backend servers is known.
     pub list_read_at: Cell<Millis>,
-    /// Whether the directory was read at all.
+    /// Whether the list of backend servers has been read at least once.
     pub directory_read: Cell<bool>,
-    /// Backend servers that are missing from the list or gone: a leader that cannot reach the store may not know
-    /// yet.
+    /// Backend servers that are missing from the list or gone. A leader that cannot reach the store
+    /// may not know of them yet.
     pub missing: RefCell<Missing>,
-    /// The last records of each topic, for gateways that ask this one, and who waits for news.
+    /// Last records of each topic, kept for gateways that read them through this one, and the
+    /// notification of tasks that wait for new records.
     passing: HashMap<Topic, (RefCell<Passing<Record>>, Notify)>,
-    /// Gateways that did not answer a question, and when.
+    /// Gateways that did not answer a question, with the time of the failure.
     pub avoided: RefCell<HashMap<SocketAddr, Millis>>,
-    /// When this gateway last called the store to follow a topic.
+    /// Time of this gateway's last call to the store to follow a topic.
     pub store_tried_at: Cell<Millis>,
-    /// When the last call that the store answered to this gateway was sent.
+    /// Time at which the last call answered by the store was sent by this gateway.
     pub store_proved_at: Cell<Option<Millis>>,
-    /// When a call to the store last failed, here or at a gateway that was asked.
+    /// Time of the last failed call to the store, by this gateway or by a gateway that it asked.
     pub store_failed_at: Cell<Option<Millis>>,
-    /// When the store last answered, this gateway or one that was asked.
+    /// Time of the store's last answer to this gateway or to a gateway that it asked.
     pub store_heard_at: Cell<Millis>,
-    /// Which copy of itself the store answers from.
+    /// Era of the store. An era begins when the store is restored from an older copy of its data.
     pub store_era: Cell<StoreEra>,
-    /// When another gateway was last heard itself.
+    /// Time of the last heartbeat received directly from another gateway.
     pub gateway_heard_at: Cell<Option<Millis>>,
-    /// The newest version of the configuration that the store is known to hold since it answers from that copy.
+    /// Newest configuration version that the store is known to hold in its current era.
     pub stored_version: Cell<Option<u64>>,
-    /// How long the store has been behind the newest version that any gateway knows.
+    /// Duration for which the store has been behind the newest version known to any gateway.
     pub store_lag: Cell<Lag>,
-    /// How long this gateway has been behind it.
+    /// Duration for which this gateway has been behind the newest version known to any gateway.
     pub own_lag: Cell<Lag>,
-    /// How busy backend servers are.
+    /// Load of backend servers.
     pub balance: RefCell<Balance>,
-    /// Places that stand still or could not be reached.
+    /// Targets that are stalled or could not be reached.
     pub suspensions: RefCell<Suspensions>,
-    /// Requests under which backend servers ended.
+    /// Requests during which backend servers ended.
     pub crashers: RefCell<Crashers>,
-    /// Tells runs that a request was convicted.
+    /// Notifies runs that a request was convicted of crashing its backend servers.
     pub convictions: Notify,
-    /// Backend servers that asked to be left alone.
+    /// Backend servers in a backoff that they asked for.
     pub backoffs: RefCell<Backoffs>,
-    /// Backend servers that name a rate limit, and permits for them.
+    /// Rate limits named by backend servers, and permits for them.
     pub rate_limits: RefCell<RateLimits>,
-    /// Tells requests that wait that a permit has come.
+    /// Notifies waiting requests that a permit has arrived.
     pub permits_came: Notify,
-    /// What is to be said to limiters, and where these listen.
+    /// Outgoing messages to limiters, with their addresses.
     pub to_limiters: RefCell<Vec<(SocketAddr, ToLimiter)>>,
-    /// When a line was last written of a backend server's limit.
+    /// Time of the last log line on the limit of each backend server.
     pub limits_told_at: RefCell<HashMap<Target, Millis>>,
-    /// Names of headers in answers that nothing here reads.
+    /// Names of answer headers that this gateway does not read.
     pub unread_headers: RefCell<HashSet<String>>,
-    /// How long callers of each route still wait.
+    /// Remaining wait of callers per route, used to recognize callers that retry.
     pub waits: RefCell<Waits>,
-    /// Gateways that share what all of them together may send.
+    /// Gateways that share the limits on what all of them may send together.
     pub members: RefCell<Members>,
-    /// Cold backend servers, if what they are sent is bound.
+    /// Cold backend servers; none if the load on cold backend servers is not limited.
     pub slow_starts: RefCell<Option<SlowStarts>>,
-    /// When a line last said that this gateway's part of a cold backend server is taken.
+    /// Time of the last log line on a used-up share of a cold backend server.
     pub cold_told_at: Cell<Millis>,
-    /// What this gateway took of each group lately.
+    /// Requests that this gateway sent to each group in the current window.
     pub admission: RefCell<Admission>,
-    /// How many requests for models find a place.
+    /// Demand per model, and the fraction of requests without a place.
     pub demand: RefCell<Demand>,
-    /// How fast replica groups run.
+    /// Speeds of replica groups.
     pub speeds: RefCell<Speeds>,
-    /// Repeats.
+    /// Budget of repeated sends.
     pub budget: RefCell<Budget>,
-    /// Places for calls to backend servers on this system's own behalf.
+    /// Slots for the gateway's own calls to backend servers.
     pub calls: Calls,
-    /// Who leads.
+    /// State of the leader election.
     pub election: RefCell<Election>,
-    /// The plans of each service, while this gateway leads.
+    /// Planner of each service, while this gateway leads.
     pub planners: RefCell<BTreeMap<String, Planner>>,
-    /// Groups that serve.
+    /// Serving groups.
     pub table: RefCell<Table>,
-    /// When the leader's table was last confirmed.
+    /// Time of the last confirmation of the leader's table.
     pub table_heard_at: Cell<Millis>,
     /// Other gateways by name.
     pub peers: RefCell<BTreeMap<String, Peer>>,
-    /// Groups that stand still, to be told to the leader.
+    /// Stalled groups to report to the leader, with the time of detection.
     pub suspects: RefCell<HashMap<u64, Millis>>,
-    /// Backend servers that said they leave, to be told to others, and since when.
+    /// Backend servers to report as leaving, with the time at which this gateway learned of it.
     pub leaving_told: RefCell<Vec<(Millis, Leaving)>>,
-    /// Where the leader listens for other gateways.
+    /// Peer address of the leader.
     pub leader_address: Cell<Option<SocketAddr>>,
-    /// From when on another gateway may be asked for a newer table.
+    /// Earliest time at which another gateway may be asked for a newer table.
     pub ask_table_at: Cell<Millis>,
-    /// The last changes of the table, for gateways that missed some.
+    /// Last changes of the table, kept for gateways that missed some of them.
     pub changes: RefCell<Changes>,
-    /// Changes of the table that are to be passed on.
+    /// Changes of the table to forward.
     pub changes_to_pass: RefCell<Vec<Change>>,
-    /// Parts of a newer table that have come.
+    /// Received parts of a newer table.
     pub table_parts: RefCell<Assembly>,
-    /// When other failure domains were last told what is open outside of them.
+    /// Times at which the sums of requests outstanding elsewhere were last sent to each failure
+    /// domain.
     pub sums: RefCell<Pace>,
-    /// Whether the next heartbeat is not to wait for its time.
+    /// Whether the next heartbeat is sent at once.
     pub beat_is_urgent: Cell<bool>,
-    /// Asks for what is to be sent to other gateways to be sent at once.
+    /// Requests that pending messages to other gateways be sent at once.
     pub send_now: Notify,
-    /// Asks the leader for a look at its plans.
+    /// Requests a planning round of the leader.
     pub plan_now: Notify,
     /// Whether this process is stopping.
     pub stopping: watch::Sender<bool>,
-    /// When it was told to.
+    /// Time at which the stop began.
     pub stop_began_at: Cell<Option<Millis>>,
-    /// Requests under way.
+    /// Number of requests in flight.
     pub open_requests: Cell<usize>,
-    /// Whether any gateway has had a request.
+    /// Whether any gateway has received a request.
     pub traffic: Cell<bool>,
-    /// Tells this life of this process from others.
+    /// Incarnation of this process, a random number.
     pub life: u64,
-    /// Counters, by name.
+    /// Counters by name.
     pub counters: RefCell<BTreeMap<String, u64>>,
-    /// Latencies, by what they are of.
+    /// Latencies by kind.
     pub latencies: RefCell<Latencies>,
-    /// Tells what waits that the process goes on after a pause.
+    /// Notifies waiting tasks that the process continues after a pause.
     pub resumed: Notify,
     ticked_at: Cell<Millis>,
     woke_at: Cell<Millis>,
 }
 
 impl Gateway {
-    /// A gateway that knows nothing yet.
+    /// Creates the state of a gateway that has not learned anything yet.
     pub fn new(settings: Settings, dialect: Rc<dyn Dialect>, clock: Clock) -> Gateway {
         let now = clock.now().0;
         let life = rand::random::<u64>() >> 1;
@@ -288,17 +292,17 @@
         }
     }
 
-    /// The time since the process started.
+    /// Returns the time since the process started.
     pub fn now(&self) -> Millis {
         self.clock.now().0
     }
 
-    /// The newest configuration.
+    /// Returns the newest configuration.
     pub fn lookup(&self) -> Option<Rc<Lookup>> {
         self.lookup.borrow().clone()
     }
 
-    /// Notes that this process runs; called every few tens of ms.
+    /// Records that the process is running; called every few tens of ms.
     pub fn tick(&self) {
         let now = self.now();
         if now > self.ticked_at.get() + ASLEEP_MS {
@@ -313,7 +317,8 @@
         self.ticked_at.set(now);
     }
 
-    /// The process goes on after a pause: its machine was suspended, or it was stopped or kept from running.
+    /// Notifies waiting tasks that the process continues after a pause, caused by a suspended host
+    /// or by the process being stopped or not scheduled.
     fn go_on(&self, paused_ms: u64) {
         if paused_ms < RESUMED_MS {
             return;
@@ -323,7 +328,8 @@
         self.resumed.notify_waiters();
     }
 
-    /// Since when this process has run without a pause: silence before that proves nothing.
+    /// Returns the time since which the process has run without a pause. Silence of others before
+    /// this time proves nothing.
     pub fn awake_since(&self) -> Millis {
         let now = self.now();
         match now > self.ticked_at.get() + ASLEEP_MS {
@@ -332,12 +338,12 @@
         }
     }
 
-    /// Counts something.
+    /// Increments a counter.
     pub fn count(&self, what: &str) {
         self.count_by(what, 1);
     }
 
-    /// Counts so much of something, such as bytes.
+    /// Adds an amount, such as a number of bytes, to a counter.
     pub fn count_by(&self, what: &str, much: u64) {
         let mut counters = self.counters.borrow_mut();
         match counters.get_mut(what) {
@@ -348,35 +354,35 @@
         }
     }
 
-    /// Notes a latency in ms.
+    /// Records a latency in ms.
     pub fn note_latency(&self, what: &'static str, ms: u64) {
         self.latencies.borrow_mut().note(what, ms.saturating_mul(1_000));
     }
 
-    /// Whether this process is stopping.
+    /// Returns whether the process is stopping.
     pub fn is_stopping(&self) -> bool {
         *self.stopping.borrow()
     }
 
-    /// Whether new requests are refused: the platform had time to send its callers elsewhere, and
-    /// what is taken now may not be finished. It may send them here all the same, if there is no
-    /// other gateway in the failure domain.
+    /// Returns whether new requests are rejected. The platform then had time to send its callers to
+    /// another gateway, and a request accepted now might not finish. Requests may still arrive if
+    /// the failure domain has no other gateway.
     pub fn refuses_new(&self) -> bool {
         self.stop_began_at.get().is_some_and(|at| self.now() >= at + STOP_NOTICE_MS)
     }
 
-    /// Whether it should be sent callers.
+    /// Returns whether callers should be sent to this gateway.
     pub fn is_ready(&self) -> bool {
         !self.is_stopping() && self.lookup.borrow().is_some() && self.directory_read.get()
     }
 
-    /// The newest table that this gateway knows: fence and number.
+    /// Returns the fence and number of the newest table known to this gateway.
     pub fn table_version(&self) -> (u64, u64) {
         let table = self.table.borrow();
         (table.fence, table.number)
     }
 
-    /// The store has answered.
+    /// Records an answer of the store.
     pub fn store_answered(&self) {
         let silent_ms = self.now() - self.store_heard_at.get();
         if self.store_failed_at.get().is_some_and(|at| at > self.store_heard_at.get()) {
@@ -386,28 +392,28 @@
         self.election.borrow_mut().store_answered(self.now());
     }
 
-    /// The last records of a topic.
+    /// Returns the last records of a topic.
     pub fn passing(&self, topic: Topic) -> &RefCell<Passing<Record>> {
         &self.passing[&topic].0
     }
 
-    /// Tells whoever waits for news of a topic.
+    /// Returns the notification of new records of a topic.
     pub fn news(&self, topic: Topic) -> &Notify {
         &self.passing[&topic].1
     }
 
-    /// The store answered a gateway that was asked.
+    /// Records that the store answered a gateway that was asked.
     pub fn store_heard_elsewhere(&self, at: Millis) {
         self.store_heard_at.set(self.store_heard_at.get().max(at));
     }
 
-    /// A call to the store failed at a gateway that was asked.
+    /// Records that a call to the store failed at a gateway that was asked.
     pub fn store_failed_elsewhere(&self, at: Millis) {
         let failed_at = self.store_failed_at.get();
         self.store_failed_at.set(Some(failed_at.map_or(at, |known| known.max(at))));
     }
 
-    /// A call to the store failed.
+    /// Records a failed call to the store.
     pub fn store_failed(&self, what: &str, why: &str) {
         let now = self.now();
         if self.store_failed_at.get().is_none_or(|at| now > at + 1_000) {
@@ -421,7 +427,7 @@
         self.election.borrow_mut().store_failed();
     }
 
-    /// Forgets backend servers that are no longer listed.
+    /// Removes the state of backend servers that are no longer listed.
     pub fn forget_gone(&self) {
         let directory = self.directory.borrow();
         let listed: HashSet<Target> = directory.iter().map(|w| Target::of(&w.id)).collect();
--- a/crates/oliveworks-gateway/src/store.rs
+++ b/crates/oliveworks-gateway/src/store.rs
@@ -18,12 +18,12 @@
 }
 
 impl Client {
-    /// A client without a connection.
+    /// Creates a client without a connection.
     pub fn new(gateway: &Rc<Gateway>) -> Client {
         Client { gateway: gateway.clone(), exchange: None }
     }
 
-    /// The gateway whose client it is.
+    /// Returns the gateway that owns the client.
     pub fn gateway(&self) -> &Rc<Gateway> {
         &self.gateway
     }
@@ -38,10 +38,10 @@
         opened.map_err(|why| format!("no connection: {why:?}"))
     }
 
-    /// Makes a call; `extra_ms` is how long the store may hold it back.
+    /// Makes a call; `extra_ms` is the longest time for which the store may hold the call back.
     ///
     /// # Errors
-    /// If no whole answer comes in time, in words.
+    /// Returns a description of the failure if no complete answer arrives in time.
     pub async fn call(
         &mut self,
         call: &Call,
@@ -58,7 +58,8 @@
                 if self.gateway.hear_store_era(sent, &era, &call.target) == EraTold::Late {
                     return Err("an answer of a former copy of the store".to_owned());
                 }
-                // One that the store may hold back tells of the wait for news, not of the store.
+                // The latency of a call that the store may hold back measures the wait for new
+                // records, not the store.
                 if extra_ms == 0 {
                     self.gateway.note_latency("store_call", self.gateway.now() - sent);
                 }
@@ -69,7 +70,7 @@
     }
 }
 
-/// Claims to lead, if it is time.
+/// Claims the leadership.
 pub async fn claim_leadership(gateway: Rc<Gateway>, end: Place) {
     let mut client = Client::new(&gateway);
     let call = gateway.dialect.claim(end, gateway.life);
@@ -80,7 +81,8 @@
     });
     let now = gateway.now();
     match claimed {
-        // Its record names the era in which the topic ended there: by another one nobody would know the same fence.
+        // The record names the era in which the topic ended at `end`. In another era, other
+        // gateways would not compute the same fence.
         Ok(Claimed::Written(_)) if gateway.era() != end.era => {
             gateway.election.borrow_mut().refused(now);
         }
--- a/crates/oliveworks-gateway/src/suspicions.rs
+++ b/crates/oliveworks-gateway/src/suspicions.rs
@@ -1,15 +1,16 @@
-//! Replica groups that stand still or run slowly, as gateways see them.
+//! Replica groups that are stalled or slow, as observed by gateways.
 
 use oliveworks_gateway_core::balance::Target;
 use oliveworks_gateway_core::table::TableGroup;
 
 use crate::state::Gateway;
 
-/// How lately something must have come from a group for another's suspicion to be put aside.
+/// Longest age of the last data from a group, in ms, for which another gateway's suspicion is
+/// ignored.
 const JUST_HEARD_MS: u64 = 150;
 
 impl Gateway {
-    /// Groups that run much slower than others of their model, as this gateway sees them.
+    /// Returns the groups that this gateway observes to be much slower than others of their model.
     pub fn slow_groups(&self) -> Vec<u64> {
         let Some(lookup) = self.lookup() else { return Vec::new() };
         let now = self.now();
@@ -32,7 +33,7 @@
         slow
     }
 
-    /// A gateway sees a group running slowly.
+    /// Processes the observation that a group is slow.
     pub fn runs_slowly(&self, epoch: u64) {
         let now = self.now();
         for planner in self.planners.borrow_mut().values_mut() {
@@ -40,7 +41,7 @@
         }
     }
 
-    /// A group stands still: others and the leader are told.
+    /// Reports a stalled group to the other gateways and the leader.
     pub fn suspect(&self, epoch: u64) {
         let now = self.now();
         if self.suspects.borrow_mut().insert(epoch, now).is_none() {
@@ -52,8 +53,8 @@
         }
     }
 
-    /// Another gateway sees a group standing still: this one avoids it too, unless it just heard
-    /// from there itself.
+    /// Processes another gateway's suspicion of a stalled group: this gateway avoids the group too,
+    /// unless it has just received data from there.
     pub fn suspected_by_another(&self, epoch: u64) {
         let now = self.now();
         let table = self.table.borrow();
--- a/crates/oliveworks-gateway/src/table.rs
+++ b/crates/oliveworks-gateway/src/table.rs
@@ -1,11 +1,12 @@
-//! The leader's table of groups, as this gateway holds it.
+//! The leader's table of groups, as held by this gateway.
 
 use oliveworks_gateway_core::table::{Change, Table};
 
 use crate::state::Gateway;
 
 impl Gateway {
-    /// Makes a change of the table and keeps it for gateways that miss it; tells whether it fits.
+    /// Applies a change of the table and keeps it for gateways that missed it. Returns whether the
+    /// change fits the table.
     pub fn change_table(&self, change: Change) -> bool {
         let fits = self.table.borrow_mut().apply(&change);
         if fits {
@@ -15,13 +16,13 @@
         fits
     }
 
-    /// Takes a whole table in.
+    /// Replaces the table.
     pub fn replace_table(&self, table: Table) {
         *self.table.borrow_mut() = table;
         self.note_lives();
     }
 
-    /// Heads that have started again since their records were written are cold.
+    /// Records heads that have restarted since their records were written as cold.
     fn note_lives(&self) {
         for group in &self.table.borrow().groups {
             let Some(born) = group.head_born else { continue };
