--- a/crates/oliveworks-gateway/src/timers.rs
+++ b/crates/oliveworks-gateway/src/timers.rs
@@ -1,7 +1,8 @@
-//! Timers that count a suspension of the machine.
+//! Timers that include the time in which the host was suspended.
 //!
-//! The runtime's timers go by the steady clock, which stands still meanwhile: one that was set before fires so much later. So
-//! whatever waits for long also hears when the process goes on after a pause, and looks at the gateway's own clock.
+//! The runtime's timers use the monotonic clock, which stops during a suspension: a timer set
+//! before it fires late by its duration. Tasks with long waits are therefore also notified when the
+//! process continues after a pause, and then check the gateway's own clock.
 
 use std::pin::pin;
 use std::time::Duration;
@@ -10,15 +11,15 @@
 
 use crate::state::Gateway;
 
-/// The time is over.
+/// Error for a wait whose time is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Elapsed;
 
 impl Gateway {
-    /// Waits for something for so long at the most, in ms.
+    /// Waits for a future for at most `ms`.
     ///
     /// # Errors
-    /// If that time is over before.
+    /// Returns an error if the time is over first.
     pub async fn within<T>(&self, ms: u64, waits: impl Future<Output = T>) -> Result<T, Elapsed> {
         let until = self.now() + ms;
         let mut waits = pin!(waits);
@@ -34,7 +35,8 @@
         }
     }
 
-    /// Waits for something unless the process goes on after a pause: what was asked before is asked anew then.
+    /// Waits for a future unless the process continues after a pause. The caller then repeats what
+    /// it asked before the pause.
     pub async fn unless_resumed<T>(&self, waits: impl Future<Output = T>) -> Option<T> {
         let resumed = self.resumed.notified();
         tokio::select! {
--- a/crates/oliveworks-gateway/src/versions.rs
+++ b/crates/oliveworks-gateway/src/versions.rs
@@ -1,4 +1,5 @@
-//! Versions of the configuration that other gateways hold: what they prove of the store, and who is asked for a newer one.
+//! Configuration versions held by other gateways: whether the store is behind them, and which
+//! gateway to ask for a newer one.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,13 +16,14 @@
 use crate::sources;
 use crate::state::Gateway;
 
-/// How long a gateway that starts waits to hear of one that holds a configuration, in ms: a few heartbeats. The store may
-/// have come back from a copy that lacks what the others know.
+/// Time for which a starting gateway waits for a heartbeat of a gateway that holds a configuration,
+/// in ms: a few heartbeats. The store may have been restored from a copy that lacks what the others
+/// know.
 const HEAR_OTHERS_MS: u64 = 400;
-/// The time between two looks whether one was heard, in ms.
+/// Time between two checks for such a heartbeat, in ms.
 const LOOK_MS: u64 = 20;
 
-/// Waits until another gateway is heard that holds a configuration, or for long enough.
+/// Waits until a gateway that holds a configuration has sent a heartbeat, or the time is over.
 pub async fn others_heard(gateway: &Rc<Gateway>) {
     let own = gateway.settings.listen.peers.ip();
     if gateway.settings.seeds.iter().all(|seed| seed.ip() == own) {
@@ -33,7 +35,7 @@
     }
 }
 
-/// Asks another gateway for a version that the store has not told this one in time.
+/// Asks another gateway for a version that the store has not delivered to this one in time.
 pub async fn catch_up(gateway: &Gateway, follower: &mut Follower) -> Vec<Record> {
     let mut lag = gateway.own_lag.get();
     let is_due = lag.asks(gateway.now(), gateway.version_held(), gateway.newest_told());
@@ -52,17 +54,18 @@
         .with("version_held", gateway.version_held())
         .with("version_told", gateway.newest_told())
         .write();
-    // Whether a drain lasts is for the log to say, which this gateway goes on reading from where it was.
+    // The end of a drain is decided by the log of the store alone, which this gateway continues to
+    // read from its position.
     records.into_iter().filter(|record| matches!(record, Record::Configuration(_))).collect()
 }
 
 impl Gateway {
-    /// The version of the configuration that this gateway holds.
+    /// Returns the configuration version held by this gateway.
     pub fn version_held(&self) -> Option<u64> {
         self.lookup.borrow().as_ref().map(|lookup| lookup.configuration.version)
     }
 
-    /// The newest version that another gateway told lately that it holds.
+    /// Returns the newest version that another gateway recently reported to hold.
     pub fn newest_told(&self) -> Option<u64> {
         let now = self.now();
         let peers = self.peers.borrow();
@@ -70,7 +73,7 @@
         young.filter_map(|peer| peer.version).max()
     }
 
-    /// A gateway that holds that version, unless none of them answers.
+    /// Returns a gateway that holds that version, unless all of them failed to answer.
     fn holder_of_newest(&self) -> Option<SocketAddr> {
         let newest = self.newest_told()?;
         let peers = self.peers.borrow();
@@ -80,7 +83,7 @@
         able.map(|peer| peer.address).choose(&mut rand::rng())
     }
 
-    /// Takes in which version the store is known to hold after a step.
+    /// Records which version the store is known to hold after a step.
     pub fn note_stored(&self, step: &Step) {
         let version = match step.told_by {
             ToldBy::Gateway { stored_version, .. } => stored_version,
@@ -90,14 +93,15 @@
         self.stored_version.set(version.max(known));
     }
 
-    /// Whether there are other gateways, and none was heard since the store came back from a copy that may lack records.
+    /// Returns whether other gateways exist, but none has sent a heartbeat since the store was
+    /// restored from a copy that may lack records.
     fn is_deaf(&self) -> bool {
         let since = self.store_era.get().known_since().filter(|_| self.store_may_lack_records());
         let heard_at = self.gateway_heard_at.get();
         heard_at.zip(since).is_some_and(|(heard_at, since)| heard_at < since)
     }
 
-    /// Whether a step proves that nothing is newer than what this gateway holds.
+    /// Returns whether a step proves that there is nothing newer than what this gateway holds.
     pub fn step_proves(&self, now: Millis) -> bool {
         let known = self.version_held().max(self.newest_told());
         let mut lag = self.store_lag.get();
@@ -117,7 +121,7 @@
         proves
     }
 
-    /// A line when the store begins or ceases to be behind what gateways know.
+    /// Logs that the store begins or ceases to be behind the versions known to gateways.
     fn tell_store_lag(&self, kind: &str, known: Option<u64>, after_ms: u64) {
         Event::new(kind)
             .with("version_stored", self.stored_version.get())
--- a/crates/oliveworks-gateway/tests/settings.rs
+++ b/crates/oliveworks-gateway/tests/settings.rs
@@ -1,4 +1,4 @@
-//! A gateway's settings: the policy section, its defaults, and errors that name the key.
+//! Settings of a gateway: the policy section, its defaults, and errors that name the key.
 
 use oliveworks_gateway::reload::changed_keys;
 use oliveworks_gateway::settings::Settings;
