--- a/crates/oliveworks-gateway/src/callers.rs
+++ b/crates/oliveworks-gateway/src/callers.rs
@@ -16,33 +16,33 @@
 use crate::state::Gateway;
 
 /// Pause after a failed attempt to accept a connection, in ms.
-const ACCEPT_AGAIN_MS: u64 = 20;
+const ACCEPT_RETRY_MS: u64 = 20;
 
 async fn serve(gateway: Rc<Gateway>, io: Io) {
     let mut connection = Connection::new(&gateway, io);
     loop {
         let request = match connection.receive(&gateway).await {
             Received::Request(request) => request,
-            Received::Improper(verdict) => {
+            Received::Invalid(verdict) => {
                 gateway.count("improper");
-                connection.closes();
+                connection.close_after_next_answer();
                 let _ = relay::refuse(&gateway, &mut connection, "", verdict, 0).await;
                 break;
             }
             Received::End => break,
         };
         if gateway.is_stopping() {
-            connection.closes();
+            connection.close_after_next_answer();
         }
-        gateway.open_requests.set(gateway.open_requests.get() + 1);
-        let gone = connection.gone();
+        gateway.requests_in_flight.set(gateway.requests_in_flight.get() + 1);
+        let gone = connection.wait_for_disconnect();
         let ended = select(relay::handle(&gateway, &mut connection, *request), gone).await;
-        gateway.open_requests.set(gateway.open_requests.get() - 1);
+        gateway.requests_in_flight.set(gateway.requests_in_flight.get() - 1);
         match ended {
-            Either::Left(relay::End::Whole) if connection.keeps() => {}
+            Either::Left(relay::End::Whole) if connection.can_continue() => {}
             Either::Left(relay::End::Whole) => break,
             Either::Left(relay::End::Torn) => {
-                connection.tear();
+                connection.abort();
                 return;
             }
             Either::Right(()) => {
@@ -68,10 +68,10 @@
     let config: SharedCfg = SharedCfg::new("callers").into();
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
-            sleep(Duration::from_millis(ACCEPT_AGAIN_MS)).await;
+            sleep(Duration::from_millis(ACCEPT_RETRY_MS)).await;
             continue;
         };
-        let Some(io) = adopt(stream, config.clone(), peer) else { continue };
+        let Some(io) = into_ntex_io(stream, config.clone(), peer) else { continue };
         match audience {
             Audience::Callers => {
                 ntex::rt::spawn(serve(gateway.clone(), io));
@@ -83,11 +83,11 @@
     }
 }
 
-fn adopt(stream: tokio::net::TcpStream, config: SharedCfg, peer: SocketAddr) -> Option<Io> {
+fn into_ntex_io(stream: tokio::net::TcpStream, config: SharedCfg, peer: SocketAddr) -> Option<Io> {
     let _ = stream.set_nodelay(true);
     let io = stream.into_std().and_then(|stream| ntex::rt::from_tcp_stream(stream, config));
     if let Err(error) = &io {
-        debug!("callers: {peer}: {error}");
+        debug!("callers: cannot set up the connection from {peer}: {error}");
     }
     io.ok()
 }
--- a/crates/oliveworks-gateway/src/calls.rs
+++ b/crates/oliveworks-gateway/src/calls.rs
@@ -9,36 +9,36 @@
 use tokio::sync::{Semaphore, SemaphorePermit};
 
 /// Number of concurrent calls of one kind: enough for ten thousand per second at a few ms each.
-const AT_ONCE: usize = 64;
+const CONCURRENT_CALLS: usize = 64;
 
 /// Purpose of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
     /// Reads the state of a backend server.
-    Question,
+    Probe,
     /// Changes the state of a backend server.
     Order,
 }
 
 /// Slots for calls.
 pub struct Calls {
-    questions: Semaphore,
+    probes: Semaphore,
     orders: Semaphore,
 }
 
 impl Default for Calls {
     fn default() -> Calls {
-        Calls { questions: Semaphore::new(AT_ONCE), orders: Semaphore::new(AT_ONCE) }
+        Calls { probes: Semaphore::new(CONCURRENT_CALLS), orders: Semaphore::new(CONCURRENT_CALLS) }
     }
 }
 
 impl Calls {
     /// Waits for a slot; returns none if the process ends.
-    pub async fn place(&self, kind: CallKind) -> Option<SemaphorePermit<'_>> {
-        let places = match kind {
-            CallKind::Question => &self.questions,
+    pub async fn acquire_slot(&self, kind: CallKind) -> Option<SemaphorePermit<'_>> {
+        let slots = match kind {
+            CallKind::Probe => &self.probes,
             CallKind::Order => &self.orders,
         };
-        places.acquire().await.ok()
+        slots.acquire().await.ok()
     }
 }
--- a/crates/oliveworks-gateway/src/connection.rs
+++ b/crates/oliveworks-gateway/src/connection.rs
@@ -24,14 +24,14 @@
 const IDLE_MS: u64 = 15_000;
 /// Time allowed for receiving a body, in ms.
 const BODY_MS: u64 = 10_000;
-/// Time by which a connection may be idle beyond the configured time-out, in ms, so that no request
+/// Time by which a connection may be idle beyond the configured timeout, in ms, so that no request
 /// arrives while the connection is being closed.
 const IDLE_EXTRA_MS: u64 = 2_000;
 /// Time allowed for sending the last bytes of a connection, in ms.
 const CLOSE_MS: u64 = 500;
 
 /// A request, read completely.
-pub struct Whole {
+pub struct ReceivedRequest {
     /// Method of the request.
     pub method: Method,
     /// Path and query, unchanged.
@@ -42,7 +42,7 @@
     pub body: Bytes,
 }
 
-impl Whole {
+impl ReceivedRequest {
     /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(n, _)| n == name);
@@ -53,15 +53,15 @@
 /// Data received on a connection.
 pub enum Received {
     /// A request.
-    Request(Box<Whole>),
+    Request(Box<ReceivedRequest>),
     /// An invalid request, which is answered with a verdict before the connection ends.
-    Improper(Verdict),
+    Invalid(Verdict),
     /// End of the connection.
     End,
 }
 
 /// Error for a connection that ended while an answer was written.
-pub struct Gone;
+pub struct Disconnected;
 
 /// A connection to a caller.
 pub struct Connection {
@@ -110,7 +110,7 @@
         let (request, payload) = match message {
             Ok(Some(message)) => message,
             Ok(None) | Err(Either::Right(_)) => return Received::End,
-            Err(Either::Left(error)) => return Received::Improper(verdict_of(&error)),
+            Err(Either::Left(error)) => return Received::Invalid(verdict_of(&error)),
         };
         let body_max = limits.map_or(BODY_MAX, |limits| limits.max_body_bytes);
         let body = match self.body(&request, payload, body_max).await {
@@ -120,7 +120,12 @@
         let head = request.head();
         let target = head.uri.path_and_query().map_or("/", |path| path.as_str()).to_owned();
         let headers = headers_of(&request);
-        Received::Request(Box::new(Whole { method: head.method.clone(), target, headers, body }))
+        Received::Request(Box::new(ReceivedRequest {
+            method: head.method.clone(),
+            target,
+            headers,
+            body,
+        }))
     }
 
     async fn body(
@@ -132,7 +137,7 @@
         let decoder = match payload {
             PayloadType::None => return Ok(Bytes::new()),
             PayloadType::Payload(decoder) => decoder,
-            PayloadType::Stream(_) => return Err(Received::Improper(Verdict::BadRequest)),
+            PayloadType::Stream(_) => return Err(Received::Invalid(Verdict::BadRequest)),
         };
         if request.head().expect() {
             let _ = self.io.encode_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
@@ -142,33 +147,38 @@
             loop {
                 match self.io.recv(&decoder).await {
                     Ok(Some(PayloadItem::Chunk(chunk))) if body.len() + chunk.len() > max => {
-                        return Err(Received::Improper(Verdict::BodyTooLarge));
+                        return Err(Received::Invalid(Verdict::BodyTooLarge));
                     }
                     Ok(Some(PayloadItem::Chunk(chunk))) => body.extend_from_slice(&chunk),
                     Ok(Some(PayloadItem::Eof)) => return Ok(()),
                     Ok(None) | Err(Either::Right(_)) => return Err(Received::End),
-                    Err(Either::Left(_)) => return Err(Received::Improper(Verdict::BadRequest)),
+                    Err(Either::Left(_)) => return Err(Received::Invalid(Verdict::BadRequest)),
                 }
             }
         };
         match timeout(Duration::from_millis(BODY_MS), read).await {
             Ok(Ok(())) => Ok(body.into()),
             Ok(Err(received)) => Err(received),
-            Err(_) => Err(Received::Improper(Verdict::TooSlow)),
+            Err(_) => Err(Received::Invalid(Verdict::TooSlow)),
         }
     }
 
     /// Marks the next answer as the last one on the connection.
-    pub fn closes(&mut self) {
+    pub fn close_after_next_answer(&mut self) {
         self.closes = true;
     }
 
     /// Returns whether another request may follow.
-    pub fn keeps(&self) -> bool {
+    pub fn can_continue(&self) -> bool {
         !self.closes && self.codec.keepalive()
     }
 
-    fn head(&self, status: StatusCode, headers: &Headers, size: BodySize) -> Result<(), Gone> {
+    fn head(
+        &self,
+        status: StatusCode,
+        headers: &Headers,
+        size: BodySize,
+    ) -> Result<(), Disconnected> {
         let mut response = Response::build(status).finish().drop_body();
         for (name, value) in headers {
             if let Some((name, value)) = header(name, value) {
@@ -178,7 +188,7 @@
         if self.closes {
             response.head_mut().set_connection_type(ntex::http::ConnectionType::Close);
         }
-        self.io.encode(Message::Item((response, size)), &self.codec).map_err(|_| Gone)
+        self.io.encode(Message::Item((response, size)), &self.codec).map_err(|_| Disconnected)
     }
 
     /// Writes a complete answer.
@@ -190,21 +200,21 @@
         status: StatusCode,
         headers: &[(String, Bytes)],
         body: Bytes,
-    ) -> Result<(), Gone> {
+    ) -> Result<(), Disconnected> {
         let size = BodySize::Sized(body.len() as u64);
         self.head(status, &headers.to_vec(), size)?;
         if !body.is_empty() {
             let chunk = ntex::util::Bytes::copy_from_slice(&body);
-            self.io.encode(Message::Chunk(Some(chunk)), &self.codec).map_err(|_| Gone)?;
+            self.io.encode(Message::Chunk(Some(chunk)), &self.codec).map_err(|_| Disconnected)?;
         }
-        self.io.flush(true).await.map_err(|_| Gone)
+        self.io.flush(true).await.map_err(|_| Disconnected)
     }
 
     /// Begins an answer of unknown length.
     ///
     /// # Errors
     /// Returns an error if the caller has disconnected.
-    pub fn begin(&mut self, status: StatusCode, headers: &Headers) -> Result<(), Gone> {
+    pub fn begin(&mut self, status: StatusCode, headers: &Headers) -> Result<(), Disconnected> {
         self.head(status, headers, BodySize::Stream)
     }
 
@@ -212,11 +222,11 @@
     ///
     /// # Errors
     /// Returns an error if the caller has disconnected.
-    pub async fn part(&mut self, bytes: &[u8]) -> Result<(), Gone> {
+    pub async fn part(&mut self, bytes: &[u8]) -> Result<(), Disconnected> {
         let chunk = ntex::util::Bytes::copy_from_slice(bytes);
-        self.io.encode(Message::Chunk(Some(chunk)), &self.codec).map_err(|_| Gone)?;
+        self.io.encode(Message::Chunk(Some(chunk)), &self.codec).map_err(|_| Disconnected)?;
         if self.io.is_wr_backpressure() {
-            self.io.flush(false).await.map_err(|_| Gone)?;
+            self.io.flush(false).await.map_err(|_| Disconnected)?;
         }
         Ok(())
     }
@@ -225,13 +235,13 @@
     ///
     /// # Errors
     /// Returns an error if the caller has disconnected.
-    pub async fn end(&mut self) -> Result<(), Gone> {
-        self.io.encode(Message::Chunk(None), &self.codec).map_err(|_| Gone)?;
-        self.io.flush(true).await.map_err(|_| Gone)
+    pub async fn end(&mut self) -> Result<(), Disconnected> {
+        self.io.encode(Message::Chunk(None), &self.codec).map_err(|_| Disconnected)?;
+        self.io.flush(true).await.map_err(|_| Disconnected)
     }
 
     /// Waits until the caller disconnects.
-    pub fn gone(&self) -> ntex::io::OnDisconnect {
+    pub fn wait_for_disconnect(&self) -> ntex::io::OnDisconnect {
         self.io.on_disconnect()
     }
 
@@ -241,7 +251,7 @@
     }
 
     /// Terminates the connection, so that an unfinished answer does not look complete.
-    pub fn tear(self) {
+    pub fn abort(self) {
         self.io.get_ref().terminate();
     }
 }
--- a/crates/oliveworks-gateway/src/crashers.rs
+++ b/crates/oliveworks-gateway/src/crashers.rs
@@ -7,7 +7,7 @@
 use oliveworks_gateway_core::crashers::{Chain, Fingerprint, Standing};
 use ring::digest::{Context, SHA256};
 
-use crate::connection::Whole;
+use crate::connection::ReceivedRequest;
 use crate::dialect::Asked;
 use crate::events::Event;
 use crate::exchange::{Exchange, NoConnection};
@@ -18,7 +18,11 @@
 /// differ between retries of the same request are left out, as are values that only influence
 /// placement: the service changes with the configuration and, where it is split, with the id of the
 /// try, and parts of a prompt are hints.
-pub fn fingerprint(request: &Whole, asked: &Asked, workspace: Option<&str>) -> Fingerprint {
+pub fn fingerprint(
+    request: &ReceivedRequest,
+    asked: &Asked,
+    workspace: Option<&str>,
+) -> Fingerprint {
     let parts: [&[u8]; 6] = [
         request.header("host").unwrap_or_default().as_bytes(),
         workspace.unwrap_or_default().as_bytes(),
@@ -41,7 +45,7 @@
 }
 
 /// Returns the first bytes of a fingerprint in hex, for log lines.
-fn name(request: Fingerprint) -> String {
+fn short_name(request: Fingerprint) -> String {
     request.0[..6].iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
@@ -63,9 +67,9 @@
     /// Returns whether the backend server of a run ended during it: the connection broke off, and
     /// nothing listens at the address afterwards. A leaving server ends as planned. A server that
     /// accepts connections again, or is silent, was slow, cut off, or only reset its connections.
-    pub async fn ended_under(&self, request: Fingerprint, run: &FailedRun<'_>) -> bool {
+    pub async fn server_ended_during(&self, request: Fingerprint, run: &FailedRun<'_>) -> bool {
         let place = run.place;
-        if run.failure != Failure::Lost || place.leaves || self.leaves(&place.server) {
+        if run.failure != Failure::Lost || place.is_leaving || self.is_leaving(&place.server) {
             return false;
         }
         let within_ms = self.settings.requests.connect_ms;
@@ -82,32 +86,32 @@
         Event::new("host_ended_under_request")
             .with("host", &*place.server)
             .with("request", run.id)
-            .with("same_request", name(request))
+            .with("same_request", short_name(request))
             .with("ends_in_a_row", ends)
             .with("ends_needed", assessment.map(|known| known.needed))
             .with("shares_last_end", assessment.map(|known| known.shares_last_end))
             .with("ran_ms", now.saturating_sub(run.sent))
             .with("delivered_ms", delivered_ms)
             .write();
-        self.tell_of_crashers();
+        self.report_crashers();
         true
     }
 
     /// Reports at once to other gateways what has become known about a request.
-    fn tell_of_crashers(&self) {
-        self.note_convictions();
-        self.beat_is_urgent.set(true);
+    fn report_crashers(&self) {
+        self.log_convictions();
+        self.heartbeat_is_urgent.set(true);
         self.send_now.notify_one();
     }
 
     /// Logs the requests that have been convicted.
-    pub fn note_convictions(&self) {
+    pub fn log_convictions(&self) {
         let convicted = self.crashers.borrow_mut().take_new_convictions();
         for request in convicted {
             self.count("convicted_crashers");
             let assessment = self.crashers.borrow().assess(request);
             Event::new("crasher_convicted")
-                .with("same_request", name(request))
+                .with("same_request", short_name(request))
                 .with("ends_in_a_row", assessment.map(|known| known.ends))
                 .with("ends_needed", assessment.map(|known| known.needed))
                 .write();
@@ -121,16 +125,16 @@
             return Standing::Clear;
         }
         let standing = self.crashers.borrow_mut().standing(self.now(), request);
-        self.note_convictions();
+        self.log_convictions();
         standing
     }
 
     /// Logs the rejection of a request during which several backend servers ended in a row.
-    pub fn crasher_refused(&self, request: Fingerprint, id: &str, for_ms: u64) {
+    pub fn log_crasher_refusal(&self, request: Fingerprint, id: &str, for_ms: u64) {
         self.count("refused_crashers");
         Event::new("crasher_refused")
             .with("request", id)
-            .with("same_request", name(request))
+            .with("same_request", short_name(request))
             .with("for_ms", for_ms)
             .write();
     }
@@ -141,24 +145,24 @@
     }
 
     /// Processes a report of another gateway on backend servers that ended during a request.
-    pub fn crasher_told(&self, chain: Chain) {
+    pub fn process_crasher_report(&self, chain: Chain) {
         let request = chain.request;
         if !self.crashers.borrow_mut().told(self.now(), chain) {
             return;
         }
-        self.tell_of_crashers();
+        self.report_crashers();
         let assessment = self.crashers.borrow().assess(request);
         Event::new("crasher_told")
-            .with("same_request", name(request))
+            .with("same_request", short_name(request))
             .with("ends_in_a_row", assessment.map_or(0, |known| known.ends))
             .write();
     }
 
     /// Returns the reports for other gateways on requests during which backend servers ended.
-    pub fn crashers_told(&self) -> Vec<Chain> {
-        let told = self.crashers.borrow_mut().to_tell(self.now());
-        self.note_convictions();
-        told
+    pub fn crashers_to_report(&self) -> Vec<Chain> {
+        let reports = self.crashers.borrow_mut().to_tell(self.now());
+        self.log_convictions();
+        reports
     }
 
     /// Waits until a request is convicted, and returns the end of the conviction.
@@ -178,12 +182,12 @@
     pub async fn unless_convicted<T>(
         &self,
         request: Fingerprint,
-        does: impl Future<Output = T>,
+        future: impl Future<Output = T>,
     ) -> Result<T, Millis> {
         tokio::select! {
             biased;
             until = self.convicted(request) => Err(until),
-            done = does => Ok(done),
+            done = future => Ok(done),
         }
     }
 
@@ -202,7 +206,7 @@
         let now = self.now();
         let others_wait = self.crashers.borrow_mut().placed(now, target, request, standing);
         if others_wait {
-            self.tell_of_crashers();
+            self.report_crashers();
         }
         Some(SuspectRun { gateway: self, request, target, standing })
     }
--- a/crates/oliveworks-gateway/src/drains.rs
+++ b/crates/oliveworks-gateway/src/drains.rs
@@ -9,12 +9,12 @@
 use tokio::time::sleep;
 
 use crate::events::Event;
-use crate::follow::ToldBy;
+use crate::follow::RecordSource;
 use crate::state::Gateway;
 
 /// Time between two log lines on each drain, in ms. An operator waiting for a domain to become
 /// empty sees the progress soon, and the log of a drain of several hours stays readable.
-const TELL_MS: u64 = 2_000;
+const LOG_INTERVAL_MS: u64 = 2_000;
 
 /// Begins the drain of a failure domain.
 pub fn begin(gateway: &Gateway, failure_domain: &str) {
@@ -28,48 +28,48 @@
         .with("failure_domain", failure_domain)
         // The store may have accepted the record at any time since this proof.
         .with("proof_before_ms_ago", gateway.freshness.get().age_ms(now))
-        .with("open_requests", gateway.open_there(failure_domain))
+        .with("open_requests", gateway.outstanding_in(failure_domain))
         .write();
 }
 
 /// Ends a drain because of its own record.
 pub fn end(gateway: &Gateway, failure_domain: &str) {
     let ended = gateway.drains.borrow_mut().end(gateway.now(), failure_domain);
-    ended.iter().for_each(|ended| take_end(gateway, ended, "its record is gone"));
+    ended.iter().for_each(|ended| process_end(gateway, ended, "its record is gone"));
 }
 
 /// Returns whether a snapshot is needed to confirm drains: some drains in force have not been seen
 /// in the store since it was restored from a copy, and the time for writing missing records again
 /// is over.
-pub fn must_read_anew(gateway: &Gateway) -> bool {
+pub fn needs_snapshot(gateway: &Gateway) -> bool {
     gateway.drains.borrow().any_unconfirmed()
         && !gateway.store_may_lack_records()
         && gateway.election.borrow().store_answers()
 }
 
 /// Processes a snapshot in which `drained` are the drained failure domains.
-pub fn read_anew(gateway: &Gateway, drained: &BTreeSet<String>, told_by: ToldBy) {
+pub fn apply_snapshot(gateway: &Gateway, drained: &BTreeSet<String>, source: RecordSource) {
     let era = gateway.store_era.get();
     let now = gateway.now();
-    match told_by {
-        ToldBy::Store if era.may_lack_records(now) => {
+    match source {
+        RecordSource::Store if era.may_lack_records(now) => {
             gateway.drains.borrow_mut().read_in_part(drained);
             return;
         }
         // A drain named by another gateway is in force there, and may be missing in the store.
-        ToldBy::Gateway { .. } if now < era.others_lack_records_until() => {
+        RecordSource::Gateway { .. } if now < era.others_lack_records_until() => {
             gateway.drains.borrow_mut().read_in_part(&BTreeSet::new());
             return;
         }
         _ => {}
     }
     let ended = gateway.drains.borrow_mut().read_anew(gateway.now(), drained);
-    ended.iter().for_each(|ended| take_end(gateway, ended, "not among the newest records"));
+    ended.iter().for_each(|ended| process_end(gateway, ended, "not among the newest records"));
 }
 
 /// Processes the end of a drain: the backend servers may have become cold meanwhile.
-fn take_end(gateway: &Gateway, ended: &Ended, why: &str) {
-    gateway.drain_leaves_cold(&ended.failure_domain);
+fn process_end(gateway: &Gateway, ended: &Ended, why: &str) {
+    gateway.mark_cold_after_drain(&ended.failure_domain);
     gateway.count("drains_ended");
     gateway.plan_now.notify_one();
     Event::new("drain_ends")
@@ -80,15 +80,15 @@
 }
 
 /// Logs the outstanding requests of each drained failure domain while the drain lasts.
-pub async fn tell(gateway: Rc<Gateway>) {
+pub async fn log_progress(gateway: Rc<Gateway>) {
     loop {
-        sleep(Duration::from_millis(TELL_MS)).await;
+        sleep(Duration::from_millis(LOG_INTERVAL_MS)).await;
         let drains = gateway.drains.borrow();
         for (failure_domain, known_for_ms) in drains.known_for(gateway.now()) {
             Event::new("drain_goes_on")
                 .with("failure_domain", failure_domain)
                 .with("known_for_ms", known_for_ms)
-                .with("open_requests", gateway.open_there(failure_domain))
+                .with("open_requests", gateway.outstanding_in(failure_domain))
                 .write();
         }
     }
@@ -97,18 +97,18 @@
 impl Gateway {
     /// Returns the drains that ended so recently that a record read now may have been written
     /// before the end.
-    pub fn drains_ended_lately(&self) -> Vec<(String, u64)> {
+    pub fn recently_ended_drains(&self) -> Vec<(String, u64)> {
         let lag_ms = self.settings.record_lag_ms();
         self.drains.borrow_mut().ended_within(self.now(), lag_ms)
     }
 
     /// Processes the end of a drain observed by another gateway.
-    pub fn drain_ended_elsewhere(&self, failure_domain: &str, ms_ago: u64) {
+    pub fn process_remote_drain_end(&self, failure_domain: &str, ms_ago: u64) {
         let at = self.now().saturating_sub(ms_ago);
         if !self.drains.borrow_mut().ended_elsewhere(failure_domain, at) {
             return;
         }
-        self.drain_leaves_cold(failure_domain);
+        self.mark_cold_after_drain(failure_domain);
         Event::new("drain_ended_elsewhere")
             .with("failure_domain", failure_domain)
             .with("ms_ago", ms_ago)
@@ -127,7 +127,7 @@
     }
 
     /// Returns the number of this gateway's outstanding requests in a failure domain.
-    pub fn open_there(&self, failure_domain: &str) -> u32 {
+    pub fn outstanding_in(&self, failure_domain: &str) -> u32 {
         let balance = self.balance.borrow();
         let open: BTreeMap<Target, u32> =
             balance.own_open().map(|(target, load)| (target, load.requests)).collect();
--- a/crates/oliveworks-gateway/src/eras.rs
+++ b/crates/oliveworks-gateway/src/eras.rs
@@ -28,13 +28,13 @@
 
     /// Processes the era named in the store's answer to a call sent at `sent`, and returns its
     /// meaning.
-    pub fn hear_store_era(&self, sent: Millis, named: &NamedEra, call: &str) -> Told {
+    pub fn record_store_era(&self, sent: Millis, named: &NamedEra, call: &str) -> Told {
         match named {
             NamedEra::NotTold => Told::Known,
-            NamedEra::Era(era) => self.take_era(sent, *era, call),
+            NamedEra::Era(era) => self.update_era(sent, *era, call),
             NamedEra::Unreadable(value) => {
                 if !self.counters.borrow().contains_key(UNREADABLE) {
-                    warn!("store: its era cannot be understood: {value:?}");
+                    warn!("store: cannot parse the era in an answer: {value:?}");
                 }
                 self.count(UNREADABLE);
                 Told::Known
@@ -43,33 +43,33 @@
     }
 
     /// Processes the era named by another gateway in its answer to a question sent at `sent`.
-    pub fn era_told_by_gateway(&self, sent: Millis, era: Era, address: SocketAddr) {
+    pub fn record_peer_era(&self, sent: Millis, era: Era, address: SocketAddr) {
         if era > self.era() {
-            self.take_era(sent, era, &address.to_string());
+            self.update_era(sent, era, &address.to_string());
         }
     }
 
-    fn take_era(&self, sent: Millis, era: Era, told_by: &str) -> Told {
+    fn update_era(&self, sent: Millis, era: Era, reported_by: &str) -> Told {
         let mut known = self.store_era.get();
         let told = known.told(self.now(), sent, era);
         self.store_era.set(known);
         match told {
             Told::Known => {}
-            Told::New { before } => self.begin_era(era, before, told_by),
+            Told::New { before } => self.begin_era(era, before, reported_by),
             Told::Late => self.count("store_answers_of_former_eras"),
         }
         told
     }
 
     /// Begins a new era, in which the contents of the store are not known yet.
-    fn begin_era(&self, era: Era, before: Option<Era>, told_by: &str) {
+    fn begin_era(&self, era: Era, before: Option<Era>, reported_by: &str) {
         self.stored_version.set(None);
         TOPICS.iter().for_each(|topic| self.passing(*topic).borrow_mut().forget());
         self.count("store_eras");
         Event::new("store_era")
             .with("era", era.0)
             .with("before", before.map(|era| era.0))
-            .with("told_by", told_by)
+            .with("told_by", reported_by)
             .with("version_held", self.version_held())
             .with("hosts_known", self.directory.borrow().len())
             .with("drains_in_force", self.drains.borrow().failure_domains().len())
--- a/crates/oliveworks-gateway/src/exchange.rs
+++ b/crates/oliveworks-gateway/src/exchange.rs
@@ -41,7 +41,7 @@
 
 /// Reason why there is no complete answer.
 #[derive(Debug)]
-pub enum Broken {
+pub enum ExchangeError {
     /// The connection ended, or the received data is not a valid answer.
     Connection(String),
     /// The timeout expired.
@@ -50,12 +50,12 @@
     Large,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for ExchangeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Broken::Connection(why) => write!(f, "connection: {why}"),
-            Broken::Late => write!(f, "late"),
-            Broken::Large => write!(f, "too large"),
+            ExchangeError::Connection(why) => write!(f, "connection: {why}"),
+            ExchangeError::Late => write!(f, "late"),
+            ExchangeError::Large => write!(f, "too large"),
         }
     }
 }
@@ -65,15 +65,17 @@
     sender: http1::SendRequest<Full<Bytes>>,
     driver: Option<Pin<Box<Driver>>>,
     /// Whether a request was sent whose answer is not complete.
-    awaits: bool,
+    awaits_answer: bool,
 }
 
 impl Drop for Exchange {
     fn drop(&mut self) {
-        let Some(driver) = self.driver.take().filter(|_| self.awaits) else { return };
+        let Some(driver) = self.driver.take().filter(|_| self.awaits_answer) else { return };
         let stream = Pin::into_inner(driver).into_parts().io.into_inner();
         if let Err(error) = stream.set_zero_linger() {
-            debug!("exchange: a connection is closed and not reset: {error}");
+            debug!(
+                "exchange: cannot set zero linger, so the connection is closed and not reset: {error}"
+            );
         }
     }
 }
@@ -103,7 +105,7 @@
         builder.max_buf_size(HEAD_MAX);
         let handshake = builder.handshake(TokioIo::new(stream)).await;
         let (sender, driver) = handshake.map_err(|_| NoConnection::Silent)?;
-        Ok(Exchange { sender, driver: Some(Box::pin(driver)), awaits: false })
+        Ok(Exchange { sender, driver: Some(Box::pin(driver)), awaits_answer: false })
     }
 
     fn drive(&mut self, context: &mut Context<'_>) {
@@ -131,22 +133,22 @@
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
-    ) -> Result<Response<Incoming>, Broken> {
-        self.awaits = true;
+    ) -> Result<Response<Incoming>, ExchangeError> {
+        self.awaits_answer = true;
         let mut answer = Box::pin(self.sender.send_request(request));
         poll_fn(|context| {
             self.drive(context);
             answer.as_mut().poll(context)
         })
         .await
-        .map_err(|error| Broken::Connection(error.to_string()))
+        .map_err(|error| ExchangeError::Connection(error.to_string()))
     }
 
     /// Returns the next bytes of an answer's body; none at its end.
     ///
     /// # Errors
     /// Returns an error if the body breaks off.
-    pub async fn next(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, Broken> {
+    pub async fn next(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, ExchangeError> {
         loop {
             let frame = poll_fn(|context| {
                 self.drive(context);
@@ -155,10 +157,10 @@
             .await;
             match frame {
                 None => {
-                    self.awaits = false;
+                    self.awaits_answer = false;
                     return Ok(None);
                 }
-                Some(Err(error)) => return Err(Broken::Connection(error.to_string())),
+                Some(Err(error)) => return Err(ExchangeError::Connection(error.to_string())),
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
                         return Ok(Some(data));
@@ -172,11 +174,15 @@
     ///
     /// # Errors
     /// Returns an error if the body breaks off or is larger than `max`.
-    pub async fn whole(&mut self, body: &mut Incoming, max: usize) -> Result<Bytes, Broken> {
+    pub async fn read_body(
+        &mut self,
+        body: &mut Incoming,
+        max: usize,
+    ) -> Result<Bytes, ExchangeError> {
         let mut all = Vec::new();
         while let Some(part) = self.next(body).await? {
             if all.len() + part.len() > max {
-                return Err(Broken::Large);
+                return Err(ExchangeError::Large);
             }
             all.extend_from_slice(&part);
         }
@@ -191,13 +197,13 @@
 }
 
 /// Builds the HTTP request of a call.
-fn request_of(call: &Call, address: SocketAddr) -> Result<Request<Full<Bytes>>, Broken> {
+fn request_of(call: &Call, address: SocketAddr) -> Result<Request<Full<Bytes>>, ExchangeError> {
     let mut request = Request::builder().method(call.method).uri(&call.target);
     request = request.header("host", address.to_string());
     for (name, value) in &call.headers {
         request = request.header(*name, value);
     }
-    request.body(Full::new(call.body.clone())).map_err(|e| Broken::Connection(e.to_string()))
+    request.body(Full::new(call.body.clone())).map_err(|e| ExchangeError::Connection(e.to_string()))
 }
 
 /// Largest answer to a call of this system itself, in bytes.
@@ -223,17 +229,17 @@
     address: SocketAddr,
     call: &Call,
     within_ms: u64,
-) -> Result<Reply, Broken> {
+) -> Result<Reply, ExchangeError> {
     let request = request_of(call, address)?;
     let answer = async {
         let mut response = exchange.send(request).await?;
         let status = response.status().as_u16();
         let headers = headers_of(&response);
-        let body = exchange.whole(response.body_mut(), ANSWER_MAX).await?;
+        let body = exchange.read_body(response.body_mut(), ANSWER_MAX).await?;
         Ok(Reply { status, headers, body })
     };
     match tokio::time::timeout(Duration::from_millis(within_ms), answer).await {
         Ok(answer) => answer,
-        Err(_) => Err(Broken::Late),
+        Err(_) => Err(ExchangeError::Late),
     }
 }
--- a/crates/oliveworks-gateway/src/follow.rs
+++ b/crates/oliveworks-gateway/src/follow.rs
@@ -12,7 +12,7 @@
 
 use crate::dialect::{Record, Tail, Topic};
 use crate::events::Event;
-use crate::passing::{Answer, Asking};
+use crate::passing::{Answer, PeerClient};
 use crate::sources;
 use crate::state::Gateway;
 use crate::store::Client;
@@ -24,12 +24,12 @@
 /// the time of more than 2 s within which a change must be in force. With the usual timeout of 2.95
 /// s, a domain of five gateways, three of which got no answer from a silent store, received a
 /// change after 3.4 s instead of 3 s.
-const TRY_MS: u64 = 400;
+const TRIAL_TIMEOUT_MS: u64 = 400;
 
 /// A reader of one topic.
 pub struct Follower {
     client: Client,
-    asking: Option<Asking>,
+    peer_client: Option<PeerClient>,
     topic: Topic,
     following: Following,
     pause_ms: u64,
@@ -49,12 +49,12 @@
     /// ms.
     pub held_ms: u64,
     /// Source of the records.
-    pub told_by: ToldBy,
+    pub source: RecordSource,
 }
 
 /// Source of the records of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ToldBy {
+pub enum RecordSource {
     /// The store.
     Store,
     /// Another gateway.
@@ -69,8 +69,8 @@
 
 impl Step {
     /// Creates the step of a call to the store that returned neither records nor a proof.
-    fn without_news(sent: Millis) -> Step {
-        Step { records: Vec::new(), snapshot: false, sent, held_ms: 0, told_by: ToldBy::Store }
+    fn empty(sent: Millis) -> Step {
+        Step { records: Vec::new(), snapshot: false, sent, held_ms: 0, source: RecordSource::Store }
     }
 }
 
@@ -79,7 +79,7 @@
     pub fn new(gateway: &Rc<Gateway>, topic: Topic) -> Follower {
         Follower {
             client: Client::new(gateway),
-            asking: None,
+            peer_client: None,
             topic,
             following: Following::default(),
             pause_ms: RETRY_MS.0,
@@ -88,12 +88,12 @@
     }
 
     /// Returns the position up to which everything was read.
-    pub fn place(&self) -> Option<Place> {
+    pub fn position(&self) -> Option<Place> {
         self.following.place()
     }
 
     /// Requests a snapshot with the next step, from the store itself if it answers.
-    pub fn read_anew(&mut self) {
+    pub fn request_snapshot(&mut self) {
         self.following.read_anew();
     }
 
@@ -101,13 +101,13 @@
     /// `wait_ms` is the longest time for which the store may hold the call back.
     pub async fn step(&mut self, wait_ms: u64) -> Option<Step> {
         let gateway = self.client.gateway().clone();
-        self.forget_former_place(&gateway);
-        let read_from = sources::next(&gateway, &self.following);
-        self.tell_read_from(&gateway, read_from);
+        self.discard_former_position(&gateway);
+        let read_from = sources::choose_source(&gateway, &self.following);
+        self.log_source(&gateway, read_from);
         let step = async {
             match read_from {
                 ReadFrom::Store => self.step_in_store(&gateway, wait_ms).await,
-                ReadFrom::Gateway(address) => self.step_through(&gateway, address).await,
+                ReadFrom::Gateway(address) => self.step_through_peer(&gateway, address).await,
             }
         };
         // A call made before a pause of the process may have been answered long ago, or may never
@@ -116,7 +116,7 @@
     }
 
     /// Discards a position of another era, since the store has assigned its offset again.
-    fn forget_former_place(&mut self, gateway: &Gateway) {
+    fn discard_former_position(&mut self, gateway: &Gateway) {
         let Some(place) = self.following.forget_other_eras(gateway.era()) else { return };
         Event::new("place_is_void")
             .debug("topic", self.topic)
@@ -127,7 +127,7 @@
     }
 
     /// Logs a change of the source from which the topic is read.
-    fn tell_read_from(&mut self, gateway: &Gateway, read_from: ReadFrom) {
+    fn log_source(&mut self, gateway: &Gateway, read_from: ReadFrom) {
         if self.read_from.replace(read_from) == Some(read_from) {
             return;
         }
@@ -139,22 +139,22 @@
             .debug("topic", self.topic)
             .with("address", address.to_string())
             .with("is_store", read_from == ReadFrom::Store)
-            .with("offset", self.place().map(|place| place.offset))
+            .with("offset", self.position().map(|place| place.offset))
             .with("era", gateway.era().0)
             .write();
     }
 
     async fn step_in_store(&mut self, gateway: &Gateway, wait_ms: u64) -> Option<Step> {
-        gateway.store_tried_at.set(gateway.now());
-        let tries = sources::tries_the_store(gateway);
+        gateway.store_called_at.set(gateway.now());
+        let is_trial = sources::is_store_trial(gateway);
         let step = async {
-            match self.place() {
+            match self.position() {
                 None => self.snapshot().await,
-                Some(place) => self.tail(place, if tries { 0 } else { wait_ms }).await,
+                Some(place) => self.tail(place, if is_trial { 0 } else { wait_ms }).await,
             }
         };
-        let step = match tries {
-            true => match timeout(Duration::from_millis(TRY_MS), step).await {
+        let step = match is_trial {
+            true => match timeout(Duration::from_millis(TRIAL_TIMEOUT_MS), step).await {
                 Ok(step) => step,
                 Err(_) => Err("no answer to a short call".to_owned()),
             },
@@ -176,15 +176,15 @@
         }
     }
 
-    async fn step_through(&mut self, gateway: &Gateway, address: SocketAddr) -> Option<Step> {
+    async fn step_through_peer(&mut self, gateway: &Gateway, address: SocketAddr) -> Option<Step> {
         let sent = gateway.now();
         gateway.count("questions_asked");
-        match self.ask(gateway, address).await {
+        match self.ask_peer(gateway, address).await {
             Ok(answer) => {
-                gateway.era_told_by_gateway(sent, answer.next.era, address);
+                gateway.record_peer_era(sent, answer.next.era, address);
                 self.following.gateway_told(answer.next);
                 if let Some(ago) = answer.store_failed_ms_ago {
-                    gateway.store_failed_elsewhere(sent.saturating_sub(ago));
+                    gateway.store_failed_for_peer(sent.saturating_sub(ago));
                 }
                 let Answer { proof_age_ms, stored_version, .. } = answer;
                 Some(Step {
@@ -192,31 +192,31 @@
                     snapshot: answer.snapshot,
                     sent,
                     held_ms: answer.held_ms,
-                    told_by: ToldBy::Gateway { proof_age_ms, stored_version },
+                    source: RecordSource::Gateway { proof_age_ms, stored_version },
                 })
             }
             Err(why) => {
-                self.asking = None;
+                self.peer_client = None;
                 self.following.gateway_did_not_tell();
-                sources::avoid(gateway, address, self.topic, &why);
+                sources::mark_unresponsive(gateway, address, self.topic, &why);
                 None
             }
         }
     }
 
-    async fn ask(&mut self, gateway: &Gateway, address: SocketAddr) -> Result<Answer, String> {
-        let kept = self.asking.take().filter(|asking| asking.address() == address);
-        let mut asking = match kept {
-            Some(asking) => asking,
-            None => Asking::open(address).await?,
+    async fn ask_peer(&mut self, gateway: &Gateway, address: SocketAddr) -> Result<Answer, String> {
+        let kept = self.peer_client.take().filter(|peer_client| peer_client.address() == address);
+        let mut peer_client = match kept {
+            Some(peer_client) => peer_client,
+            None => PeerClient::open(address).await?,
         };
         // The planner uses the age of records, so a leader needs repeated records as well. A host
         // that the store listed from an older copy of its data is known to be alive by its next
         // record.
         let leads = gateway.election.borrow().leads().is_some();
         let repeats = leads || gateway.doubts_any_host() || gateway.store_may_lack_records();
-        let answer = asking.ask(self.topic, self.place(), repeats).await?;
-        self.asking = Some(asking);
+        let answer = peer_client.ask(self.topic, self.position(), repeats).await?;
+        self.peer_client = Some(peer_client);
         let answer = answer.ok_or("it has nothing to tell")?;
         if answer.next.era < gateway.era() {
             return Err("it has not heard that the store came back from a copy".to_owned());
@@ -234,9 +234,9 @@
     ///
     /// # Errors
     /// Returns a description of the failure if the gateway does not return records.
-    pub async fn newest_of(&mut self, address: SocketAddr) -> Result<Vec<Record>, String> {
-        let mut asking = Asking::open(address).await?;
-        let answer = asking.ask(self.topic, None, false).await?;
+    pub async fn fetch_newest(&mut self, address: SocketAddr) -> Result<Vec<Record>, String> {
+        let mut peer_client = PeerClient::open(address).await?;
+        let answer = peer_client.ask(self.topic, None, false).await?;
         Ok(answer.ok_or("it has nothing to tell")?.records)
     }
 
@@ -268,7 +268,7 @@
             }
         }
         self.following.store_told(first_end);
-        Ok(Step { records, snapshot: true, sent, held_ms: 0, told_by: ToldBy::Store })
+        Ok(Step { records, snapshot: true, sent, held_ms: 0, source: RecordSource::Store })
     }
 
     async fn tail(&mut self, place: Place, wait_ms: u64) -> Result<Step, String> {
@@ -280,7 +280,7 @@
         let era = gateway.era();
         if era != place.era && from != 0 {
             // The records of the answer do not continue those read before.
-            return Ok(Step::without_news(sent));
+            return Ok(Step::empty(sent));
         }
         let tail = gateway
             .dialect
@@ -290,7 +290,7 @@
             Tail::Records(records, next) => {
                 let held_ms = if records.is_empty() { wait_ms } else { 0 };
                 self.following.store_told(Some(Place::new(era, next)));
-                Ok(Step { records, snapshot: false, sent, held_ms, told_by: ToldBy::Store })
+                Ok(Step { records, snapshot: false, sent, held_ms, source: RecordSource::Store })
             }
             Tail::Expired(first) => {
                 Event::new("records_expired")
@@ -303,7 +303,7 @@
                     return Err("it does not say which is the first record it keeps".to_owned());
                 }
                 self.following.store_told(first.map(|first| Place::new(era, first)));
-                Ok(Step::without_news(sent))
+                Ok(Step::empty(sent))
             }
             Tail::Refused(status) => Err(format!("refused with {status}")),
         }
--- a/crates/oliveworks-gateway/src/heartbeat.rs
+++ b/crates/oliveworks-gateway/src/heartbeat.rs
@@ -17,9 +17,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::events::Event;
-use crate::host_says::Leaving;
+use crate::host_statements::Leaving;
 use crate::members;
-use crate::peers::PEER_MS;
+use crate::peers::PEER_TIMEOUT_MS;
 use crate::state::{Gateway, Peer};
 
 /// Time for which a suspicion is reported, in ms.
@@ -29,10 +29,10 @@
 /// The same for reports of other gateways of this failure domain, in ms. Added to their own 200 ms
 /// and the transmission time, this is half of the 600 ms that the detection of a silent group takes
 /// at least.
-const HEARD_NEAR_MS: u64 = 100;
+const HEARD_LOCAL_MS: u64 = 100;
 /// Number of gateways named in one heartbeat. Each gateway is named by many others, so that every
 /// one of hundreds of gateways is reported at least twice a second.
-const PEERS_TOLD: usize = 2;
+const PEERS_PER_HEARTBEAT: usize = 2;
 /// Time for which a leader may be without the store before others may replace it, in ms.
 const LEADER_STORE_MS: u64 = 2_500;
 
@@ -42,7 +42,7 @@
     node: String,
     failure_domain: String,
     /// Newest heartbeat of the leader known to the sender.
-    leader: Option<LeaderSeen>,
+    leader: Option<LeaderHeartbeat>,
     /// Whether other gateways may rely on the sender to read the store: the store answers the
     /// sender, and the sender is not stopping.
     store_answers: bool,
@@ -75,7 +75,7 @@
     /// Whether any gateway has received a request.
     traffic: bool,
     /// Other gateways.
-    peers: Vec<PeerTold>,
+    peers: Vec<PeerReport>,
     /// Silent gateways that may still use their share of a limit, as hashes of their names, each
     /// with the time since its last message in ms.
     silent: Vec<(u64, u64)>,
@@ -101,7 +101,7 @@
 
 /// A forwarded heartbeat of the leader.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct LeaderSeen {
+pub struct LeaderHeartbeat {
     /// The heartbeat.
     pub heartbeat: Heartbeat,
     /// Peer address of the leader.
@@ -110,7 +110,7 @@
 
 /// A gateway as named in heartbeats of others.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct PeerTold {
+struct PeerReport {
     node: String,
     failure_domain: String,
     address: SocketAddr,
@@ -118,10 +118,10 @@
 }
 
 /// Returns the heartbeat for gateways of this gateway's failure domain.
-pub fn own(gateway: &Gateway) -> Beat {
+pub fn for_own_domain(gateway: &Gateway) -> Beat {
     let now = gateway.now();
     gateway.suspects.borrow_mut().retain(|_, at| now < *at + SUSPECT_MS);
-    let reaches_store = now < gateway.store_heard_at.get() + LEADER_STORE_MS;
+    let reaches_store = now < gateway.store_answered_at.get() + LEADER_STORE_MS;
     let table = gateway.table.borrow().number;
     if gateway.election.borrow_mut().beat(table, reaches_store).is_some() {
         gateway.leader_address.set(Some(gateway.settings.listen.peers));
@@ -132,7 +132,7 @@
     Beat {
         node: gateway.settings.node.clone(),
         failure_domain: gateway.settings.failure_domain.clone(),
-        leader: leader.map(|(heartbeat, address)| LeaderSeen { heartbeat, address }),
+        leader: leader.map(|(heartbeat, address)| LeaderHeartbeat { heartbeat, address }),
         store_answers: gateway.reads_for_others(),
         reads_store: gateway.reads_store(),
         proof_age_ms: gateway.freshness.get().age_ms(now),
@@ -143,21 +143,21 @@
         looked: gateway.demand.borrow().own(now).collect(),
         suspects: gateway.suspects.borrow().keys().copied().collect(),
         slow: gateway.slow_groups(),
-        leaving: gateway.leaving_told(),
-        crashers: gateway.crashers_told(),
+        leaving: gateway.leaving_to_report(),
+        crashers: gateway.crashers_to_report(),
         limits: gateway.rate_limits.borrow().limits.telling(now, rand::random()),
-        ended_drains: gateway.drains_ended_lately(),
+        ended_drains: gateway.recently_ended_drains(),
         traffic: gateway.traffic.get(),
-        peers: peers_told(gateway, now),
+        peers: peers_to_report(gateway, now),
         silent: gateway.silent_gateways(),
     }
 }
 
 /// Returns what this failure domain knows of outstanding requests, for reports to other domains.
-pub fn known(gateway: &Gateway) -> Known {
+pub fn domain_figures(gateway: &Gateway) -> Known {
     let now = gateway.now();
     let balance = gateway.balance.borrow();
-    let near = balance.heard_near_since(now.saturating_sub(HEARD_NEAR_MS));
+    let near = balance.heard_near_since(now.saturating_sub(HEARD_LOCAL_MS));
     let heard = balance.heard_since(now.saturating_sub(HEARD_MS)).chain(near).collect();
     Known { open: balance.domain_open(now), heard }
 }
@@ -167,7 +167,7 @@
 pub fn for_domain(gateway: &Gateway, own: &Beat, known: &Known, listener: &str) -> Beat {
     let now = gateway.now();
     let source = domain_source(listener);
-    let due = gateway.sums.borrow_mut().is_due(now, source, known.open.len());
+    let due = gateway.elsewhere_reports.borrow_mut().is_due(now, source, known.open.len());
     let directory = gateway.directory.borrow();
     let is_there = |target| directory.failure_domain(target) == Some(listener);
     let telling = telling::far(&gateway.balance.borrow(), now, known, source, is_there, due);
@@ -176,7 +176,7 @@
 }
 
 /// Returns the heartbeat, without figures, for a gateway whose failure domain is unknown.
-pub fn for_stranger(own: &Beat) -> Beat {
+pub fn for_unknown_domain(own: &Beat) -> Beat {
     let (figures, telling, looked) = (Figures::None, Telling::default(), Vec::new());
     Beat { figures, telling, looked, ..own.clone() }
 }
@@ -185,28 +185,28 @@
     Source::FailureDomain(xxh3_64(failure_domain.as_bytes()))
 }
 
-fn peers_told(gateway: &Gateway, now: Millis) -> Vec<PeerTold> {
+fn peers_to_report(gateway: &Gateway, now: Millis) -> Vec<PeerReport> {
     let peers = gateway.peers.borrow();
-    let young = peers.iter().filter(|(_, peer)| now < peer.heard_at + PEER_MS);
-    let told = young.sample(&mut rand::rng(), PEERS_TOLD);
-    let told = told.into_iter().map(|(node, peer)| PeerTold {
+    let recent = peers.iter().filter(|(_, peer)| now < peer.last_seen_at + PEER_TIMEOUT_MS);
+    let sample = recent.sample(&mut rand::rng(), PEERS_PER_HEARTBEAT);
+    let reports = sample.into_iter().map(|(node, peer)| PeerReport {
         node: node.clone(),
         failure_domain: peer.failure_domain.clone(),
         address: peer.address,
-        heard_ms_ago: now - peer.heard_at,
+        heard_ms_ago: now - peer.last_seen_at,
     });
-    told.collect()
+    reports.collect()
 }
 
 /// Processes a heartbeat, except for what it says about the leader, which is returned to the
 /// caller.
-pub fn heard(gateway: &Gateway, from: SocketAddr, beat: Beat) -> Option<LeaderSeen> {
+pub fn process(gateway: &Gateway, from: SocketAddr, beat: Beat) -> Option<LeaderHeartbeat> {
     let now = gateway.now();
     if beat.node == gateway.settings.node {
         return None;
     }
-    know_peers(gateway, now, from, &beat);
-    know_sharers(gateway, now, &beat);
+    record_peers(gateway, now, from, &beat);
+    record_sharers(gateway, now, &beat);
     if beat.traffic {
         gateway.traffic.set(true);
     }
@@ -215,39 +215,39 @@
         true => Source::Gateway(xxh3_64(beat.node.as_bytes())),
         false => domain_source(&beat.failure_domain),
     };
-    hear_telling(gateway, now, source, &beat.telling);
-    let for_this_one = match beat.figures {
+    record_heard_targets(gateway, now, source, &beat.telling);
+    let is_for_this_gateway = match beat.figures {
         Figures::None => false,
         Figures::OfGateway => near,
         Figures::OfFailureDomain => !near,
     };
-    if for_this_one {
+    if is_for_this_gateway {
         gateway.demand.borrow_mut().peer(now, source, beat.looked.into_iter().collect());
-        hear_open(gateway, now, source, beat.telling);
+        record_outstanding(gateway, now, source, beat.telling);
     }
     for epoch in beat.suspects {
-        gateway.suspected_by_another(epoch);
+        gateway.process_suspicion(epoch);
     }
     for chain in beat.crashers {
-        gateway.crasher_told(chain);
+        gateway.process_crasher_report(chain);
     }
     for limit in beat.limits {
-        gateway.limit_told(limit);
+        gateway.record_reported_limit(limit);
     }
     for (failure_domain, ms_ago) in &beat.ended_drains {
-        gateway.drain_ended_elsewhere(failure_domain, *ms_ago);
+        gateway.process_remote_drain_end(failure_domain, *ms_ago);
     }
     for leaving in beat.leaving {
-        gateway.leaves_by_another(leaving);
+        gateway.process_leaving_report(leaving);
     }
     for epoch in beat.slow {
-        gateway.runs_slowly(epoch);
+        gateway.process_slow_group(epoch);
     }
     beat.leader
 }
 
 /// Records the targets from which others have recently received data.
-fn hear_telling(gateway: &Gateway, now: Millis, source: Source, telling: &Telling) {
+fn record_heard_targets(gateway: &Gateway, now: Millis, source: Source, telling: &Telling) {
     let mut balance = gateway.balance.borrow_mut();
     let open = telling.open.iter().filter(|count| count.heard).map(|count| count.target);
     for target in open.chain(telling.heard.iter().copied()) {
@@ -256,7 +256,7 @@
 }
 
 /// Records the requests that others have outstanding.
-fn hear_open(gateway: &Gateway, now: Millis, source: Source, telling: Telling) {
+fn record_outstanding(gateway: &Gateway, now: Millis, source: Source, telling: Telling) {
     let mut balance = gateway.balance.borrow_mut();
     let load = |count: Count| (count.target, count.load);
     let open: HashMap<Target, Load> = telling.open.into_iter().map(load).collect();
@@ -267,22 +267,22 @@
 }
 
 /// Records the gateways that share the limits on what all gateways may send together.
-fn know_sharers(gateway: &Gateway, now: Millis, beat: &Beat) {
+fn record_sharers(gateway: &Gateway, now: Millis, beat: &Beat) {
     let sender = std::iter::once((members::hash(&beat.node), now));
-    let told = beat
+    let reported = beat
         .peers
         .iter()
-        .map(|told| (members::hash(&told.node), now.saturating_sub(told.heard_ms_ago)));
+        .map(|peer| (members::hash(&peer.node), now.saturating_sub(peer.heard_ms_ago)));
     let silent = beat.silent.iter().map(|(node, ago)| (*node, now.saturating_sub(*ago)));
-    gateway.shares_with(sender.chain(told).chain(silent));
+    gateway.record_members(sender.chain(reported).chain(silent));
 }
 
-fn know_peers(gateway: &Gateway, now: Millis, from: SocketAddr, beat: &Beat) {
+fn record_peers(gateway: &Gateway, now: Millis, from: SocketAddr, beat: &Beat) {
     let mut peers = gateway.peers.borrow_mut();
     let sender = Peer {
         address: from,
         failure_domain: beat.failure_domain.clone(),
-        heard_at: now,
+        last_seen_at: now,
         store_answers: beat.store_answers,
         reads_store: beat.reads_store,
         // A proof older than this process is treated like no proof.
@@ -290,29 +290,29 @@
         era: beat.era,
         version: beat.version,
     };
-    gateway.gateway_heard_at.set(Some(now));
+    gateway.peer_heartbeat_at.set(Some(now));
     if peers.insert(beat.node.clone(), sender).is_none() {
         let (name, address) = (beat.node.as_str(), from.to_string());
         Event::new("peer_heard").with("peer", name).with("address", address).write();
     }
-    for told in &beat.peers {
-        if told.node == gateway.settings.node {
+    for report in &beat.peers {
+        if report.node == gateway.settings.node {
             continue;
         }
-        let heard_at = now.saturating_sub(told.heard_ms_ago);
-        let peer = peers.entry(told.node.clone()).or_insert_with(|| Peer {
-            address: told.address,
-            failure_domain: told.failure_domain.clone(),
-            heard_at,
+        let last_seen_at = now.saturating_sub(report.heard_ms_ago);
+        let peer = peers.entry(report.node.clone()).or_insert_with(|| Peer {
+            address: report.address,
+            failure_domain: report.failure_domain.clone(),
+            last_seen_at,
             store_answers: true,
             reads_store: false,
             proved_at: None,
             era: Era::default(),
             version: None,
         });
-        if heard_at > peer.heard_at {
-            peer.heard_at = heard_at;
-            peer.address = told.address;
+        if last_seen_at > peer.last_seen_at {
+            peer.last_seen_at = last_seen_at;
+            peer.address = report.address;
         }
     }
 }
--- a/crates/oliveworks-gateway/src/host_says.rs
+++ b/crates/oliveworks-gateway/src/host_statements.rs
@@ -14,7 +14,7 @@
 /// Time for which a gateway reports a leaving backend server to others, in ms: ten heartbeats, some
 /// of which may be lost. Gateways that learn of it from a report repeat the report for the same
 /// time.
-const LEAVING_TOLD_MS: u64 = 1_000;
+const LEAVING_REPORTED_MS: u64 = 1_000;
 
 /// Largest number of names of unread headers that are reported.
 const UNREAD_NAMES_MAX: usize = 32;
@@ -25,7 +25,7 @@
     /// Id of the backend server.
     pub server: &'a str,
     /// Start of the server's incarnation, as known when the request was sent.
-    pub life: Option<Born>,
+    pub incarnation: Option<Born>,
     /// Time at which the request was sent.
     pub sent_at: Millis,
     /// Whether the answer is to a caller's request, as opposed to a call of this system itself.
@@ -43,20 +43,20 @@
 
 impl Gateway {
     /// Processes what an answer to a request or a call says about its sender.
-    pub fn heed(&self, sender: Sender<'_>, answered: &Answered, request: &str) {
-        let Sender { server, life, .. } = sender;
-        self.hear_limit(sender, answered, request);
+    pub fn process_statements(&self, sender: Sender<'_>, answered: &Answered, request: &str) {
+        let Sender { server, incarnation, .. } = sender;
+        self.record_limit(sender, answered, request);
         self.report_unread(server, &answered.unread);
         if answered.leaving {
             self.count("answers_of_leaving_hosts");
-            self.host_leaves(server, life, "an answer");
+            self.mark_leaving(server, incarnation, "an answer");
         }
         match &answered.retry_after {
             RetryAfter::NotTold => {}
-            RetryAfter::Ms(ms) => self.back_off(server, *ms, request),
+            RetryAfter::Ms(ms) => self.begin_backoff(server, *ms, request),
             RetryAfter::Unreadable(value) => {
                 self.count("retry_after_unreadable");
-                warn!("{server}: when to ask again cannot be understood: {value:?}");
+                warn!("{server}: cannot parse the retry time in an answer: {value:?}");
             }
         }
     }
@@ -80,7 +80,7 @@
     }
 
     /// Starts a backoff that a backend server asked for.
-    fn back_off(&self, server: &str, ms: u64, request: &str) {
+    fn begin_backoff(&self, server: &str, ms: u64, request: &str) {
         self.count("refusals_with_retry_after");
         let is_news = self.backoffs.borrow_mut().asked(self.now(), Target::of(server), ms);
         if is_news {
@@ -94,40 +94,40 @@
     }
 
     /// Marks a backend server as leaving: it gets no new requests, and the leader is informed.
-    fn host_leaves(&self, server: &str, life: Option<Born>, told_by: &str) {
-        if !self.directory.borrow_mut().leaves(server, life) {
+    fn mark_leaving(&self, server: &str, incarnation: Option<Born>, reported_by: &str) {
+        if !self.directory.borrow_mut().leaves(server, incarnation) {
             return;
         }
         self.count("hosts_said_they_leave");
         Event::new("host_leaves")
             .with("host", server)
-            .debug("born", life)
-            .with("told_by", told_by)
+            .debug("born", incarnation)
+            .with("told_by", reported_by)
             .write();
         for planner in self.planners.borrow_mut().values_mut() {
-            planner.leaves(server, life);
+            planner.leaves(server, incarnation);
         }
         self.plan_now.notify_one();
-        let told = Leaving { target: Target::of(server), life };
-        self.leaving_told.borrow_mut().push((self.now(), told));
-        self.beat_is_urgent.set(true);
+        let report = Leaving { target: Target::of(server), life: incarnation };
+        self.leaving_reports.borrow_mut().push((self.now(), report));
+        self.heartbeat_is_urgent.set(true);
         self.send_now.notify_one();
     }
 
     /// Processes another gateway's report that a backend server is leaving.
-    pub fn leaves_by_another(&self, leaving: Leaving) {
+    pub fn process_leaving_report(&self, leaving: Leaving) {
         let server = self.directory.borrow().id(leaving.target).cloned();
         if let Some(server) = server {
-            self.host_leaves(&server, leaving.life, "another gateway");
+            self.mark_leaving(&server, leaving.life, "another gateway");
         }
     }
 
     /// Returns the leaving backend servers to report to other gateways.
-    pub fn leaving_told(&self) -> Vec<Leaving> {
+    pub fn leaving_to_report(&self) -> Vec<Leaving> {
         let now = self.now();
-        let mut told = self.leaving_told.borrow_mut();
-        told.retain(|(at, _)| now < *at + LEAVING_TOLD_MS);
-        told.iter().map(|(_, leaving)| *leaving).collect()
+        let mut reports = self.leaving_reports.borrow_mut();
+        reports.retain(|(at, _)| now < *at + LEAVING_REPORTED_MS);
+        reports.iter().map(|(_, leaving)| *leaving).collect()
     }
 
     /// Counts requests sent to a backend server that is in a backoff or names a limit.
--- a/crates/oliveworks-gateway/src/leader.rs
+++ b/crates/oliveworks-gateway/src/leader.rs
@@ -18,28 +18,28 @@
 use crate::calls::CallKind;
 use crate::dialect::Call;
 use crate::events::Event;
-use crate::exchange::{self, Broken, Exchange, MISDIRECTED, NoConnection, Reply};
-use crate::host_says::Sender;
+use crate::exchange::{self, Exchange, ExchangeError, MISDIRECTED, NoConnection, Reply};
+use crate::host_statements::Sender;
 use crate::state::Gateway;
 use crate::{peers, store};
 
 /// Longest time between two planning rounds, in ms.
-const TICK_MS: u64 = 40;
+const PLAN_INTERVAL_MS: u64 = 40;
 /// Shortest time between two planning rounds when an answer requests one at once, in ms. The median
 /// repair of a large group takes 0.80 s instead of 1.05 s, and a burst of answers does not use up
 /// the processor.
-const LOOK_MIN_MS: u64 = 10;
+const PLAN_INTERVAL_MIN_MS: u64 = 10;
 /// Time after a pause in which a leader sends no orders, in ms.
-const LISTEN_MS: u64 = 250;
+const AFTER_PAUSE_MS: u64 = 250;
 /// Time between two log lines on each model, and between two checks for changed lines on failure
 /// domains, in ms.
-const DESCRIBE_MS: u64 = 1_000;
+const LOG_INTERVAL_MS: u64 = 1_000;
 /// Slowdown factor above which a host gets a log line.
-const PACE_TOLD: f64 = 1.25;
+const SLOW_PACE: f64 = 1.25;
 /// Timeout of an order, in ms.
-const ORDER_MS: u64 = 250;
+const ORDER_TIMEOUT_MS: u64 = 250;
 /// Timeout of a probe of a backend server's state, in ms.
-const PROBE_MS: u64 = 120;
+const PROBE_TIMEOUT_MS: u64 = 120;
 
 /// Runs elections, and plans while this gateway leads.
 pub async fn run(gateway: Rc<Gateway>) {
@@ -48,25 +48,25 @@
     let mut domain_lines = ChangedLines::default();
     loop {
         gateway.tick();
-        stand(&gateway);
+        claim_if_due(&gateway);
         let leads = gateway.election.borrow().leads();
         if leads != fence {
             fence = leads;
-            change(&gateway, fence).await;
+            change_leadership(&gateway, fence).await;
         }
         // Another gateway may have become leader during a pause: messages that arrived meanwhile
         // are processed before any planning.
-        let listens =
-            gateway.now() < gateway.awake_since() + LISTEN_MS && gateway.awake_since() > 0;
-        if let Some(fence) = fence.filter(|_| !listens) {
+        let is_catching_up =
+            gateway.now() < gateway.awake_since() + AFTER_PAUSE_MS && gateway.awake_since() > 0;
+        if let Some(fence) = fence.filter(|_| !is_catching_up) {
             plan(&gateway, fence);
-            if gateway.now() >= described_at + DESCRIBE_MS {
+            if gateway.now() >= described_at + LOG_INTERVAL_MS {
                 described_at = gateway.now();
                 describe(&gateway, &mut domain_lines);
             }
         }
-        sleep(Duration::from_millis(LOOK_MIN_MS)).await;
-        let pause = Duration::from_millis(TICK_MS - LOOK_MIN_MS);
+        sleep(Duration::from_millis(PLAN_INTERVAL_MIN_MS)).await;
+        let pause = Duration::from_millis(PLAN_INTERVAL_MS - PLAN_INTERVAL_MIN_MS);
         let _ = timeout(pause, gateway.plan_now.notified()).await;
     }
 }
@@ -98,16 +98,16 @@
     }
 }
 
-fn percent(part: f64) -> u64 {
-    (part * 100.0).round() as u64
+fn percent(share: f64) -> u64 {
+    (share * 100.0).round() as u64
 }
 
-fn stand(gateway: &Rc<Gateway>) {
+fn claim_if_due(gateway: &Rc<Gateway>) {
     let ready = gateway.directory_read.get() && gateway.lookup.borrow().is_some();
     if !ready || gateway.is_stopping() {
         return;
     }
-    let (now, rank) = (gateway.now(), peers::rank(gateway));
+    let (now, rank) = (gateway.now(), peers::election_rank(gateway));
     gateway.election.borrow_mut().awake_since(gateway.awake_since());
     let claim = gateway.election.borrow_mut().claim(now, rank);
     if let Some(end) = claim {
@@ -116,7 +116,7 @@
 }
 
 /// Starts or stops leading.
-async fn change(gateway: &Rc<Gateway>, fence: Option<u64>) {
+async fn change_leadership(gateway: &Rc<Gateway>, fence: Option<u64>) {
     gateway.planners.borrow_mut().clear();
     let Some(fence) = fence else {
         Event::new("leads").with("fence", Value::Null).write();
@@ -140,18 +140,18 @@
     planner.set_tolerance(gateway.settings.tolerance.failure_domains);
     let servers: Vec<BackendServer> =
         gateway.directory.borrow().of_service(service).cloned().collect();
-    let mut asked = Vec::new();
+    let mut probes = Vec::new();
     for server in &servers {
         planner.listed(gateway.now(), server);
         let (gateway, id, address) = (gateway.clone(), server.id.clone(), server.address);
-        let answer = ntex::rt::spawn(async move { ask(&gateway, &id, address).await });
-        asked.push((server.id.clone(), answer));
+        let answer = ntex::rt::spawn(async move { probe(&gateway, &id, address).await });
+        probes.push((server.id.clone(), answer));
     }
-    for (id, answer) in asked {
+    for (id, answer) in probes {
         match answer.await {
-            Ok(Asked::Holding(holding)) => planner.reported(gateway.now(), &id, &holding),
-            Ok(Asked::Silent { refused }) => planner.silent(gateway.now(), &id, refused),
-            Ok(Asked::Replaced) => planner.replaced(gateway.now(), &id),
+            Ok(ProbeOutcome::Holding(holding)) => planner.reported(gateway.now(), &id, &holding),
+            Ok(ProbeOutcome::Silent { refused }) => planner.silent(gateway.now(), &id, refused),
+            Ok(ProbeOutcome::Replaced) => planner.replaced(gateway.now(), &id),
             Err(_) => {}
         }
     }
@@ -167,7 +167,7 @@
 }
 
 /// Outcome of a probe of a backend server's state.
-enum Asked {
+enum ProbeOutcome {
     Holding(Holding),
     Silent {
         refused: bool,
@@ -176,39 +176,41 @@
     Replaced,
 }
 
-async fn ask(gateway: &Gateway, server: &str, address: SocketAddr) -> Asked {
+async fn probe(gateway: &Gateway, server: &str, address: SocketAddr) -> ProbeOutcome {
     gateway.count("probes");
-    let _place = gateway.calls.place(CallKind::Question).await;
-    match make(gateway, server, address, &gateway.dialect.report(server), PROBE_MS).await {
+    let _slot = gateway.calls.acquire_slot(CallKind::Probe).await;
+    match call_server(gateway, server, address, &gateway.dialect.report(server), PROBE_TIMEOUT_MS)
+        .await
+    {
         Ok(Reply { status, body, .. }) => match gateway.dialect.reported(status, &body) {
-            Ok(Some(holding)) => Asked::Holding(holding),
-            Ok(None) => Asked::Replaced,
-            Err(_) => Asked::Silent { refused: false },
+            Ok(Some(holding)) => ProbeOutcome::Holding(holding),
+            Ok(None) => ProbeOutcome::Replaced,
+            Err(_) => ProbeOutcome::Silent { refused: false },
         },
-        Err(refused) => Asked::Silent { refused },
+        Err(refused) => ProbeOutcome::Silent { refused },
     }
 }
 
 /// Calls a backend server on a new connection and processes what the answer says about its sender.
 /// The error is whether the address refused the connection.
-async fn make(
+async fn call_server(
     gateway: &Gateway,
     server: &str,
     address: SocketAddr,
     call: &Call,
     within_ms: u64,
 ) -> Result<Reply, bool> {
-    let life = gateway.directory.borrow().born(server);
+    let incarnation = gateway.directory.borrow().born(server);
     let opened = Exchange::open(address, within_ms).await;
     let mut open = opened.map_err(|why| why == NoConnection::Refused)?;
     let sent_at = gateway.now();
-    gateway.call_made(server);
+    gateway.count_own_call(server);
     let answer = exchange::call(&mut open, address, call, within_ms).await;
-    let reply = answer.map_err(|_: Broken| false)?;
+    let reply = answer.map_err(|_: ExchangeError| false)?;
     if reply.status != MISDIRECTED {
         let answered = gateway.dialect.answered(reply.status, &reply.headers);
-        let sender = Sender { server, life, sent_at, to_request: false };
-        gateway.heed(sender, &answered, &call.target);
+        let sender = Sender { server, incarnation, sent_at, to_request: false };
+        gateway.process_statements(sender, &answered, &call.target);
     }
     Ok(reply)
 }
@@ -224,13 +226,13 @@
     for (service, planner) in planners.iter_mut() {
         refresh(gateway, service, planner);
         planner.set_traffic(gateway.traffic.get());
-        tell_load(gateway, service, planner);
+        report_load(gateway, service, planner);
         slow.iter().for_each(|epoch| planner.runs_slowly(now, *epoch));
-        let parts = planner.parts();
+        let shares_before = planner.parts();
         commands.extend(planner.tick(now).into_iter().map(|command| (service.clone(), command)));
-        tell_parts(planner, &parts);
-        tell_waiting(gateway, planner);
-        planner.take_endings().into_iter().for_each(tell_ending);
+        log_shares(planner, &shares_before);
+        log_waiting_hosts(gateway, planner);
+        planner.take_endings().into_iter().for_each(log_ending);
         groups.extend(table_groups(gateway, service, planner));
         ended.extend(planner.ended());
         most_hosts.insert(service.clone(), planner.most_hosts().clone());
@@ -238,26 +240,26 @@
     drop(planners);
     publish(gateway, &Table { fence, number: 0, groups, ended, most_hosts });
     for (service, command) in commands {
-        ntex::rt::spawn(carry_out(gateway.clone(), fence, service, command));
+        ntex::rt::spawn(execute(gateway.clone(), fence, service, command));
     }
 }
 
 /// Logs each model whose share of the hosts has changed.
-fn tell_parts(planner: &Planner, before: &BTreeMap<String, f64>) {
-    for (model, part) in
-        planner.parts().iter().filter(|(model, part)| before.get(*model) != Some(part))
+fn log_shares(planner: &Planner, before: &BTreeMap<String, f64>) {
+    for (model, share) in
+        planner.parts().iter().filter(|(model, share)| before.get(*model) != Some(share))
     {
         Event::new("part_follows_callers")
             .with("model", model.as_str())
-            .with("percent_of_hosts", (part * 100.0).round())
-            .with("percent_before", before.get(model).map(|part| (part * 100.0).round()))
+            .with("percent_of_hosts", (share * 100.0).round())
+            .with("percent_before", before.get(model).map(|share| (share * 100.0).round()))
             .with("demand_percent", (planner.demand(model) * 100.0).round())
             .write();
     }
 }
 
 /// Logs the end of a group.
-fn tell_ending(ending: Ending) {
+fn log_ending(ending: Ending) {
     Event::new("group_ended")
         .with("group", ending.group)
         .debug("reason", ending.reason)
@@ -268,7 +270,7 @@
 }
 
 /// Logs free hosts that wait although a model rejects callers.
-fn tell_waiting(gateway: &Gateway, planner: &mut Planner) {
+fn log_waiting_hosts(gateway: &Gateway, planner: &mut Planner) {
     for waiting in planner.waiting_hosts(gateway.now()) {
         gateway.count("free_hosts_wait");
         Event::new("free_hosts_wait")
@@ -294,26 +296,27 @@
 #[derive(Default)]
 struct Serving {
     /// Outstanding requests at these groups.
-    open: u32,
+    outstanding: u32,
     slots: u32,
     groups: usize,
 }
 
 /// Reports the load of each model's groups to the planner.
-fn tell_load(gateway: &Gateway, service: &str, planner: &mut Planner) {
+fn report_load(gateway: &Gateway, service: &str, planner: &mut Planner) {
     let now = gateway.now();
     let mut loads: BTreeMap<String, Serving> = BTreeMap::new();
     let table = gateway.table.borrow();
     for group in table.groups.iter().filter(|group| group.service == service) {
         let load = loads.entry(group.model.clone()).or_default();
-        load.open += gateway.balance.borrow().load(now, Target::of(&group.members[0])).requests;
+        load.outstanding +=
+            gateway.balance.borrow().load(now, Target::of(&group.members[0])).requests;
         load.slots += group.slots;
         load.groups += 1;
     }
     for (model, serving) in loads {
         let key = ModelKey::of(service, &model);
         let load = ModelLoad {
-            open_per_slot: f64::from(serving.open) / f64::from(serving.slots.max(1)),
+            open_per_slot: f64::from(serving.outstanding) / f64::from(serving.slots.max(1)),
             refused_part: gateway.demand.borrow().refused_part(now, key),
         };
         planner.set_load(now, &model, load, serving.groups);
@@ -356,15 +359,15 @@
         // longer leads.
         return;
     }
-    gateway.changes_to_pass.borrow_mut().extend(changes);
+    gateway.changes_to_forward.borrow_mut().extend(changes);
     gateway.send_now.notify_one();
     if regrouped {
-        tell_groups(&gateway.table.borrow());
+        log_groups(&gateway.table.borrow());
     }
 }
 
 /// Logs the number of serving groups per model.
-fn tell_groups(table: &Table) {
+fn log_groups(table: &Table) {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for group in &table.groups {
         *counts.entry(&group.model).or_default() += 1;
@@ -378,28 +381,28 @@
         .write();
 }
 
-async fn carry_out(gateway: Rc<Gateway>, fence: u64, service: String, command: Command) {
+async fn execute(gateway: Rc<Gateway>, fence: u64, service: String, command: Command) {
     match command {
         Command::Probe { server, address } => {
-            let answer = ask(&gateway, &server, address).await;
+            let answer = probe(&gateway, &server, address).await;
             let now = gateway.now();
             let mut planners = gateway.planners.borrow_mut();
             let Some(planner) = planners.get_mut(&service).filter(|p| p.fence() == fence) else {
                 return;
             };
             match answer {
-                Asked::Holding(holding) => {
-                    tell_pace(&server, holding.pace);
-                    tell_holding(planner, &server, &holding);
+                ProbeOutcome::Holding(holding) => {
+                    log_slow_host(&server, holding.pace);
+                    log_changed_holding(planner, &server, &holding);
                     planner.reported(now, &server, &holding);
                 }
-                Asked::Silent { refused } => planner.silent(now, &server, refused),
-                Asked::Replaced => planner.replaced(now, &server),
+                ProbeOutcome::Silent { refused } => planner.silent(now, &server, refused),
+                ProbeOutcome::Replaced => planner.replaced(now, &server),
             }
         }
         Command::Order { server, address, order, expects } => {
             let call = gateway.dialect.order(&server, fence, &order, expects);
-            let outcome = give(&gateway, fence, &server, address, &call).await;
+            let outcome = send_order(&gateway, fence, &server, address, &call).await;
             Event::new("order")
                 .with("host", &*server)
                 .with("fence", fence)
@@ -407,21 +410,21 @@
                 .with("expects", expects)
                 .debug("outcome", outcome)
                 .write();
-            ordered(&gateway, fence, &service, &server, &order, outcome);
+            record_order_outcome(&gateway, fence, &service, &server, &order, outcome);
         }
     }
     gateway.plan_now.notify_one();
 }
 
 /// Logs a host that reports to be slower than usual.
-fn tell_pace(server: &str, pace: Option<f64>) {
-    if let Some(pace) = pace.filter(|pace| *pace > PACE_TOLD) {
+fn log_slow_host(server: &str, pace: Option<f64>) {
+    if let Some(pace) = pace.filter(|pace| *pace > SLOW_PACE) {
         Event::new("host_is_slow").with("host", server).with("pace", pace).write();
     }
 }
 
 /// Logs a host that holds other models than last known.
-fn tell_holding(planner: &Planner, server: &str, holding: &Holding) {
+fn log_changed_holding(planner: &Planner, server: &str, holding: &Holding) {
     let Some(before) = planner.holding(server) else { return };
     if (&before.models, &before.staging) == (&holding.models, &holding.staging) {
         return;
@@ -435,27 +438,27 @@
         .write();
 }
 
-async fn give(
+async fn send_order(
     gateway: &Gateway,
     fence: u64,
     server: &str,
     address: SocketAddr,
     order: &Call,
 ) -> Outcome {
-    let _place = gateway.calls.place(CallKind::Order).await;
+    let _slot = gateway.calls.acquire_slot(CallKind::Order).await;
     // The gateway may have lost the leadership while it waited for a free call slot, and some hosts
     // don't check fences.
     if gateway.election.borrow().leads() != Some(fence) {
         return Outcome::Unanswered;
     }
     gateway.count("orders");
-    match make(gateway, server, address, order, ORDER_MS).await {
+    match call_server(gateway, server, address, order, ORDER_TIMEOUT_MS).await {
         Ok(Reply { status, .. }) => gateway.dialect.ordered(status),
         Err(_) => Outcome::Unanswered,
     }
 }
 
-fn ordered(
+fn record_order_outcome(
     gateway: &Gateway,
     fence: u64,
     service: &str,
--- a/crates/oliveworks-gateway/src/lib.rs
+++ b/crates/oliveworks-gateway/src/lib.rs
@@ -25,7 +25,7 @@
 //! | `slow_start` | cold backend servers and the limits on their load |
 //! | `pending_send` | requests with a chosen backend server that are not sent yet |
 //! | `rate_limits` | rate limits named by backend servers, and permits |
-//! | `host_says` | processes what hosts say about themselves in their answers |
+//! | `host_statements` | processes what hosts say about themselves in their answers |
 //! | `crashers` | requests that crash the backend servers they run at |
 //! | `suspicions` | stalled and slow groups |
 //! | `leader` | elections, and execution of the planner's commands |
@@ -43,7 +43,7 @@
 mod exchange;
 mod follow;
 mod heartbeat;
-mod host_says;
+mod host_statements;
 mod leader;
 mod members;
 mod missing;
--- a/crates/oliveworks-gateway/src/members.rs
+++ b/crates/oliveworks-gateway/src/members.rs
@@ -22,7 +22,7 @@
 
 impl Gateway {
     /// Records gateways with the time of the last message from each.
-    pub fn shares_with(&self, gateways: impl IntoIterator<Item = (u64, Millis)>) {
+    pub fn record_members(&self, gateways: impl IntoIterator<Item = (u64, Millis)>) {
         let mut members = self.members.borrow_mut();
         for (gateway, at) in gateways {
             members.heard(gateway, at);
--- a/crates/oliveworks-gateway/src/obstacles.rs
+++ b/crates/oliveworks-gateway/src/obstacles.rs
@@ -12,7 +12,7 @@
 #[derive(Default)]
 pub struct Places {
     /// Eligible places, regardless of their load.
-    pub open: Vec<Place>,
+    pub eligible: Vec<Place>,
     /// Obstacle at each of the other places.
     pub obstacles: Vec<Obstacle>,
 }
@@ -20,7 +20,7 @@
 impl Gateway {
     /// Divides the places of a service into those that are eligible for a request, regardless of
     /// their load, and the others. `tried` are the targets of earlier attempts.
-    pub fn part_places(
+    pub fn divide_places(
         &self,
         service: &str,
         all: Vec<Place>,
@@ -43,11 +43,11 @@
                 Ok(Some(per_s)) => place.candidate = place.candidate.taking(per_s),
             }
             match self.limit_allows(target) {
-                true => places.open.push(place),
+                true => places.eligible.push(place),
                 false => without_permit.push(place),
             }
         }
-        self.want_permits(without_permit, tried, &mut places);
+        self.request_permits(without_permit, tried, &mut places);
         places
     }
 
@@ -74,7 +74,7 @@
     /// Returns whether a request may still be sent to the place that was chosen for it.
     pub fn may_still_send(&self, place: &Place, allowed: Allowed<'_>) -> bool {
         let stops = |obstacle: Obstacle| obstacle.stops_a_send();
-        !self.leaves(&place.server) && !self.obstacle(place, allowed).is_some_and(stops)
+        !self.is_leaving(&place.server) && !self.obstacle(place, allowed).is_some_and(stops)
     }
 
     /// Returns the obstacle between a request and a place, if any, except for a used-up share of a
@@ -85,7 +85,7 @@
         if !allowed.may_serve(region.map(String::as_str)) {
             return Some(Obstacle::Region);
         }
-        if place.leaves {
+        if place.is_leaving {
             return Some(Obstacle::Leaving);
         }
         if self.drains.borrow().holds(&place.failure_domain) {
--- a/crates/oliveworks-gateway/src/passing.rs
+++ b/crates/oliveworks-gateway/src/passing.rs
@@ -27,15 +27,15 @@
 
 /// Longest time for which a question is held back until there are new records, in ms. A gateway
 /// that has stopped answering is noticed within this time plus the next one.
-pub const HOLD_MS: u64 = 500;
+pub const HOLD_MAX_MS: u64 = 500;
 /// Time allowed for an answer beyond that, and for opening a connection, in ms. The value is many
 /// times the transmission time between failure domains, and short compared to the 1 s after which a
 /// proof is missed.
-const ANSWER_MS: u64 = 300;
+const ANSWER_TIMEOUT_MS: u64 = 300;
 /// Largest answer, in bytes.
 const ANSWER_MAX: usize = 16 << 20;
 /// Pause after a failed attempt to accept a connection, in ms.
-const ACCEPT_AGAIN_MS: u64 = 20;
+const ACCEPT_RETRY_MS: u64 = 20;
 
 /// Question for records newer than those held by the asking gateway.
 #[derive(Debug, Serialize, Deserialize)]
@@ -74,24 +74,24 @@
 }
 
 /// A connection to another gateway.
-pub struct Asking {
+pub struct PeerClient {
     address: SocketAddr,
     frames: Frames,
 }
 
-impl Asking {
+impl PeerClient {
     /// Opens a connection.
     ///
     /// # Errors
     /// Returns a description of the failure if no connection can be opened in time.
-    pub async fn open(address: SocketAddr) -> Result<Asking, String> {
+    pub async fn open(address: SocketAddr) -> Result<PeerClient, String> {
         let connecting = TcpStream::connect(address);
-        let stream = timeout(Duration::from_millis(ANSWER_MS), connecting).await;
+        let stream = timeout(Duration::from_millis(ANSWER_TIMEOUT_MS), connecting).await;
         let stream = stream.map_err(|_| "no connection in time")?.map_err(|e| e.to_string())?;
         if let Err(error) = stream.set_nodelay(true) {
-            debug!("passing: {address}: {error}");
+            debug!("passing: cannot set TCP_NODELAY for {address}: {error}");
         }
-        Ok(Asking { address, frames: framed(stream) })
+        Ok(PeerClient { address, frames: framed(stream) })
     }
 
     /// Returns the address of the asked gateway.
@@ -116,9 +116,10 @@
             self.frames.send(Bytes::from(question)).await.map_err(|error| error.to_string())?;
             self.frames.next().await.ok_or("the connection ended")?.map_err(|e| e.to_string())
         };
-        let answer: Result<_, String> = timeout(Duration::from_millis(HOLD_MS + ANSWER_MS), answer)
-            .await
-            .map_err(|_| "no answer in time".to_owned())?;
+        let answer: Result<_, String> =
+            timeout(Duration::from_millis(HOLD_MAX_MS + ANSWER_TIMEOUT_MS), answer)
+                .await
+                .map_err(|_| "no answer in time".to_owned())?;
         postcard::from_bytes(&answer?).map_err(|error| error.to_string())
     }
 }
@@ -131,8 +132,8 @@
                 ntex::rt::spawn(serve(gateway.clone(), stream, from));
             }
             Err(error) => {
-                warn!("passing: no connection accepted: {error}");
-                sleep(Duration::from_millis(ACCEPT_AGAIN_MS)).await;
+                warn!("passing: cannot accept a connection: {error}");
+                sleep(Duration::from_millis(ACCEPT_RETRY_MS)).await;
             }
         }
     }
@@ -140,23 +141,23 @@
 
 async fn serve(gateway: Rc<Gateway>, stream: TcpStream, from: SocketAddr) {
     if let Err(error) = stream.set_nodelay(true) {
-        debug!("passing: {from}: {error}");
+        debug!("passing: cannot set TCP_NODELAY for {from}: {error}");
     }
     let mut frames = framed(stream);
     while let Some(Ok(frame)) = frames.next().await {
         let question = match postcard::from_bytes::<Question>(&frame) {
             Ok(question) => question,
             Err(error) => {
-                warn!("passing: a question of {from}: {error}");
+                warn!("passing: cannot decode a question from {from}: {error}");
                 return;
             }
         };
         gateway.count("questions_answered");
-        let answer = held_back(&gateway, &question).await;
+        let answer = answer_when_new(&gateway, &question).await;
         let bytes = match postcard::to_stdvec(&answer) {
             Ok(bytes) => bytes,
             Err(error) => {
-                warn!("passing: an answer to {from}: {error}");
+                warn!("passing: cannot encode an answer to {from}: {error}");
                 return;
             }
         };
@@ -168,30 +169,30 @@
 }
 
 /// Returns the answer when there are new records or a younger proof, or when the time is over.
-async fn held_back(gateway: &Gateway, question: &Question) -> Option<Answer> {
+async fn answer_when_new(gateway: &Gateway, question: &Question) -> Option<Answer> {
     let began = gateway.now();
-    let notified = gateway.news(question.topic).notified();
-    let mut told = tell(gateway, question);
+    let notified = gateway.new_records(question.topic).notified();
+    let mut answer = answer_now(gateway, question);
     let nothing_new = |answer: &Answer| answer.records.is_empty() && !answer.snapshot;
-    if told.as_ref().is_none_or(nothing_new) {
-        // A time-out is handled like a notification: the answer holds what is known by then.
-        let _ = timeout(Duration::from_millis(HOLD_MS), notified).await;
-        told = tell(gateway, question);
+    if answer.as_ref().is_none_or(nothing_new) {
+        // A timeout is handled like a notification: the answer holds what is known by then.
+        let _ = timeout(Duration::from_millis(HOLD_MAX_MS), notified).await;
+        answer = answer_now(gateway, question);
     }
-    let mut answer = told?;
+    let mut answer = answer?;
     answer.held_ms = gateway.now() - began;
     Some(answer)
 }
 
-fn tell(gateway: &Gateway, question: &Question) -> Option<Answer> {
+fn answer_now(gateway: &Gateway, question: &Question) -> Option<Answer> {
     let topic = question.topic;
     let passing = gateway.passing(topic).borrow();
-    let told = match question.repeats {
+    let kept = match question.repeats {
         true => passing.since_with_repeats(question.from),
         false => passing.since(question.from),
     };
     drop(passing);
-    let (records, snapshot, next) = match told {
+    let (records, snapshot, next) = match kept {
         Told::Records(records, next) => (records, false, next),
         Told::Newest(next) => (newest(gateway, topic), true, next),
         Told::Behind | Told::Unread => return None,
@@ -230,8 +231,8 @@
             let directory = gateway.directory.borrow();
             let missing = gateway.missing.borrow();
             let listed = directory.iter().filter(|server| !missing.holds(&server.id));
-            let told = listed.map(|server| gateway.as_cold_as_known(server));
-            told.map(Record::BackendServer).collect()
+            let records = listed.map(|server| gateway.with_known_cold_time(server));
+            records.map(Record::BackendServer).collect()
         }
         Topic::Leaders => {
             let claim = gateway.election.borrow().newest();
--- a/crates/oliveworks-gateway/src/peers.rs
+++ b/crates/oliveworks-gateway/src/peers.rs
@@ -19,16 +19,16 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, timeout};
 
-use crate::heartbeat::{self, Beat, LeaderSeen};
+use crate::heartbeat::{self, Beat, LeaderHeartbeat};
 use crate::rate_limits::ToLimiter;
 use crate::state::Gateway;
 
 /// Time between two heartbeats, in ms.
-const BEAT_MS: u64 = 100;
+const HEARTBEAT_MS: u64 = 100;
 /// Silence after which a gateway is no longer named to others, in ms.
-pub const PEER_MS: u64 = 3_000;
+pub const PEER_TIMEOUT_MS: u64 = 3_000;
 /// Silence after which a gateway is forgotten, in ms.
-const FORGET_MS: u64 = 60_000;
+const PEER_FORGET_MS: u64 = 60_000;
 /// Largest size of a datagram, in bytes.
 const DATAGRAM_MAX: usize = 60_000;
 /// Time between two requests for a newer table, in ms: the round-trip time between failure domains,
@@ -91,12 +91,12 @@
     let bytes = match postcard::to_stdvec(message) {
         Ok(bytes) => bytes,
         Err(error) => {
-            warn!("peers: a datagram cannot be written: {error}");
+            warn!("peers: cannot encode a datagram: {error}");
             return None;
         }
     };
     if bytes.len() > DATAGRAM_MAX {
-        warn!("peers: a datagram of {} bytes is too large", bytes.len());
+        warn!("peers: dropped a datagram of {} bytes, which exceeds the size limit", bytes.len());
         return None;
     }
     Some(bytes)
@@ -114,9 +114,9 @@
     }
 }
 
-fn send_beats(gateway: &Gateway, socket: &UdpSocket) {
+fn send_heartbeats(gateway: &Gateway, socket: &UdpSocket) {
     let Recipients { near, mut far } = recipients(gateway);
-    let beat = heartbeat::own(gateway);
+    let beat = heartbeat::for_own_domain(gateway);
     // The leader acts on suspicions and therefore receives them first.
     let leader = gateway.leader_address.get().filter(|_| beat.is_urgent());
     let unreached = |address: &SocketAddr| !near.contains(address) && !far.contains(address);
@@ -124,11 +124,11 @@
         far.push(address);
     }
     far.retain(|address| *address != gateway.settings.listen.peers);
-    let known = heartbeat::known(gateway);
+    let known = heartbeat::domain_figures(gateway);
     for (domain, addresses) in by_domain(gateway, &far) {
         let beat = match domain {
             Some(domain) => heartbeat::for_domain(gateway, &beat, &known, &domain),
-            None => heartbeat::for_stranger(&beat),
+            None => heartbeat::for_unknown_domain(&beat),
         };
         send_to(gateway, socket, &Message::Beat(Box::new(beat)), &addresses);
     }
@@ -154,7 +154,7 @@
 /// other gateways to their own failure domain if the changes came from another one. Each failure
 /// domain therefore receives two copies of a change.
 fn send_changes(gateway: &Gateway, socket: &UdpSocket) {
-    let changes = std::mem::take(&mut *gateway.changes_to_pass.borrow_mut());
+    let changes = std::mem::take(&mut *gateway.changes_to_forward.borrow_mut());
     if changes.is_empty() {
         return;
     }
@@ -185,32 +185,37 @@
         send_changes(&gateway, &socket);
         send_to_limiters(&gateway, &socket);
         let now = gateway.now();
-        if gateway.beat_is_urgent.take() || now >= beat_at + BEAT_MS {
+        if gateway.heartbeat_is_urgent.take() || now >= beat_at + HEARTBEAT_MS {
             beat_at = now;
-            send_beats(&gateway, &socket);
-            gateway.peers.borrow_mut().retain(|_, peer| now < peer.heard_at + FORGET_MS);
+            send_heartbeats(&gateway, &socket);
+            gateway.peers.borrow_mut().retain(|_, peer| now < peer.last_seen_at + PEER_FORGET_MS);
             gateway.demand.borrow_mut().retain(now);
         }
-        let pause = Duration::from_millis((beat_at + BEAT_MS).saturating_sub(gateway.now()));
+        let pause = Duration::from_millis((beat_at + HEARTBEAT_MS).saturating_sub(gateway.now()));
         let _ = timeout(pause, gateway.send_now.notified()).await;
     }
 }
 
 /// Processes a heartbeat of the leader, and requests the newer part of the leader's table.
-fn hear_leader(gateway: &Gateway, socket: &UdpSocket, from: SocketAddr, leader: LeaderSeen) {
+fn process_leader_heartbeat(
+    gateway: &Gateway,
+    socket: &UdpSocket,
+    from: SocketAddr,
+    leader: LeaderHeartbeat,
+) {
     let now = gateway.now();
-    let LeaderSeen { heartbeat, address } = leader;
+    let LeaderHeartbeat { heartbeat, address } = leader;
     if gateway.election.borrow_mut().heard(now, heartbeat) {
         gateway.leader_address.set(Some(address));
     }
     let held = gateway.table.borrow().version();
-    let told = Version { fence: heartbeat.fence, number: heartbeat.table };
-    if told == held {
+    let announced = Version { fence: heartbeat.fence, number: heartbeat.table };
+    if announced == held {
         confirm_table(gateway, heartbeat);
     }
-    // The sender may have heard of the newer table only recently and may lack it. The next datagram
+    // The sender may have learned of the newer table only recently and may lack it. The next datagram
     // leads to another request.
-    if told > held && now >= gateway.ask_table_at.get() {
+    if announced > held && now >= gateway.ask_table_at.get() {
         gateway.ask_table_at.set(now + ASK_TABLE_MS);
         gateway.count("tables_asked");
         send_to(gateway, socket, &Message::AskTable(held), &[from]);
@@ -221,12 +226,12 @@
 fn confirm_table(gateway: &Gateway, heartbeat: Heartbeat) {
     let newest = gateway.election.borrow().heartbeat();
     if newest.is_some_and(|newest| newest == heartbeat) {
-        gateway.table_heard_at.set(gateway.now());
+        gateway.table_confirmed_at.set(gateway.now());
     }
 }
 
 /// Answers a gateway that holds an older table.
-fn tell_table(gateway: &Gateway, socket: &UdpSocket, held: Version, to: SocketAddr) {
+fn send_table(gateway: &Gateway, socket: &UdpSocket, held: Version, to: SocketAddr) {
     let table = gateway.table.borrow();
     if table.version() <= held {
         return;
@@ -247,46 +252,47 @@
 /// Applies a change of the table, and forwards it if it came from another failure domain. A change
 /// that does not fit is dropped: the change is old, or an earlier one is missing, which the next
 /// heartbeat reveals.
-fn take_change(gateway: &Gateway, from: SocketAddr, change: Change) {
+fn apply_change(gateway: &Gateway, from: SocketAddr, change: Change) {
     if !gateway.change_table(change.clone()) {
         return;
     }
-    gateway.table_heard_at.set(gateway.now());
+    gateway.table_confirmed_at.set(gateway.now());
     let peers = gateway.peers.borrow();
     let sender = peers.values().find(|peer| peer.address == from);
-    let far = sender.is_none_or(|peer| peer.failure_domain != gateway.settings.failure_domain);
-    if far {
-        gateway.changes_to_pass.borrow_mut().push(change);
+    let is_remote =
+        sender.is_none_or(|peer| peer.failure_domain != gateway.settings.failure_domain);
+    if is_remote {
+        gateway.changes_to_forward.borrow_mut().push(change);
         gateway.send_now.notify_one();
     }
 }
 
 /// Processes a part of a whole table.
-fn take_part(gateway: &Gateway, part: Part) {
+fn apply_part(gateway: &Gateway, part: Part) {
     gateway.ask_table_at.set(gateway.now() + ASK_WHOLE_MS);
     let Some(table) = gateway.table_parts.borrow_mut().take(part) else { return };
     if table.version() > gateway.table.borrow().version() {
         gateway.replace_table(table);
-        gateway.table_heard_at.set(gateway.now());
+        gateway.table_confirmed_at.set(gateway.now());
     }
 }
 
-fn take(gateway: &Gateway, socket: &UdpSocket, from: SocketAddr, message: Message) {
+fn process(gateway: &Gateway, socket: &UdpSocket, from: SocketAddr, message: Message) {
     match message {
         Message::Beat(beat) => {
-            if let Some(leader) = heartbeat::heard(gateway, from, *beat) {
-                hear_leader(gateway, socket, from, leader);
+            if let Some(leader) = heartbeat::process(gateway, from, *beat) {
+                process_leader_heartbeat(gateway, socket, from, leader);
             }
         }
-        Message::Change(change) => take_change(gateway, from, *change),
-        Message::Part(part) => take_part(gateway, *part),
-        Message::AskTable(held) => tell_table(gateway, socket, held, from),
+        Message::Change(change) => apply_change(gateway, from, *change),
+        Message::Part(part) => apply_part(gateway, *part),
+        Message::AskTable(held) => send_table(gateway, socket, held, from),
         Message::AskPermit(question) => {
             let answer = gateway.answer_permit(question);
             send_to(gateway, socket, &Message::Permit(answer), &[from]);
         }
         Message::Permit(answer) => gateway.permit_answered(answer),
-        Message::Spent(target) => gateway.call_made_elsewhere(target),
+        Message::Spent(target) => gateway.count_peer_call(target),
     }
 }
 
@@ -295,22 +301,22 @@
     let mut buffer = vec![0; DATAGRAM_MAX + 1];
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
-            sleep(Duration::from_millis(BEAT_MS)).await;
+            sleep(Duration::from_millis(HEARTBEAT_MS)).await;
             continue;
         };
         match postcard::from_bytes::<Message>(&buffer[..length]) {
-            Ok(message) => take(&gateway, &socket, from, message),
-            Err(error) => warn!("peers: a datagram of {from}: {error}"),
+            Ok(message) => process(&gateway, &socket, from, message),
+            Err(error) => warn!("peers: cannot decode a datagram from {from}: {error}"),
         }
     }
 }
 
 /// Returns the number of gateways that precede this one as candidates for the leadership. Only
 /// gateways that the store answers count.
-pub fn rank(gateway: &Gateway) -> u64 {
+pub fn election_rank(gateway: &Gateway) -> u64 {
     let now = gateway.now();
     let peers = gateway.peers.borrow();
-    let young = peers.iter().filter(|(_, peer)| now < peer.heard_at + PEER_MS);
-    let able = young.filter(|(_, peer)| peer.store_answers);
-    able.filter(|(name, _)| **name < gateway.settings.node).count() as u64
+    let recent = peers.iter().filter(|(_, peer)| now < peer.last_seen_at + PEER_TIMEOUT_MS);
+    let candidates = recent.filter(|(_, peer)| peer.store_answers);
+    candidates.filter(|(name, _)| **name < gateway.settings.node).count() as u64
 }
--- a/crates/oliveworks-gateway/src/places.rs
+++ b/crates/oliveworks-gateway/src/places.rs
@@ -21,23 +21,23 @@
     /// Epoch of the group whose head the backend server is; none for a single backend server.
     pub epoch: Option<u64>,
     /// Whether the backend server or another member of its group is leaving or gone.
-    pub leaves: bool,
+    pub is_leaving: bool,
 }
 
 /// Time for which a leader's table is used without a heartbeat, in ms.
-const TABLE_MS: u64 = 2_000;
+const TABLE_VALID_MS: u64 = 2_000;
 /// Cost of an outstanding request for the next one at a single backend server, in ms.
-const PLAIN_OPEN_MS: f64 = 5.0;
+const PLAIN_REQUEST_COST_MS: f64 = 5.0;
 /// The same at a replica group, in ms, in addition to the cost of reading its prompt.
-const GROUP_OPEN_MS: f64 = 1.0;
+const GROUP_REQUEST_COST_MS: f64 = 1.0;
 
 impl Gateway {
     /// Returns whether the leader's table is recent enough to be used. A process that has just
     /// started has no table, and uses the list of backend servers until it hears from a leader.
-    fn table_is_young(&self) -> bool {
+    fn table_is_recent(&self) -> bool {
         let came = self.table.borrow().number > 0;
         let leads = self.election.borrow().leads().is_some();
-        came && (leads || self.now() < self.table_heard_at.get() + TABLE_MS)
+        came && (leads || self.now() < self.table_confirmed_at.get() + TABLE_VALID_MS)
     }
 
     /// Returns the backend servers of a service as single places.
@@ -52,7 +52,7 @@
             target: Target::of(&server.id),
             slots: server.slots,
             near: server.failure_domain == self.settings.failure_domain,
-            open_ms: PLAIN_OPEN_MS,
+            open_ms: PLAIN_REQUEST_COST_MS,
             token_ms: 0.0,
         };
         Place {
@@ -61,12 +61,12 @@
             failure_domain: server.failure_domain.clone(),
             candidate,
             epoch,
-            leaves: server.draining,
+            is_leaving: server.draining,
         }
     }
 
     /// Returns whether a backend server is known to be leaving or gone.
-    pub fn leaves(&self, server: &str) -> bool {
+    pub fn is_leaving(&self, server: &str) -> bool {
         let directory = self.directory.borrow();
         directory.get(server).is_some_and(|server| server.draining)
             || self.missing.borrow().has_gone(server)
@@ -74,7 +74,7 @@
 
     /// Returns the heads of the groups that serve a model.
     pub fn group_places(&self, service: &str, model: &str) -> Vec<Place> {
-        if self.table_is_young() {
+        if self.table_is_recent() {
             return self.table_places(service, model);
         }
         let directory = self.directory.borrow();
@@ -107,7 +107,7 @@
                     // A slow group reaches the usual output speed only with fewer requests.
                     slots: (f64::from(group.slots) / group.pace()).ceil() as u32,
                     near: group.failure_domain == self.settings.failure_domain,
-                    open_ms: GROUP_OPEN_MS * group.pace(),
+                    open_ms: GROUP_REQUEST_COST_MS * group.pace(),
                     token_ms: token_ms * group.pace(),
                 };
                 Place {
@@ -116,7 +116,7 @@
                     failure_domain: group.failure_domain.clone(),
                     candidate,
                     epoch: Some(group.epoch),
-                    leaves: group.members.iter().any(|id| self.leaves(id)),
+                    is_leaving: group.members.iter().any(|id| self.is_leaving(id)),
                 }
             })
             .collect()
--- a/crates/oliveworks-gateway/src/process.rs
+++ b/crates/oliveworks-gateway/src/process.rs
@@ -33,16 +33,16 @@
     let held = settings.clone();
     ntex::rt::spawn(async move {
         while hang_up.recv().await.is_some() {
-            reload::tell(&held, read());
+            reload::log_changes(&held, read());
         }
     });
-    let told = async move {
+    let shutdown = async move {
         terminate.recv().await;
     };
-    run_until(settings, dialect, Clock::new(), told).await
+    run_until(settings, dialect, Clock::new(), shutdown).await
 }
 
-/// Runs a gateway until the future `told` completes.
+/// Runs a gateway until the future `shutdown` completes.
 ///
 /// # Errors
 /// Returns an error if a listening address of the settings cannot be bound.
@@ -50,7 +50,7 @@
     settings: Settings,
     dialect: Rc<dyn Dialect>,
     clock: Clock,
-    told: impl Future<Output = ()>,
+    shutdown: impl Future<Output = ()>,
 ) -> anyhow::Result<()> {
     let listen = settings.listen.clone();
     let callers = TcpListener::bind(listen.callers).await.context("listen.callers")?;
@@ -60,7 +60,7 @@
     let gateway = Rc::new(Gateway::new(settings, dialect, clock));
     Event::new("start")
         .with("node", gateway.settings.node.as_str())
-        .with("life", gateway.life)
+        .with("life", gateway.incarnation)
         .with("version", env!("CARGO_PKG_VERSION"))
         .write();
     ntex::rt::spawn(records::follow(gateway.clone()));
@@ -68,10 +68,10 @@
     ntex::rt::spawn(peers::receive(gateway.clone(), socket.clone()));
     ntex::rt::spawn(peers::send(gateway.clone(), socket));
     ntex::rt::spawn(leader::run(gateway.clone()));
-    ntex::rt::spawn(drains::tell(gateway.clone()));
+    ntex::rt::spawn(drains::log_progress(gateway.clone()));
     ntex::rt::spawn(callers::accept(gateway.clone(), ready, Audience::Platform));
     ntex::rt::spawn(callers::accept(gateway.clone(), callers, Audience::Callers));
-    told.await;
+    shutdown.await;
     stop(&gateway).await;
     Ok(())
 }
@@ -79,22 +79,22 @@
 /// Waits until the platform has noticed the stop, and for requests in flight, up to the end of the
 /// grace period.
 async fn stop(gateway: &Rc<Gateway>) {
-    Event::new("stop_begins").with("open_requests", gateway.open_requests.get()).write();
+    Event::new("stop_begins").with("open_requests", gateway.requests_in_flight.get()).write();
     let began = gateway.now();
     gateway.stop_began_at.set(Some(began));
     gateway.stopping.send_replace(true);
-    gateway.beat_is_urgent.set(true);
+    gateway.heartbeat_is_urgent.set(true);
     gateway.send_now.notify_one();
     let last = began + gateway.settings.bounds.grace_ms.saturating_sub(GRACE_MARGIN_MS);
     loop {
         let now = gateway.now();
         let noticed = now >= began + STOP_NOTICE_MS + 200;
-        if now >= last || (noticed && gateway.open_requests.get() == 0) {
+        if now >= last || (noticed && gateway.requests_in_flight.get() == 0) {
             break;
         }
         sleep(Duration::from_millis(50)).await;
     }
-    Event::new("stop_ends").with("cut_off", gateway.open_requests.get()).write();
+    Event::new("stop_ends").with("cut_off", gateway.requests_in_flight.get()).write();
     // The thread that writes the log gets time for the last lines.
     sleep(Duration::from_millis(20)).await;
 }
--- a/crates/oliveworks-gateway/src/rate_limits.rs
+++ b/crates/oliveworks-gateway/src/rate_limits.rs
@@ -13,7 +13,7 @@
 
 use crate::dialect::{Answered, NamedLimit};
 use crate::events::Event;
-use crate::host_says::Sender;
+use crate::host_statements::Sender;
 use crate::members;
 use crate::obstacles::Places;
 use crate::places::Place;
@@ -21,7 +21,7 @@
 
 /// Time between two log lines on the limit of one backend server, in ms. Each answer may name a
 /// different limit.
-const TELL_MS: u64 = 1_000;
+const LOG_INTERVAL_MS: u64 = 1_000;
 
 /// Message to the limiter of a backend server.
 #[derive(Clone, Copy, Debug)]
@@ -34,7 +34,7 @@
 
 impl Gateway {
     /// Processes the limit named in an answer.
-    pub fn hear_limit(&self, sender: Sender<'_>, answered: &Answered, request: &str) {
+    pub fn record_limit(&self, sender: Sender<'_>, answered: &Answered, request: &str) {
         let rate = match &answered.limit {
             NamedLimit::NotTold => None,
             NamedLimit::Rate(rate) => {
@@ -43,19 +43,19 @@
             }
             NamedLimit::Unreadable(value) => {
                 self.count("limit_unreadable");
-                warn!("{}: its limit cannot be understood: {value:?}", sender.server);
+                warn!("{}: cannot parse the rate limit in an answer: {value:?}", sender.server);
                 return;
             }
         };
         let target = Target::of(sender.server);
         let would_name = sender.to_request && answered.signed;
-        let Sender { life, sent_at, .. } = sender;
-        let heard = Heard { target, life, sent_at, rate, would_name };
-        self.learn(target, request, |limits, now| limits.heard(now, heard));
+        let Sender { incarnation, sent_at, .. } = sender;
+        let heard = Heard { target, life: incarnation, sent_at, rate, would_name };
+        self.update_limit(target, request, |limits, now| limits.heard(now, heard));
     }
 
     /// Processes a limit reported by another gateway.
-    pub fn limit_told(&self, limit: Limit) {
+    pub fn record_reported_limit(&self, limit: Limit) {
         let target = limit.target;
         {
             let directory = self.directory.borrow();
@@ -65,42 +65,42 @@
                 return;
             }
         }
-        self.learn(target, "another gateway", |limits, now| limits.told(now, limit));
+        self.update_limit(target, "another gateway", |limits, now| limits.told(now, limit));
     }
 
-    fn learn(
+    fn update_limit(
         &self,
         target: Target,
-        told_by: &str,
-        learn: impl FnOnce(&mut Limits, Millis) -> bool,
+        reported_by: &str,
+        update: impl FnOnce(&mut Limits, Millis) -> bool,
     ) {
         let now = self.now();
         let mut rate_limits = self.rate_limits.borrow_mut();
         let before = rate_limits.limits.rate(target);
         let sent_before = rate_limits.limits.sent_since_change(now, target);
-        let changed = learn(&mut rate_limits.limits, now);
+        let changed = update(&mut rate_limits.limits, now);
         drop(rate_limits);
         if changed {
-            self.tell_limit(target, before, sent_before, told_by);
+            self.log_limit(target, before, sent_before, reported_by);
         }
     }
 
     /// Logs a change of a limit. `before` is the previous limit, and `sent_before` the number of
     /// requests sent under it by this gateway and the time for which it was in force, in ms.
-    fn tell_limit(
+    fn log_limit(
         &self,
         target: Target,
         before: Option<Rate>,
         sent_before: Option<(u64, u64)>,
-        told_by: &str,
+        reported_by: &str,
     ) {
         self.count("limits_changed");
         let now = self.now();
-        let mut told_at = self.limits_told_at.borrow_mut();
-        if told_at.get(&target).is_some_and(|at| now < at + TELL_MS) {
+        let mut logged_at = self.limit_logged_at.borrow_mut();
+        if logged_at.get(&target).is_some_and(|at| now < at + LOG_INTERVAL_MS) {
             return;
         }
-        told_at.insert(target, now);
+        logged_at.insert(target, now);
         let known = self.rate_limits.borrow().limits.get(target);
         let directory = self.directory.borrow();
         Event::new("host_limit")
@@ -110,7 +110,7 @@
             .with("sent_before", sent_before.map(|(sent, _)| sent))
             .with("before_lasted_ms", sent_before.map(|(_, ms)| ms))
             .with("revision", known.map(|known| known.revision))
-            .with("told_by", told_by)
+            .with("told_by", reported_by)
             .write();
     }
 
@@ -132,32 +132,37 @@
     /// place that was already tried.
     ///
     /// Rejected: requesting several permits at once, since all but one of them would remain unused.
-    pub fn want_permits(&self, without_permit: Vec<Place>, tried: &[Target], places: &mut Places) {
+    pub fn request_permits(
+        &self,
+        without_permit: Vec<Place>,
+        tried: &[Target],
+        places: &mut Places,
+    ) {
         if without_permit.is_empty() {
             return;
         }
         let is_untried = |place: &&Place| !tried.contains(&place.candidate.target);
-        let mut others = places.open.iter().filter(is_untried).peekable();
+        let mut others = places.eligible.iter().filter(is_untried).peekable();
         let need = if others.peek().is_none() { Need::Only } else { Need::Optional };
-        let near_is_open = others.any(|place| place.candidate.near);
+        let local_is_eligible = others.any(|place| place.candidate.near);
         let first = rand::random_range(0..without_permit.len());
         let mut asked = false;
         let (before, from_first) = without_permit.split_at(first);
         for place in from_first.iter().chain(before) {
             let target = place.candidate.target;
-            let is_wanted = place.candidate.near || !near_is_open;
+            let is_wanted = place.candidate.near || !local_is_eligible;
             if !asked && is_wanted && is_untried(&place) {
-                asked = self.want_permit(target, need);
+                asked = self.request_permit(target, need);
             }
             match self.rate_limits.borrow().check(self.now(), target, need) {
-                Ok(()) => places.open.push(place.clone()),
+                Ok(()) => places.eligible.push(place.clone()),
                 Err(NoPermit { free_at }) => places.obstacles.push(Obstacle::Limited { free_at }),
             }
         }
     }
 
     /// Requests a permit unless that is of no use now, and returns whether it was requested.
-    fn want_permit(&self, target: Target, need: Need) -> bool {
+    fn request_permit(&self, target: Target, need: Need) -> bool {
         let now = self.now();
         let members = self.members.borrow();
         let step = self.rate_limits.borrow_mut().want(now, target, need, &members);
@@ -166,7 +171,7 @@
             Step::Wait => return false,
             Step::Decided(grant) => self.count_grant(grant),
             Step::Ask(limiter, question) => {
-                self.tell_limiter(limiter, ToLimiter::Question(question))
+                self.queue_for_limiter(limiter, ToLimiter::Question(question))
             }
         }
         true
@@ -179,7 +184,7 @@
         });
     }
 
-    fn tell_limiter(&self, limiter: u64, message: ToLimiter) {
+    fn queue_for_limiter(&self, limiter: u64, message: ToLimiter) {
         let peers = self.peers.borrow();
         let found = peers.iter().find(|(name, _)| members::hash(name) == limiter);
         let Some((_, peer)) = found else {
@@ -198,7 +203,7 @@
 
     /// Answers a gateway that requests a permit.
     pub fn answer_permit(&self, question: Question) -> Answer {
-        self.limit_told(question.limit);
+        self.record_reported_limit(question.limit);
         let members = self.members.borrow();
         let answer = self.rate_limits.borrow_mut().answer(self.now(), question, &members);
         self.count_grant(answer.grant);
@@ -207,7 +212,7 @@
 
     /// Processes the answer of a limiter.
     pub fn permit_answered(&self, answer: Answer) {
-        self.limit_told(answer.limit);
+        self.record_reported_limit(answer.limit);
         self.rate_limits.borrow_mut().answered(self.now(), answer);
         if answer.grant == Grant::Permit {
             self.permits_came.notify_waiters();
@@ -216,18 +221,18 @@
 
     /// Counts one of this system's own calls to a backend server. Such a call is never held back,
     /// since the safety of a replica group may depend on it, but it counts against the limit.
-    pub fn call_made(&self, server: &str) {
+    pub fn count_own_call(&self, server: &str) {
         let target = Target::of(server);
         let members = self.members.borrow();
         let limiter = self.rate_limits.borrow_mut().spent(self.now(), target, &members);
         drop(members);
         if let Some(limiter) = limiter {
-            self.tell_limiter(limiter, ToLimiter::Spent(target));
+            self.queue_for_limiter(limiter, ToLimiter::Spent(target));
         }
     }
 
     /// Counts a call made by another gateway to a backend server whose limiter is this gateway.
-    pub fn call_made_elsewhere(&self, target: Target) {
+    pub fn count_peer_call(&self, target: Target) {
         let members = self.members.borrow();
         // If this gateway considers another one the limiter, the report is not forwarded: such a
         // difference lasts only a moment, and the count is an estimate.
--- a/crates/oliveworks-gateway/src/readiness.rs
+++ b/crates/oliveworks-gateway/src/readiness.rs
@@ -33,7 +33,7 @@
         if connection.answer(answer.0, &headers, answer.1.into()).await.is_err() {
             return;
         }
-        if !connection.keeps() {
+        if !connection.can_continue() {
             break;
         }
     }
@@ -43,7 +43,7 @@
 fn figures(gateway: &Gateway) -> String {
     let counters = gateway.counters.borrow();
     let drains = gateway.drains.borrow().failure_domains();
-    let open: u32 = drains.iter().map(|name| gateway.open_there(name)).sum();
+    let open: u32 = drains.iter().map(|name| gateway.outstanding_in(name)).sum();
     let lookup = gateway.lookup();
     let version = lookup.map_or(0, |lookup| lookup.configuration.version);
     let proof_age_ms = gateway.freshness.get().age_ms(gateway.now());
--- a/crates/oliveworks-gateway/src/records.rs
+++ b/crates/oliveworks-gateway/src/records.rs
@@ -18,7 +18,7 @@
 
 use crate::dialect::{Record, Topic};
 use crate::events::Event;
-use crate::follow::{Follower, Step, ToldBy};
+use crate::follow::{Follower, RecordSource, Step};
 use crate::state::Gateway;
 use crate::{drains, missing, versions};
 
@@ -32,7 +32,7 @@
 /// Time without new backend servers after which the list counts as complete, in ms.
 const SERVERS_SETTLE_MS: u64 = 1_500;
 
-fn take_configuration(gateway: &Gateway, step: Step, next: Option<Place>) {
+fn apply_configuration(gateway: &Gateway, step: Step, next: Option<Place>) {
     let mut drained_domains = BTreeSet::new();
     for record in step.records {
         match record {
@@ -46,7 +46,7 @@
                     .with("before", held)
                     .with("next_offset", next.map(|next| next.offset))
                     .with("era", gateway.era().0)
-                    .debug("told_by", step.told_by)
+                    .debug("told_by", step.source)
                     .with("routes", configuration.routes.len())
                     .with("workspaces", configuration.workspaces.as_ref().map_or(0, Vec::len))
                     .write();
@@ -65,7 +65,7 @@
         }
     }
     if step.snapshot {
-        drains::read_anew(gateway, &drained_domains, step.told_by);
+        drains::apply_snapshot(gateway, &drained_domains, step.source);
     }
 }
 
@@ -78,7 +78,7 @@
 
 /// Follows all topics, after other gateways had time to send heartbeats.
 pub async fn follow(gateway: Rc<Gateway>) {
-    versions::others_heard(&gateway).await;
+    versions::wait_for_peers(&gateway).await;
     ntex::rt::spawn(follow_configuration(gateway.clone()));
     ntex::rt::spawn(follow_servers(gateway.clone()));
     ntex::rt::spawn(follow_leaders(gateway.clone()));
@@ -90,51 +90,51 @@
     let longest_wait_ms = gateway.settings.configuration_wait_ms();
     let mut wait_ms = longest_wait_ms;
     loop {
-        take_from_others(&gateway, &mut follower).await;
-        if drains::must_read_anew(&gateway) {
-            follower.read_anew();
+        adopt_from_peers(&gateway, &mut follower).await;
+        if drains::needs_snapshot(&gateway) {
+            follower.request_snapshot();
         }
         let Some(step) = follower.step(wait_ms).await else { continue };
-        let (sent, held_ms, told_by) = (step.sent, step.held_ms, step.told_by);
+        let (sent, held_ms, source) = (step.sent, step.held_ms, step.source);
         // An answer with records proves the state of the store only at the time of the call, which
         // may be long ago. The next call is not held back, so its answer gives a younger proof.
         wait_ms = if step.records.is_empty() { longest_wait_ms } else { 0 };
         if gateway.store_may_lack_records() {
             wait_ms = wait_ms.min(SETTLING_WAIT_MS);
         }
-        keep(&gateway, Topic::Configuration, &step, follower.place());
-        gateway.note_stored(&step);
-        take_configuration(&gateway, step, follower.place());
-        if follower.place().is_some() && gateway.lookup.borrow().is_some() {
-            prove(&gateway, sent, held_ms, told_by);
+        keep_for_peers(&gateway, Topic::Configuration, &step, follower.position());
+        gateway.record_stored_version(&step);
+        apply_configuration(&gateway, step, follower.position());
+        if follower.position().is_some() && gateway.lookup.borrow().is_some() {
+            record_proof(&gateway, sent, held_ms, source);
         }
-        gateway.news(Topic::Configuration).notify_waiters();
+        gateway.new_records(Topic::Configuration).notify_waiters();
     }
 }
 
 /// Adopts a newer version held by another gateway if the store has not delivered it in time.
-async fn take_from_others(gateway: &Gateway, follower: &mut Follower) {
+async fn adopt_from_peers(gateway: &Gateway, follower: &mut Follower) {
     let records = versions::catch_up(gateway, follower).await;
     if records.is_empty() {
         return;
     }
-    let told_by = ToldBy::Gateway { proof_age_ms: None, stored_version: None };
-    let step = Step { records, snapshot: false, sent: gateway.now(), held_ms: 0, told_by };
-    take_configuration(gateway, step, follower.place());
+    let source = RecordSource::Gateway { proof_age_ms: None, stored_version: None };
+    let step = Step { records, snapshot: false, sent: gateway.now(), held_ms: 0, source };
+    apply_configuration(gateway, step, follower.position());
 }
 
 /// Records the age of the proof that the configuration is current.
-fn prove(gateway: &Gateway, sent: Millis, held_ms: u64, told_by: ToldBy) {
+fn record_proof(gateway: &Gateway, sent: Millis, held_ms: u64, source: RecordSource) {
     if !gateway.step_proves(gateway.now()) {
         return;
     }
     let mut freshness = gateway.freshness.get();
-    match told_by {
-        ToldBy::Store => freshness.proved(sent, held_ms),
-        ToldBy::Gateway { proof_age_ms: None, .. } => return,
-        ToldBy::Gateway { proof_age_ms: Some(age_ms), .. } => {
+    match source {
+        RecordSource::Store => freshness.proved(sent, held_ms),
+        RecordSource::Gateway { proof_age_ms: None, .. } => return,
+        RecordSource::Gateway { proof_age_ms: Some(age_ms), .. } => {
             freshness.passed_on(sent, held_ms, age_ms);
-            gateway.store_heard_elsewhere((sent + held_ms).saturating_sub(age_ms));
+            gateway.store_answered_peer((sent + held_ms).saturating_sub(age_ms));
         }
     }
     gateway.freshness.set(freshness);
@@ -142,7 +142,7 @@
 
 /// Keeps the records of a step for gateways that read through this one; `next` is the position
 /// after them.
-fn keep(gateway: &Gateway, topic: Topic, step: &Step, next: Option<Place>) {
+fn keep_for_peers(gateway: &Gateway, topic: Topic, step: &Step, next: Option<Place>) {
     let mut passing = gateway.passing(topic).borrow_mut();
     match next {
         Some(next) if step.snapshot => passing.read_anew(next),
@@ -154,17 +154,19 @@
 
 /// Returns whether the source of a list may have been without an answer of the store for longer
 /// than records lag.
-fn is_late(gateway: &Gateway, told_by: ToldBy) -> bool {
+fn is_late(gateway: &Gateway, source: RecordSource) -> bool {
     let lag_ms = gateway.settings.record_lag_ms();
-    match told_by {
-        ToldBy::Store => false,
-        ToldBy::Gateway { proof_age_ms, .. } => proof_age_ms.is_none_or(|age_ms| age_ms > lag_ms),
+    match source {
+        RecordSource::Store => false,
+        RecordSource::Gateway { proof_age_ms, .. } => {
+            proof_age_ms.is_none_or(|age_ms| age_ms > lag_ms)
+        }
     }
 }
 
 /// Result of processing records of backend servers.
 #[derive(Default)]
-struct Taken {
+struct ServersUpdate {
     /// Whether a backend server was listed that was unknown before.
     new: bool,
     /// Records kept for gateways that read through this one.
@@ -172,13 +174,13 @@
 }
 
 /// Returns whether a younger record of the backend server is known.
-fn is_overtaken(gateway: &Gateway, server: &BackendServer) -> bool {
+fn is_superseded(gateway: &Gateway, server: &BackendServer) -> bool {
     let directory = gateway.directory.borrow();
     directory.get(&server.id).is_some_and(|known| !server.may_follow(known))
 }
 
 /// Returns whether a backend server has restarted under the same id, and logs the restart.
-fn starts_anew(gateway: &Gateway, server: &BackendServer) -> bool {
+fn has_restarted(gateway: &Gateway, server: &BackendServer) -> bool {
     let directory = gateway.directory.borrow();
     let known = directory.get(&server.id);
     let known = known.filter(|known| server.holding.is_of_later_life(known.holding.born));
@@ -206,9 +208,9 @@
 }
 
 /// Processes the records of backend servers.
-fn take_servers(gateway: &Gateway, repeats: &mut Repeats, step: Step) -> Taken {
+fn apply_servers(gateway: &Gateway, repeats: &mut Repeats, step: Step) -> ServersUpdate {
     let mut missing = gateway.missing.borrow_mut();
-    let mut taken = Taken::default();
+    let mut update = ServersUpdate::default();
     let now = gateway.now();
     let store_era = gateway.store_era.get();
     let mut listed = BTreeSet::new();
@@ -216,7 +218,7 @@
         let mut is_repeat = false;
         let record = with_leaving(gateway, record);
         match &record {
-            Record::BackendServer(server) if is_overtaken(gateway, server) => {
+            Record::BackendServer(server) if is_superseded(gateway, server) => {
                 gateway.count("records_overtaken");
                 listed.insert(server.id.clone());
                 continue;
@@ -226,14 +228,14 @@
                 continue;
             }
             Record::BackendServer(server) => {
-                let starts_anew = starts_anew(gateway, server);
-                let is_back = missing.found(now, &server.id) && !starts_anew;
+                let restarted = has_restarted(gateway, server);
+                let is_back = missing.found(now, &server.id) && !restarted;
                 listed.insert(server.id.clone());
                 if let Some(planner) = gateway.planners.borrow_mut().get_mut(&server.service) {
                     planner.listed(now, server);
                 }
                 if gateway.directory.borrow().get(&server.id).is_none() {
-                    taken.new = true;
+                    update.new = true;
                     Event::new("host_listed")
                         .with("host", &*server.id)
                         .with("service", server.service.as_str())
@@ -242,13 +244,13 @@
                 }
                 let reading = Reading {
                     first_list: !gateway.directory_read.get(),
-                    late: is_late(gateway, step.told_by),
+                    late: is_late(gateway, step.source),
                     whole_list: step.snapshot,
                     was_missing: is_back,
-                    is_new: starts_anew || gateway.directory.borrow().get(&server.id).is_none(),
+                    is_new: restarted || gateway.directory.borrow().get(&server.id).is_none(),
                     traffic: gateway.traffic.get(),
                 };
-                gateway.take_cold(server, Listed::of(reading));
+                gateway.record_cold(server, Listed::of(reading));
                 let is_new = is_back || reading.is_new;
                 let changed = gateway.directory.borrow_mut().put(server.clone());
                 if is_new {
@@ -268,10 +270,10 @@
             Record::Unknown(why) => warn!("servers: {why}"),
             _ => {}
         }
-        taken.kept.push(Kept { record, is_repeat });
+        update.kept.push(Kept { record, is_repeat });
     }
     if step.snapshot {
-        let by_store = step.told_by == ToldBy::Store;
+        let by_store = step.source == RecordSource::Store;
         for server in gateway.directory.borrow().iter() {
             if !listed.contains(&server.id) {
                 missing.absent(now, server.id.clone(), store_era, by_store);
@@ -279,24 +281,24 @@
         }
         gateway.directory_read.set(true);
     }
-    note_list_read(gateway, step.sent, step.held_ms, step.told_by);
+    note_list_read(gateway, step.sent, step.held_ms, step.source);
     missing::sweep(gateway, &mut missing);
-    gateway.forget_gone();
+    gateway.remove_unlisted();
     if let Some(slow_starts) = gateway.slow_starts.borrow_mut().as_mut() {
         slow_starts.records_read(step.sent);
     }
-    taken
+    update
 }
 
 /// Records up to which time the list is known. Another gateway may not have received an answer of
 /// the store for a while.
-fn note_list_read(gateway: &Gateway, sent: Millis, held_ms: u64, told_by: ToldBy) {
-    let read_at = match told_by {
-        ToldBy::Store => sent,
-        ToldBy::Gateway { proof_age_ms: Some(age_ms), .. } => {
+fn note_list_read(gateway: &Gateway, sent: Millis, held_ms: u64, source: RecordSource) {
+    let read_at = match source {
+        RecordSource::Store => sent,
+        RecordSource::Gateway { proof_age_ms: Some(age_ms), .. } => {
             (sent + held_ms).saturating_sub(age_ms)
         }
-        ToldBy::Gateway { proof_age_ms: None, .. } => return,
+        RecordSource::Gateway { proof_age_ms: None, .. } => return,
     };
     gateway.list_read_at.set(gateway.list_read_at.get().max(read_at));
 }
@@ -314,7 +316,7 @@
     }
     drop(passing);
     if news {
-        gateway.news(Topic::BackendServers).notify_waiters();
+        gateway.new_records(Topic::BackendServers).notify_waiters();
     }
 }
 
@@ -329,13 +331,13 @@
     });
     loop {
         if let Some(step) = follower.step(0).await {
-            let told_by = step.told_by;
+            let source = step.source;
             let snapshot = step.snapshot;
-            let taken = take_servers(&gateway, &mut repeats, step);
-            keep_servers(&gateway, taken.kept, snapshot, follower.place());
-            let pause_ms = listing.read(gateway.now(), taken.new);
+            let update = apply_servers(&gateway, &mut repeats, step);
+            keep_servers(&gateway, update.kept, snapshot, follower.position());
+            let pause_ms = listing.read(gateway.now(), update.new);
             // Another gateway holds back the next question until there are new records.
-            if follower.place().is_some() && told_by == ToldBy::Store {
+            if follower.position().is_some() && source == RecordSource::Store {
                 sleep(Duration::from_millis(pause_ms)).await;
             }
         }
@@ -348,7 +350,7 @@
     let mut follower = Follower::new(&gateway, Topic::Leaders);
     loop {
         let Some(step) = follower.step(LEADERS_WAIT_MS).await else { continue };
-        keep(&gateway, Topic::Leaders, &step, follower.place());
+        keep_for_peers(&gateway, Topic::Leaders, &step, follower.position());
         let now = gateway.now();
         let mut newest = None;
         for record in step.records {
@@ -357,11 +359,11 @@
             }
         }
         if let Some(claim) = &newest {
-            let own = claim.claimant == gateway.life;
+            let own = claim.claimant == gateway.incarnation;
             Event::new("leader").with("fence", claim.fence()).with("this_gateway", own).write();
-            gateway.news(Topic::Leaders).notify_waiters();
+            gateway.new_records(Topic::Leaders).notify_waiters();
         }
-        if let Some(end) = follower.place() {
+        if let Some(end) = follower.position() {
             gateway.election.borrow_mut().read(now, newest, end);
         }
     }
--- a/crates/oliveworks-gateway/src/relay.rs
+++ b/crates/oliveworks-gateway/src/relay.rs
@@ -18,9 +18,9 @@
 use oliveworks_gateway_core::obstacles::NoPlace;
 use oliveworks_gateway_core::timeliness::{Goal, Served, Timeliness};
 
-use attempt::Tried;
+use attempt::AttemptOutcome;
 
-use crate::connection::{Connection, Gone, Whole};
+use crate::connection::{Connection, Disconnected, ReceivedRequest};
 use crate::crashers::{FailedRun, fingerprint};
 use crate::dialect::{Asked, Headers};
 use crate::events::Event;
@@ -30,15 +30,15 @@
 /// Deadline of a request whose caller names none, in ms, counted from its receipt.
 const DEADLINE_MS: u64 = 30_000;
 /// Shortest time after which a rejected caller may retry, in ms.
-const COME_BACK_MS: u64 = 1_300;
+const RETRY_AFTER_MS: u64 = 1_300;
 /// Upper limit of the random time, in ms, added to the retry time. The jitter keeps callers that
 /// were rejected together from retrying together.
-const COME_BACK_SPREAD_MS: u64 = 1_300;
+const RETRY_AFTER_JITTER_MS: u64 = 1_300;
 /// Shortest retry time sent by a gateway that is stopping, in ms. The time is short because other
 /// gateways accept callers or this gateway is back soon.
-const COME_BACK_STOPPING_MS: u64 = 200;
+const RETRY_AFTER_STOPPING_MS: u64 = 200;
 /// Shortest retry time sent while the configuration is too old to honour keys, in ms.
-const COME_BACK_STALE_MS: u64 = 1_000;
+const RETRY_AFTER_STALE_MS: u64 = 1_000;
 
 /// Outcome of writing an answer to a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,8 +49,8 @@
     Torn,
 }
 
-impl From<Gone> for End {
-    fn from(_: Gone) -> End {
+impl From<Disconnected> for End {
+    fn from(_: Disconnected) -> End {
         End::Torn
     }
 }
@@ -58,7 +58,7 @@
 /// A request in flight.
 struct Job<'a> {
     gateway: &'a Gateway,
-    request: &'a Whole,
+    request: &'a ReceivedRequest,
     asked: Asked,
     route: Route,
     service: String,
@@ -75,11 +75,11 @@
     /// Fingerprint of the request's content, equal for all copies of the same request.
     fingerprint: Fingerprint,
     attempts: Attempts,
-    tried: Vec<Target>,
+    tried_targets: Vec<Target>,
     /// Position in the event stream up to which the caller has received events.
     progress: Progress,
     /// Whether the head of a streamed answer was sent to the caller.
-    begun: bool,
+    head_sent: bool,
     /// Facts about the answer's timeliness, such as delays and number of sends.
     served: Served,
     /// Fence and number of the leader's table that the last send was based on.
@@ -93,7 +93,7 @@
     connection: &mut Connection,
     id: &str,
     verdict: Verdict,
-    come_back_ms: u64,
+    retry_after_ms: u64,
 ) -> End {
     let answer = verdict.answer();
     gateway.count(answer.code);
@@ -103,8 +103,9 @@
         headers.push((name, value.into()));
     }
     if answer.come_back {
-        let (name, value) =
-            gateway.dialect.come_back(come_back_ms + rand::random_range(0..COME_BACK_SPREAD_MS));
+        let (name, value) = gateway
+            .dialect
+            .come_back(retry_after_ms + rand::random_range(0..RETRY_AFTER_JITTER_MS));
         headers.push((name, value.into()));
     }
     headers.push(("content-type".into(), "application/json".into()));
@@ -117,7 +118,11 @@
 }
 
 /// Relays a request to backend servers and returns how writing its answer ended.
-pub async fn handle(gateway: &Rc<Gateway>, connection: &mut Connection, request: Whole) -> End {
+pub async fn handle(
+    gateway: &Rc<Gateway>,
+    connection: &mut Connection,
+    request: ReceivedRequest,
+) -> End {
     gateway.count("requests");
     gateway.traffic.set(true);
     let asked = match gateway.dialect.asked(&request.headers) {
@@ -126,15 +131,15 @@
     };
     let id = asked.id.clone();
     if gateway.refuses_new() {
-        connection.closes();
+        connection.close_after_next_answer();
         Event::new("request")
             .with("request", id.as_str())
             .with("outcome", "refused: stopping")
             .write();
-        return refuse(gateway, connection, &id, Verdict::NotRun, COME_BACK_STOPPING_MS).await;
+        return refuse(gateway, connection, &id, Verdict::NotRun, RETRY_AFTER_STOPPING_MS).await;
     }
     let Some(lookup) = gateway.lookup() else {
-        return refuse(gateway, connection, &id, Verdict::NotRun, COME_BACK_MS).await;
+        return refuse(gateway, connection, &id, Verdict::NotRun, RETRY_AFTER_MS).await;
     };
     let mut job = match job(gateway, &lookup, &request, asked) {
         Ok(job) => job,
@@ -144,7 +149,7 @@
                 .debug("outcome", verdict)
                 .with("configuration", lookup.configuration.version)
                 .write();
-            return refuse(gateway, connection, &id, verdict, COME_BACK_MS).await;
+            return refuse(gateway, connection, &id, verdict, RETRY_AFTER_MS).await;
         }
     };
     let (end, outcome) = job.run(connection).await;
@@ -169,7 +174,7 @@
 fn job<'a>(
     gateway: &'a Gateway,
     lookup: &Lookup,
-    request: &'a Whole,
+    request: &'a ReceivedRequest,
     asked: Asked,
 ) -> Result<Job<'a>, Verdict> {
     let host = request.header("host").ok_or(Verdict::BadRequest)?;
@@ -214,8 +219,8 @@
         service,
         received,
         deadline,
-        tried: Vec::new(),
-        begun: false,
+        tried_targets: Vec::new(),
+        head_sent: false,
         served: Served { came_back, ..Served::default() },
         table: (0, 0),
         log: Vec::new(),
@@ -239,7 +244,7 @@
                     .give_up(
                         connection,
                         self.attempts.verdict(self.gateway.now()),
-                        COME_BACK_STALE_MS,
+                        RETRY_AFTER_STALE_MS,
                     )
                     .await;
             }
@@ -265,15 +270,15 @@
                 return self.refuse_copy(connection).await;
             }
             let repeat = self.attempts.next_is_repeat();
-            if repeat && !self.take_repeat() {
+            if repeat && !self.consume_repeat() {
                 self.log.push("no repeat left".into());
                 let verdict = self.attempts.verdict(self.gateway.now());
-                return self.give_up(connection, verdict, COME_BACK_MS).await;
+                return self.give_up(connection, verdict, RETRY_AFTER_MS).await;
             }
             let target = place.candidate.target;
             let tokens = self.asked.prompt_tokens;
             let now = self.begin_send(&place);
-            let mut open = Open {
+            let mut outstanding = OutstandingRequest {
                 gateway: self.gateway,
                 target,
                 tokens,
@@ -281,25 +286,25 @@
                 failed: false,
             };
             let suspect_run = gateway.suspect_run(fingerprint, target);
-            let choice = gateway.pending_send(target);
+            let pending_send = gateway.pending_send(target);
             let sent_before = self.attempts.sent();
-            let attempt = self.attempt(connection, &place, choice, &open.first_event);
+            let attempt = self.attempt(connection, &place, pending_send, &outstanding.first_event);
             let tried = gateway.unless_convicted(fingerprint, attempt).await;
-            open.failed = tried.as_ref().is_ok_and(|tried| self.is_to_blame(target, tried));
-            let first_event = open.first_event.get();
-            drop(open);
+            outstanding.failed = tried.as_ref().is_ok_and(|tried| self.is_penalized(target, tried));
+            let first_event = outstanding.first_event.get();
+            drop(outstanding);
             drop(suspect_run);
             let tried = match tried {
                 Ok(tried) => tried,
                 Err(until) => {
-                    self.take_back(&place, sent_before);
+                    self.record_withdrawal(&place, sent_before);
                     return self.refuse_crasher(connection, until).await;
                 }
             };
             let (failure, gone) = match tried {
-                Tried::Done => return (End::Whole, self.count_served().into()),
-                Tried::Left => return (End::Torn, "left".into()),
-                Tried::Failed { failure, gone } => (failure, gone),
+                AttemptOutcome::Completed => return (End::Whole, self.count_served().into()),
+                AttemptOutcome::CallerGone => return (End::Torn, "left".into()),
+                AttemptOutcome::Failed { failure, gone } => (failure, gone),
             };
             let id = &self.asked.id;
             let run = FailedRun { place: &place, sent: now, first_event, failure, id };
@@ -308,7 +313,7 @@
             self.log.push(format!("{} {failure:?} at {} ms", place.server, now - self.received));
             self.gateway.count(&format!("attempt_{failure:?}").to_lowercase());
             if let Next::GiveUp(verdict) = self.attempts.failed(now, failure, gone) {
-                return self.give_up(connection, verdict, COME_BACK_MS).await;
+                return self.give_up(connection, verdict, RETRY_AFTER_MS).await;
             }
         }
     }
@@ -329,18 +334,18 @@
             NoTarget::Limited => "refused_limited",
         });
         let now = self.gateway.now();
-        let come_back_ms = match none.reason {
-            NoTarget::Backoff | NoTarget::Limited => none.known_ms(now).unwrap_or(COME_BACK_MS),
-            _ => COME_BACK_MS,
+        let retry_after_ms = match none.reason {
+            NoTarget::Backoff | NoTarget::Limited => none.known_ms(now).unwrap_or(RETRY_AFTER_MS),
+            _ => RETRY_AFTER_MS,
         };
-        self.give_up(connection, self.attempts.verdict(now), come_back_ms).await
+        self.give_up(connection, self.attempts.verdict(now), retry_after_ms).await
     }
 
     /// Records the send in the load counts and in the log, and returns its time.
     fn begin_send(&mut self, place: &Place) -> Millis {
         self.table = self.gateway.table_version();
         let (target, tokens) = (place.candidate.target, self.asked.prompt_tokens);
-        self.tried.push(target);
+        self.tried_targets.push(target);
         let now = self.gateway.now();
         if self.attempts.sent() == 0 {
             self.served.sent_after_ms = now - self.received;
@@ -368,10 +373,10 @@
     /// good as any other afterwards.
     ///
     /// Rejected: a backoff, doubled with each consecutive refusal, for hosts that name no time. The
-    /// requests that such a host does accept are then missing under load (0.79 of callers served
-    /// instead of 0.81).
-    fn is_to_blame(&self, target: Target, tried: &Tried) -> bool {
-        let Tried::Failed { failure, .. } = tried else { return false };
+    /// system then lacks the capacity of these hosts under load (0.79 of callers served instead of
+    /// 0.81).
+    fn is_penalized(&self, target: Target, tried: &AttemptOutcome) -> bool {
+        let AttemptOutcome::Failed { failure, .. } = tried else { return false };
         let now = self.gateway.now();
         *failure != Failure::Refused || self.gateway.backoffs.borrow().until(now, target).is_none()
     }
@@ -401,7 +406,7 @@
         self.gateway.demand.borrow_mut().looked(self.gateway.now(), key, refused);
     }
 
-    fn take_repeat(&self) -> bool {
+    fn consume_repeat(&self) -> bool {
         let now = self.gateway.now();
         let sharers = self.gateway.members.borrow().sharers(now);
         self.gateway.budget.borrow_mut().take(now, &self.service, sharers)
@@ -411,20 +416,20 @@
         &mut self,
         connection: &mut Connection,
         verdict: Verdict,
-        come_back_ms: u64,
+        retry_after_ms: u64,
     ) -> (End, String) {
-        if self.begun {
+        if self.head_sent {
             self.gateway.count("streams_torn");
             return (End::Torn, format!("torn: {verdict:?}"));
         }
         let id = self.asked.id.clone();
-        let end = refuse(self.gateway, connection, &id, verdict, come_back_ms).await;
+        let end = refuse(self.gateway, connection, &id, verdict, retry_after_ms).await;
         (end, format!("refused: {verdict:?}"))
     }
 }
 
 /// Counts a request as outstanding at its target until dropped, however the attempt ends.
-struct Open<'a> {
+struct OutstandingRequest<'a> {
     gateway: &'a Gateway,
     target: Target,
     /// Number of tokens in the prompt.
@@ -434,7 +439,7 @@
     failed: bool,
 }
 
-impl Drop for Open<'_> {
+impl Drop for OutstandingRequest<'_> {
     fn drop(&mut self) {
         let now = self.gateway.now();
         let mut balance = self.gateway.balance.borrow_mut();
--- a/crates/oliveworks-gateway/src/relay/attempt.rs
+++ b/crates/oliveworks-gateway/src/relay/attempt.rs
@@ -13,11 +13,11 @@
 use oliveworks_gateway_core::events::{Pass, Splitter};
 
 use super::Job;
-use crate::connection::{Connection, Gone};
+use crate::connection::{Connection, Disconnected};
 use crate::dialect::{Answered, Headers, Said};
 use crate::events::Event;
 use crate::exchange::{Exchange, MISDIRECTED, NoConnection, headers_of};
-use crate::host_says::Sender;
+use crate::host_statements::Sender;
 use crate::pending_send::PendingSend;
 use crate::places::Place;
 
@@ -29,7 +29,7 @@
 /// Time before the deadline at which the final answer is sent, in ms.
 const DEADLINE_MARGIN_MS: u64 = 30;
 /// Hop-by-hop headers, which are not forwarded.
-const CONNECTION_HEADERS: [&str; 9] = [
+const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -42,17 +42,17 @@
 ];
 
 /// Outcome of one attempt.
-pub(super) enum Tried {
+pub(super) enum AttemptOutcome {
     /// The caller has received the complete answer.
-    Done,
+    Completed,
     /// The attempt failed; `gone` is whether the backend server has ended.
     Failed { failure: Failure, gone: bool },
     /// The caller has disconnected.
-    Left,
+    CallerGone,
 }
 
 impl Job<'_> {
-    fn outgoing(&self, place: &Place) -> Option<Request<Full<Bytes>>> {
+    fn build_request(&self, place: &Place) -> Option<Request<Full<Bytes>>> {
         let now = self.gateway.now();
         let said = Said {
             deadline_ms: self.deadline.saturating_sub(now).max(1),
@@ -64,7 +64,7 @@
         let mut builder = Request::builder();
         builder = builder.method(self.request.method.as_str()).uri(&self.request.target);
         for (name, value) in self.gateway.dialect.outgoing(&self.request.headers, &said) {
-            if !CONNECTION_HEADERS.contains(&name.as_str()) {
+            if !HOP_BY_HOP_HEADERS.contains(&name.as_str()) {
                 builder = builder.header(name, value.as_ref());
             }
         }
@@ -76,16 +76,16 @@
         &mut self,
         connection: &mut Connection,
         place: &Place,
-        mut choice: PendingSend<'_>,
+        mut pending_send: PendingSend<'_>,
         first_event: &Cell<Option<Millis>>,
-    ) -> Tried {
+    ) -> AttemptOutcome {
         self.attempts.connecting();
         let within_ms = self.gateway.settings.requests.connect_ms;
         let mut exchange = match Exchange::open(place.address, within_ms).await {
             Ok(exchange) => exchange,
             Err(why) => {
-                self.no_connection(place, why);
-                return Tried::Failed {
+                self.record_connect_failure(place, why);
+                return AttemptOutcome::Failed {
                     failure: Failure::NotSent,
                     gone: why == NoConnection::Refused,
                 };
@@ -95,31 +95,31 @@
         // begun, or the host may have lowered its limit.
         let may_send = self.may_send()
             && self.gateway.may_still_send(place, self.allowed())
-            && choice.may_be_sent();
+            && pending_send.may_be_sent();
         if !may_send {
-            return Tried::Failed { failure: Failure::NotSent, gone: false };
+            return AttemptOutcome::Failed { failure: Failure::NotSent, gone: false };
         }
-        let Some(request) = self.outgoing(place) else {
-            return Tried::Failed { failure: Failure::NotSent, gone: false };
+        let Some(request) = self.build_request(place) else {
+            return AttemptOutcome::Failed { failure: Failure::NotSent, gone: false };
         };
         self.attempts.sending();
-        choice.sent();
-        let life = self.gateway.directory.borrow().born(&place.server);
+        pending_send.sent();
+        let incarnation = self.gateway.directory.borrow().born(&place.server);
         self.gateway.count_send(place.candidate.target);
         let sent = self.gateway.now();
-        let response = match self.head(&mut exchange, request, place, sent).await {
+        let response = match self.receive_head(&mut exchange, request, place, sent).await {
             Ok(response) => response,
-            Err(failure) => return Tried::Failed { failure, gone: false },
+            Err(failure) => return AttemptOutcome::Failed { failure, gone: false },
         };
         let status = response.status().as_u16();
         let headers = headers_of(&response);
         let answered = self.gateway.dialect.answered(status, &headers);
-        if self.is_of_the_place(status, &answered) {
+        if self.is_from_target(status, &answered) {
             let server = &*place.server;
-            let sender = Sender { server, life, sent_at: sent, to_request: true };
-            self.gateway.heed(sender, &answered, &self.asked.id);
+            let sender = Sender { server, incarnation, sent_at: sent, to_request: true };
+            self.gateway.process_statements(sender, &answered, &self.asked.id);
         }
-        if let Some(failed) = self.judge(status, &answered) {
+        if let Some(failed) = self.outcome_of_head(status, &answered) {
             if status == MISDIRECTED
                 && let Some(epoch) = place.epoch
             {
@@ -130,21 +130,23 @@
             return failed;
         }
         if self.route.stream && (200..300).contains(&status) {
-            return self.stream(connection, exchange, response, headers, place, first_event).await;
+            return self
+                .relay_stream(connection, exchange, response, headers, place, first_event)
+                .await;
         }
-        self.whole(connection, exchange, response, headers, place).await
+        self.relay_whole(connection, exchange, response, headers, place).await
     }
 
     /// Returns whether an answer belongs to this request and comes from the intended backend
     /// server, so that its statements about the sender are valid.
-    fn is_of_the_place(&self, status: u16, answered: &Answered) -> bool {
+    fn is_from_target(&self, status: u16, answered: &Answered) -> bool {
         status != MISDIRECTED && answered.id.as_deref().is_none_or(|id| id == self.asked.id)
     }
 
-    fn no_connection(&self, place: &Place, why: NoConnection) {
+    fn record_connect_failure(&self, place: &Place, why: NoConnection) {
         let now = self.gateway.now();
         self.gateway.suspensions.borrow_mut().suspend(now, place.candidate.target);
-        self.gateway.lose(&place.server);
+        self.gateway.record_unreachable(&place.server);
         if let Some(epoch) = place.epoch {
             Event::new("head_unreachable")
                 .with("host", &*place.server)
@@ -157,25 +159,25 @@
     }
 
     /// Returns the outcome of the attempt if the head of the answer alone decides it.
-    fn judge(&self, status: u16, answered: &Answered) -> Option<Tried> {
-        let mine = answered.id.as_deref().is_none_or(|id| id == self.asked.id);
+    fn outcome_of_head(&self, status: u16, answered: &Answered) -> Option<AttemptOutcome> {
+        let answers_this_request = answered.id.as_deref().is_none_or(|id| id == self.asked.id);
         let success = (200..300).contains(&status);
-        if !mine || answered.encoded || (success && !answered.signed) {
-            return Some(Tried::Failed { failure: Failure::Lost, gone: false });
+        if !answers_this_request || answered.encoded || (success && !answered.signed) {
+            return Some(AttemptOutcome::Failed { failure: Failure::Lost, gone: false });
         }
         if answered.not_run || status == MISDIRECTED {
-            return Some(Tried::Failed { failure: Failure::Refused, gone: false });
+            return Some(AttemptOutcome::Failed { failure: Failure::Refused, gone: false });
         }
-        let own_failure = status >= 500 && self.route.repeat == Repeat::Idempotent;
-        let another = self.attempts.sent() < self.route.max_attempts && !self.begun;
-        if self.begun && !success || own_failure && another {
-            return Some(Tried::Failed { failure: Failure::Failed, gone: false });
+        let server_error = status >= 500 && self.route.repeat == Repeat::Idempotent;
+        let has_attempt_left = self.attempts.sent() < self.route.max_attempts && !self.head_sent;
+        if self.head_sent && !success || server_error && has_attempt_left {
+            return Some(AttemptOutcome::Failed { failure: Failure::Failed, gone: false });
         }
         None
     }
 
     /// Sends the request and waits for the head of its answer.
-    async fn head(
+    async fn receive_head(
         &self,
         exchange: &mut Exchange,
         request: Request<Full<Bytes>>,
@@ -183,12 +185,12 @@
         sent: Millis,
     ) -> Result<Response<Incoming>, Failure> {
         let answer = exchange.send(request);
-        let answer = self.unless_silent(place, sent, answer);
+        let answer = self.unless_stalled(place, sent, answer);
         answer.await?.map_err(|_| Failure::Lost)
     }
 
     /// Waits for data from a place until the place counts as stalled or the deadline is near.
-    async fn unless_silent<T>(
+    async fn unless_stalled<T>(
         &self,
         place: &Place,
         since: Millis,
@@ -201,12 +203,12 @@
             if now >= give_up {
                 return Err(Failure::Lost);
             }
-            let silent_at = self.silent_at(place, since);
-            if silent_at.is_some_and(|at| now >= at) {
-                self.stands_still(place, now);
+            let stalled_at = self.stalled_at(place, since);
+            if stalled_at.is_some_and(|at| now >= at) {
+                self.record_stall(place, now);
                 return Err(Failure::Stalled);
             }
-            let until = silent_at.map_or(give_up, |at| at.min(give_up));
+            let until = stalled_at.map_or(give_up, |at| at.min(give_up));
             if let Ok(value) = self.gateway.within(until - now, &mut wait).await {
                 return Ok(value);
             }
@@ -214,22 +216,22 @@
     }
 
     /// Returns the time at which a place counts as stalled if nothing arrives from it.
-    fn silent_at(&self, place: &Place, since: Millis) -> Option<Millis> {
+    fn stalled_at(&self, place: &Place, since: Millis) -> Option<Millis> {
         if self.route.repeat != Repeat::Idempotent {
             return None;
         }
         let base = since.max(self.gateway.awake_since());
         if self.model.is_none() {
             // A request with no attempt left waits until its deadline.
-            let again = self.attempts.sent() < self.route.max_attempts;
+            let has_attempt_left = self.attempts.sent() < self.route.max_attempts;
             let silence_ms = PLAIN_SILENCE_MS.max(self.route.goal_ms * PLAIN_SILENCE_GOALS);
-            return again.then_some(base + silence_ms);
+            return has_attempt_left.then_some(base + silence_ms);
         }
         let balance = self.gateway.balance.borrow();
         Some(balance.silent_at(place.candidate.target, base, self.pass_ms))
     }
 
-    fn stands_still(&self, place: &Place, now: Millis) {
+    fn record_stall(&self, place: &Place, now: Millis) {
         if let Some(epoch) = place.epoch {
             let target = place.candidate.target;
             if !self.gateway.suspensions.borrow().holds(now, target) {
@@ -243,54 +245,54 @@
                     .write();
                 self.gateway.suspensions.borrow_mut().suspend(now, target);
             }
-            self.gateway.lose(&place.server);
+            self.gateway.record_unreachable(&place.server);
             self.gateway.suspect(epoch);
         }
     }
 
-    fn heard(&self, place: &Place) -> Millis {
+    fn record_progress(&self, place: &Place) -> Millis {
         let now = self.gateway.now();
         self.gateway.balance.borrow_mut().progress(now, place.candidate.target);
         self.gateway.suspensions.borrow_mut().heard(place.candidate.target);
-        self.gateway.reached(&self.service, place.candidate.target);
+        self.gateway.record_reached(&self.service, place.candidate.target);
         now
     }
 
-    fn passed_on(&self, headers: Headers) -> Headers {
-        let kept = headers.into_iter().filter(|(n, _)| !CONNECTION_HEADERS.contains(&n.as_str()));
+    fn without_hop_by_hop_headers(&self, headers: Headers) -> Headers {
+        let kept = headers.into_iter().filter(|(n, _)| !HOP_BY_HOP_HEADERS.contains(&n.as_str()));
         kept.collect()
     }
 
     /// Forwards an answer that must be complete before the caller receives any of it.
-    async fn whole(
+    async fn relay_whole(
         &mut self,
         connection: &mut Connection,
         mut exchange: Exchange,
         mut response: Response<Incoming>,
         headers: Headers,
         place: &Place,
-    ) -> Tried {
-        let since = self.heard(place);
+    ) -> AttemptOutcome {
+        let since = self.record_progress(place);
         let max = self.gateway.settings.requests.answer_max;
-        let read = exchange.whole(response.body_mut(), max);
-        let body = match self.unless_silent(place, since, read).await {
+        let read = exchange.read_body(response.body_mut(), max);
+        let body = match self.unless_stalled(place, since, read).await {
             Ok(Ok(body)) => body,
-            Ok(Err(_)) => return Tried::Failed { failure: Failure::Lost, gone: false },
-            Err(failure) => return Tried::Failed { failure, gone: false },
+            Ok(Err(_)) => return AttemptOutcome::Failed { failure: Failure::Lost, gone: false },
+            Err(failure) => return AttemptOutcome::Failed { failure, gone: false },
         };
         if response.status().is_success() {
             self.gateway.survived(self.fingerprint);
         }
         let status = StatusCode::from_u16(response.status().as_u16());
         let status = status.unwrap_or(StatusCode::BAD_GATEWAY);
-        match connection.answer(status, &self.passed_on(headers), body).await {
-            Ok(()) => Tried::Done,
-            Err(Gone) => Tried::Left,
+        match connection.answer(status, &self.without_hop_by_hop_headers(headers), body).await {
+            Ok(()) => AttemptOutcome::Completed,
+            Err(Disconnected) => AttemptOutcome::CallerGone,
         }
     }
 
     /// Forwards a stream event by event.
-    async fn stream(
+    async fn relay_stream(
         &mut self,
         connection: &mut Connection,
         mut exchange: Exchange,
@@ -298,18 +300,20 @@
         headers: Headers,
         place: &Place,
         first_event: &Cell<Option<Millis>>,
-    ) -> Tried {
-        let mut since = self.heard(place);
+    ) -> AttemptOutcome {
+        let mut since = self.record_progress(place);
         let mut splitter = Splitter::default();
         loop {
             let next = exchange.next(response.body_mut());
-            let part = match self.unless_silent(place, since, next).await {
+            let part = match self.unless_stalled(place, since, next).await {
                 Ok(Ok(part)) => part,
-                Ok(Err(_)) => return Tried::Failed { failure: Failure::Lost, gone: false },
-                Err(failure) => return Tried::Failed { failure, gone: false },
+                Ok(Err(_)) => {
+                    return AttemptOutcome::Failed { failure: Failure::Lost, gone: false };
+                }
+                Err(failure) => return AttemptOutcome::Failed { failure, gone: false },
             };
             let before = since;
-            since = self.heard(place);
+            since = self.record_progress(place);
             if first_event.get().is_some() {
                 self.served.longest_gap_ms = self.served.longest_gap_ms.max(since - before);
                 let target = place.candidate.target;
@@ -317,7 +321,7 @@
             }
             let Some(part) = part else { break };
             let Ok(events) = splitter.push(&part) else {
-                return Tried::Failed { failure: Failure::Lost, gone: false };
+                return AttemptOutcome::Failed { failure: Failure::Lost, gone: false };
             };
             if !events.is_empty() && first_event.get().is_none() {
                 first_event.set(Some(since));
@@ -331,35 +335,37 @@
                 match self.progress.next(event.id) {
                     Pass::On => bytes.extend_from_slice(&event.bytes),
                     Pass::Known => {}
-                    Pass::Gap => return Tried::Failed { failure: Failure::Lost, gone: false },
+                    Pass::Gap => {
+                        return AttemptOutcome::Failed { failure: Failure::Lost, gone: false };
+                    }
                 }
             }
-            if !bytes.is_empty() && self.pass(connection, &headers, &bytes).await.is_err() {
-                return Tried::Left;
+            if !bytes.is_empty() && self.forward(connection, &headers, &bytes).await.is_err() {
+                return AttemptOutcome::CallerGone;
             }
         }
         if !splitter.rest().is_empty() {
-            return Tried::Failed { failure: Failure::Lost, gone: false };
+            return AttemptOutcome::Failed { failure: Failure::Lost, gone: false };
         }
         self.gateway.survived(self.fingerprint);
-        if !self.begun && self.pass(connection, &headers, &[]).await.is_err() {
-            return Tried::Left;
+        if !self.head_sent && self.forward(connection, &headers, &[]).await.is_err() {
+            return AttemptOutcome::CallerGone;
         }
         match connection.end().await {
-            Ok(()) => Tried::Done,
-            Err(Gone) => Tried::Left,
+            Ok(()) => AttemptOutcome::Completed,
+            Err(Disconnected) => AttemptOutcome::CallerGone,
         }
     }
 
-    async fn pass(
+    async fn forward(
         &mut self,
         connection: &mut Connection,
         headers: &Headers,
         bytes: &[u8],
-    ) -> Result<(), Gone> {
-        if !self.begun {
-            connection.begin(StatusCode::OK, &self.passed_on(headers.clone()))?;
-            self.begun = true;
+    ) -> Result<(), Disconnected> {
+        if !self.head_sent {
+            connection.begin(StatusCode::OK, &self.without_hop_by_hop_headers(headers.clone()))?;
+            self.head_sent = true;
             self.served.first_after_ms = self.gateway.now() - self.received;
             self.log.push(format!("first event at {} ms", self.served.first_after_ms));
         }
--- a/crates/oliveworks-gateway/src/relay/crashers.rs
+++ b/crates/oliveworks-gateway/src/relay/crashers.rs
@@ -7,7 +7,7 @@
 use oliveworks_gateway_core::crashers::SETTLED_MS;
 use tokio::time::sleep;
 
-use super::{COME_BACK_MS, End, Job};
+use super::{End, Job, RETRY_AFTER_MS};
 use crate::connection::Connection;
 use crate::crashers::FailedRun;
 use crate::places::Place;
@@ -20,7 +20,7 @@
             return false;
         }
         let gateway = self.gateway;
-        let ended = gateway.ended_under(self.fingerprint, run).await;
+        let ended = gateway.server_ended_during(self.fingerprint, run).await;
         if !ended || !gateway.standing(self.fingerprint).is_strong_suspect() {
             return ended;
         }
@@ -31,7 +31,7 @@
     }
 
     /// Records that an attempt was withdrawn.
-    pub(super) fn take_back(&mut self, place: &Place, sent_before: u32) {
+    pub(super) fn record_withdrawal(&mut self, place: &Place, sent_before: u32) {
         let now = self.gateway.now();
         self.log.push(format!("taken back from {} at {} ms", place.server, now - self.received));
         self.gateway.count("crashers_taken_back");
@@ -46,7 +46,7 @@
         self.log.push("backend servers ended under the same request, which is being tried".into());
         self.gateway.count("refused_copies");
         let verdict = self.attempts.verdict(self.gateway.now());
-        self.give_up(connection, verdict, COME_BACK_MS).await
+        self.give_up(connection, verdict, RETRY_AFTER_MS).await
     }
 
     /// Rejects a request during which several backend servers ended in a row. The answer says that
@@ -62,7 +62,7 @@
         self.log.push("backend servers ended under the same request".into());
         let now = self.gateway.now();
         let for_ms = until.saturating_sub(now);
-        self.gateway.crasher_refused(self.fingerprint, &self.asked.id, for_ms);
+        self.gateway.log_crasher_refusal(self.fingerprint, &self.asked.id, for_ms);
         let verdict = self.attempts.verdict(now);
         self.give_up(connection, verdict, for_ms).await
     }
--- a/crates/oliveworks-gateway/src/relay/placing.rs
+++ b/crates/oliveworks-gateway/src/relay/placing.rs
@@ -21,7 +21,7 @@
 /// Longest wait for a place to resume a request that was sent before, in ms.
 const RESUME_WAIT_MS: u64 = 1_800;
 /// Time between two searches for a place, in ms.
-const LOOK_MS: u64 = 15;
+const POLL_INTERVAL_MS: u64 = 15;
 
 impl Job<'_> {
     fn all_places(&self) -> Vec<Place> {
@@ -36,7 +36,7 @@
     }
 
     /// Returns this gateway's share of the callers of the model.
-    fn callers_part(&self) -> CallersPart {
+    fn callers_share(&self) -> CallersPart {
         let Some(model) = &self.model else { return CallersPart::UNKNOWN };
         let key = ModelKey::of(&self.service, model);
         self.gateway.demand.borrow().callers_part(self.gateway.now(), key)
@@ -57,15 +57,15 @@
 
     /// Chooses among eligible places, if one has room now. A request that resumes after an attempt
     /// skips admission, since its caller has already waited for it.
-    fn choose(&self, places: &[Place], goes_on: bool) -> Result<Target, NoTarget> {
+    fn choose(&self, places: &[Place], is_resumed: bool) -> Result<Target, NoTarget> {
         let full_at = self.gateway.settings.requests.full_at;
-        let came_back = self.served.came_back && !goes_on;
+        let came_back = self.served.came_back && !is_resumed;
         let full_at = self.gateway.admission.borrow().full_at(full_at, came_back);
         let mut candidates: Vec<_> = places.iter().map(|place| place.candidate).collect();
         let now = self.gateway.now();
-        let callers = self.callers_part();
+        let callers = self.callers_share();
         let sides = self.gateway.balance.borrow().sides(now, &candidates);
-        if self.model.is_some() && !goes_on {
+        if self.model.is_some() && !is_resumed {
             self.admit(full_at, sides.parts(&callers), &mut candidates);
         }
         if candidates.is_empty() && !places.is_empty() {
@@ -74,43 +74,43 @@
         let balance = self.gateway.balance.borrow();
         let draw = rand::random();
         match sides.spills(&callers, draw) {
-            true => balance.choose(now, &candidates, &self.tried, full_at, draw),
-            false => balance.choose_near(now, &candidates, &self.tried, full_at, draw),
+            true => balance.choose(now, &candidates, &self.tried_targets, full_at, draw),
+            false => balance.choose_near(now, &candidates, &self.tried_targets, full_at, draw),
         }
     }
 
     /// Chooses a place for a request that may be suspect. Places with other suspects are avoided,
-    /// since an end of a backend server then tells most about its cause. If all places have
-    /// suspects, only places with strong suspects are avoided.
-    fn choose_apart(
+    /// since the end of a backend server then gives the strongest evidence of its cause. If all
+    /// places have suspects, only places with strong suspects are avoided.
+    fn choose_for_suspect(
         &self,
         places: &[Place],
-        goes_on: bool,
+        is_resumed: bool,
         standing: Standing,
     ) -> Result<Target, NoTarget> {
         if standing == Standing::Clear {
-            return self.choose(places, goes_on);
+            return self.choose(places, is_resumed);
         }
         let without = |is_there: fn(&Crashers, Target) -> bool| {
             let crashers = self.gateway.crashers.borrow();
             let apart = places.iter().filter(|p| !is_there(&crashers, p.candidate.target));
             apart.cloned().collect::<Vec<Place>>()
         };
-        let found = self.choose(&without(Crashers::has_suspects), goes_on);
+        let found = self.choose(&without(Crashers::has_suspects), is_resumed);
         let found =
-            found.or_else(|_| self.choose(&without(Crashers::has_strong_suspects), goes_on));
-        found.or_else(|_| self.choose(places, goes_on))
+            found.or_else(|_| self.choose(&without(Crashers::has_strong_suspects), is_resumed));
+        found.or_else(|_| self.choose(places, is_resumed))
     }
 
     /// Counts whether a request stays in the local failure domain; `near` is whether a local place
     /// was eligible.
-    fn count_way(&self, place: &Place, near: bool) {
-        let way = match (place.candidate.near, near) {
+    fn count_locality(&self, place: &Place, near: bool) {
+        let counter = match (place.candidate.near, near) {
             (true, _) => "requests_near",
             (false, true) => "requests_spilled",
             (false, false) => "requests_far",
         };
-        self.gateway.count(way);
+        self.gateway.count(counter);
     }
 
     /// Returns whether a request that found no place stops waiting.
@@ -118,19 +118,19 @@
     /// A request that was sent before also waits if no place is expected, since a group may form
     /// meanwhile. The exception is a backoff of the hosts while the caller has received nothing: an
     /// early answer that names the retry time serves the caller better.
-    fn is_final(&self, no_place: &NoPlace, goes_on: bool, until: Millis) -> bool {
+    fn stops_waiting(&self, no_place: &NoPlace, is_resumed: bool, until: Millis) -> bool {
         let waits_anyway = match no_place.reason {
-            NoTarget::Backoff => self.begun,
+            NoTarget::Backoff => self.head_sent,
             // A drain may last for hours.
             NoTarget::Drained => false,
-            _ => goes_on,
+            _ => is_resumed,
         };
         self.gateway.now() >= until || !waits_anyway && no_place.lasts_until(until)
     }
 
     /// Returns the reason why no place was found, from the failed choice or the obstacles.
     fn no_place(&self, places: &Places, found: NoTarget) -> NoPlace {
-        if !places.open.is_empty() {
+        if !places.eligible.is_empty() {
             return found.into();
         }
         let no_place = NoPlace::kept_by(&places.obstacles);
@@ -142,8 +142,8 @@
     }
 
     fn log_no_place(&mut self, places: &Places) {
-        let part = self.callers_part().of_all;
-        let (open, obstacles) = (places.open.len(), &places.obstacles);
+        let part = self.callers_share().of_all;
+        let (open, obstacles) = (places.eligible.len(), &places.obstacles);
         let kept = describe(obstacles);
         self.log.push(format!(
             "{open} open places; kept from others: {kept}; part of callers {part:.2}"
@@ -157,35 +157,36 @@
     /// Chooses where to send the request. Waits for a limited time if all places are taken. A first
     /// attempt does not wait if there is no place or none is known to become free in time.
     pub(super) async fn place(&mut self, standing: Standing) -> Result<Place, NoPlace> {
-        let goes_on = self.begun || self.attempts.sent() > 0;
-        let patience_ms = match goes_on {
+        let is_resumed = self.head_sent || self.attempts.sent() > 0;
+        let max_wait_ms = match is_resumed {
             true => RESUME_WAIT_MS,
             false => self.route.goal_ms * WAIT_PERCENT / 100,
         };
         let began = self.gateway.now();
-        let until = (began + patience_ms).min(self.deadline);
+        let until = (began + max_wait_ms).min(self.deadline);
         loop {
             let all = self.all_places();
-            let places = self.gateway.part_places(&self.service, all, self.allowed(), &self.tried);
-            let no_place = match self.choose_apart(&places.open, goes_on, standing) {
+            let places =
+                self.gateway.divide_places(&self.service, all, self.allowed(), &self.tried_targets);
+            let no_place = match self.choose_for_suspect(&places.eligible, is_resumed, standing) {
                 Ok(target) => {
-                    let near = places.open.iter().any(|place| place.candidate.near);
-                    let mut open = places.open.into_iter();
+                    let near = places.eligible.iter().any(|place| place.candidate.near);
+                    let mut open = places.eligible.into_iter();
                     let found = open.find(|place| place.candidate.target == target);
                     let place = found.ok_or(NoTarget::None)?;
-                    self.count_way(&place, near);
+                    self.count_locality(&place, near);
                     return Ok(place);
                 }
                 Err(found) => self.no_place(&places, found),
             };
-            if self.is_final(&no_place, goes_on, until) {
+            if self.stops_waiting(&no_place, is_resumed, until) {
                 self.log_no_place(&places);
                 return Err(no_place);
             }
-            let look = Duration::from_millis(LOOK_MS);
+            let poll_interval = Duration::from_millis(POLL_INTERVAL_MS);
             // The wait also ends when a permit arrives, since permits are valid for a short time
             // only.
-            let _ = timeout(look, self.gateway.permits_came.notified()).await;
+            let _ = timeout(poll_interval, self.gateway.permits_came.notified()).await;
         }
     }
 }
--- a/crates/oliveworks-gateway/src/reload.rs
+++ b/crates/oliveworks-gateway/src/reload.rs
@@ -10,7 +10,7 @@
 use crate::settings::Settings;
 
 /// Logs the changes in settings that were read again.
-pub(crate) fn tell(held: &Settings, read: anyhow::Result<Settings>) {
+pub(crate) fn log_changes(held: &Settings, read: anyhow::Result<Settings>) {
     let event = Event::new("reload");
     let event = match read {
         Err(error) => event.with("outcome", "kept").with("error", format!("{error:#}")),
@@ -26,12 +26,12 @@
 pub fn changed_keys(held: &Settings, new: &Settings) -> Vec<String> {
     let mut keys = Vec::new();
     if let (Ok(held), Ok(new)) = (serde_json::to_value(held), serde_json::to_value(new)) {
-        differ("", &held, &new, &mut keys);
+        collect_changed_keys("", &held, &new, &mut keys);
     }
     keys
 }
 
-fn differ(key: &str, held: &Value, new: &Value, keys: &mut Vec<String>) {
+fn collect_changed_keys(key: &str, held: &Value, new: &Value, keys: &mut Vec<String>) {
     let (Value::Object(held_fields), Value::Object(new_fields)) = (held, new) else {
         if held != new {
             keys.push(key.to_owned());
@@ -41,10 +41,10 @@
     let names =
         held_fields.keys().chain(new_fields.keys().filter(|k| !held_fields.contains_key(*k)));
     for name in names {
-        let below = if key.is_empty() { name.clone() } else { format!("{key}.{name}") };
+        let nested_key = if key.is_empty() { name.clone() } else { format!("{key}.{name}") };
         let field = |fields: &serde_json::Map<String, Value>| fields.get(name).cloned();
         let held = field(held_fields).unwrap_or(Value::Null);
         let new = field(new_fields).unwrap_or(Value::Null);
-        differ(&below, &held, &new, keys);
+        collect_changed_keys(&nested_key, &held, &new, keys);
     }
 }
--- a/crates/oliveworks-gateway/src/slow_start.rs
+++ b/crates/oliveworks-gateway/src/slow_start.rs
@@ -14,7 +14,7 @@
 use crate::state::Gateway;
 
 /// Time between two log lines on used-up shares, in ms, since rejections come by the hundred.
-const TELL_MS: u64 = 1_000;
+const LOG_INTERVAL_MS: u64 = 1_000;
 
 /// Returns the initial state; none if the load on cold backend servers is not limited.
 pub fn slow_starts(settings: &Settings, now: Millis) -> Option<SlowStarts> {
@@ -28,7 +28,7 @@
 }
 
 /// Logs a backend server that becomes cold.
-fn tell(server: &BackendServerId, now: Millis, known: Known) {
+fn log_cold_host(server: &BackendServerId, now: Millis, known: Known) {
     Event::new("host_is_cold")
         .with("host", &**server)
         .with("for_ms", known.until.map(|until| until.saturating_sub(now)))
@@ -53,7 +53,7 @@
     }
 
     /// Processes what a record says about its backend server being cold.
-    pub fn take_cold(&self, server: &BackendServer, listed: Listed) {
+    pub fn record_cold(&self, server: &BackendServer, listed: Listed) {
         let now = self.now();
         let mut slow_starts = self.slow_starts.borrow_mut();
         let Some(slow_starts) = slow_starts.as_mut() else { return };
@@ -62,21 +62,21 @@
         let target = Target::of(&server.id);
         if let Some(known) = slow_starts.record(now, target, lasts_ms, server.cold_ms, listed) {
             self.count("hosts_turned_cold");
-            tell(&server.id, now, known);
+            log_cold_host(&server.id, now, known);
         }
     }
 
     /// Returns the record of a backend server for a gateway that adopts the list, with the
     /// remaining cold time known here.
-    pub fn as_cold_as_known(&self, server: &BackendServer) -> BackendServer {
-        let mut told = server.clone();
+    pub fn with_known_cold_time(&self, server: &BackendServer) -> BackendServer {
+        let mut record = server.clone();
         if let (Some(terms), Some(slow_starts)) =
             (self.slow_start_of(&server.service), self.slow_starts.borrow().as_ref())
         {
             let cold_ms = slow_starts.told_ms(self.now(), Target::of(&server.id), terms.lasts_ms);
-            told.cold_ms = told.cold_ms.max(cold_ms);
+            record.cold_ms = record.cold_ms.max(cold_ms);
         }
-        told
+        record
     }
 
     /// Returns whether the state of any backend server is in doubt. A record that repeats its
@@ -87,11 +87,11 @@
     }
 
     /// Records the end of a drain: the backend servers of the failure domain may be cold.
-    pub fn drain_leaves_cold(&self, failure_domain: &str) {
+    pub fn mark_cold_after_drain(&self, failure_domain: &str) {
         let directory = self.directory.borrow();
         for server in directory.iter().filter(|s| s.failure_domain == failure_domain) {
             let Some(terms) = self.may_start_slowly(&server.service) else { continue };
-            self.doubt(&server.id, |slow_starts, now, target| {
+            self.apply_evidence(&server.id, |slow_starts, now, target| {
                 slow_starts.drain_ended(now, target, terms)
             });
         }
@@ -106,7 +106,7 @@
             return;
         }
         let Some(terms) = self.may_start_slowly(&server.service) else { return };
-        self.doubt(&server.id, |slow_starts, now, target| {
+        self.apply_evidence(&server.id, |slow_starts, now, target| {
             slow_starts.drain_ended(now, target, terms)
         });
     }
@@ -116,28 +116,28 @@
     ///
     /// Rejected: treating each failed call as a loss. A host that missed one call would be sent few
     /// requests for seconds, and callers would be rejected meanwhile.
-    pub fn lose(&self, server: &str) {
+    pub fn record_unreachable(&self, server: &str) {
         if !self.suspensions.borrow().is_lost(Target::of(server)) {
             return;
         }
         let directory = self.directory.borrow();
         let Some(server) = directory.get(server) else { return };
         if self.may_start_slowly(&server.service).is_some() {
-            self.doubt(&server.id, SlowStarts::lost);
+            self.apply_evidence(&server.id, SlowStarts::lost);
         }
     }
 
-    /// Records that a backend server has begun a new incarnation, of which its record does not tell
+    /// Records that a backend server has begun a new incarnation that its record does not contain
     /// yet.
-    pub fn starts_again(&self, server: &str, service: &str, born: Born) {
+    pub fn record_restart(&self, server: &str, service: &str, born: Born) {
         let Some(terms) = self.may_start_slowly(service) else { return };
         let id: BackendServerId = server.into();
-        self.doubt(&id, |slow_starts, now, target| {
+        self.apply_evidence(&id, |slow_starts, now, target| {
             slow_starts.started_again(now, target, born, terms)
         });
     }
 
-    fn doubt(
+    fn apply_evidence(
         &self,
         server: &BackendServerId,
         doubt: impl FnOnce(&mut SlowStarts, Millis, Target) -> Option<Known>,
@@ -147,12 +147,12 @@
         let Some(slow_starts) = slow_starts.as_mut() else { return };
         if let Some(known) = doubt(slow_starts, now, Target::of(server)) {
             self.count("hosts_turned_cold");
-            tell(server, now, known);
+            log_cold_host(server, now, known);
         }
     }
 
     /// Records that data has arrived from a backend server.
-    pub fn reached(&self, service: &str, target: Target) {
+    pub fn record_reached(&self, service: &str, target: Target) {
         let Some(terms) = self.slow_start_of(service) else { return };
         if let Some(slow_starts) = self.slow_starts.borrow_mut().as_mut() {
             slow_starts.heard(self.now(), target, terms);
@@ -170,7 +170,7 @@
         let Some(slow_starts) = slow_starts.as_mut() else { return Ok(None) };
         let members = self.members.borrow();
         let now = self.now();
-        slow_starts.store_heard(self.store_heard_at.get());
+        slow_starts.store_heard(self.store_answered_at.get());
         if !slow_starts.is_cold(now, target, terms, &members) {
             return Ok(None);
         }
@@ -179,17 +179,17 @@
             return Ok(Some(terms.requests_per_s));
         }
         let part_per_s = slow_starts.part(now, target, terms, &members);
-        self.part_is_taken(target, part_per_s, members.count());
+        self.log_used_up_share(target, part_per_s, members.count());
         Err(Obstacle::Cold { free_at })
     }
 
-    fn part_is_taken(&self, target: Target, part_per_s: u32, gateways: usize) {
+    fn log_used_up_share(&self, target: Target, part_per_s: u32, gateways: usize) {
         self.count("cold_parts_taken");
         let now = self.now();
-        if now < self.cold_told_at.get() + TELL_MS {
+        if now < self.cold_logged_at.get() + LOG_INTERVAL_MS {
             return;
         }
-        self.cold_told_at.set(now);
+        self.cold_logged_at.set(now);
         let directory = self.directory.borrow();
         let host = directory.iter().find(|server| Target::of(&server.id) == target);
         Event::new("cold_part_taken")
--- a/crates/oliveworks-gateway/src/sources.rs
+++ b/crates/oliveworks-gateway/src/sources.rs
@@ -13,48 +13,48 @@
 
 /// Silence, in ms, after which a gateway of the local failure domain does not count as a reader:
 /// seven heartbeats.
-const NEAR_SILENT_MS: u64 = 700;
+const LOCAL_SILENT_MS: u64 = 700;
 /// The same for gateways of remote failure domains, in ms, whose heartbeats arrive only now and
 /// then.
-const FAR_SILENT_MS: u64 = 3_000;
+const REMOTE_SILENT_MS: u64 = 3_000;
 /// Time that a proof may be older than the longest time for which the store holds a call back, in
 /// ms: the round trip to the store and the transmission of the heartbeat with the proof.
 const PROOF_SLACK_MS: u64 = 400;
 /// Time during which a gateway that did not answer is not asked again, in ms.
-const AVOID_MS: u64 = 2_000;
+const UNRESPONSIVE_MS: u64 = 2_000;
 /// Time between two calls to a store that rejects this gateway while it answers others, in ms. Each
 /// such call is charged, and the time is short compared to the 4 s for which a proof is valid.
-const STORE_AGAIN_MS: u64 = 1_500;
+const STORE_RETRY_MS: u64 = 1_500;
 
 /// Returns the source of the next step of a topic.
-pub fn next(gateway: &Gateway, following: &Following) -> ReadFrom {
+pub fn choose_source(gateway: &Gateway, following: &Following) -> ReadFrom {
     let own = Own {
         name: &gateway.settings.node,
         store_answers: gateway.election.borrow().store_answers(),
         reads: gateway.reads_store(),
-        retry_due: gateway.now() >= gateway.store_tried_at.get() + STORE_AGAIN_MS,
+        retry_due: gateway.now() >= gateway.store_called_at.get() + STORE_RETRY_MS,
         era: gateway.era(),
     };
     let peers = gateway.peers.borrow();
-    following.source(own, &known(gateway, &peers), rand::random())
+    following.source(own, &recent_peers(gateway, &peers), rand::random())
 }
 
-/// Returns the gateways that were heard from recently.
-fn known<'a>(gateway: &Gateway, peers: &'a BTreeMap<String, Peer>) -> Vec<Known<'a>> {
+/// Returns the gateways from which a message arrived recently.
+fn recent_peers<'a>(gateway: &Gateway, peers: &'a BTreeMap<String, Peer>) -> Vec<Known<'a>> {
     let now = gateway.now();
-    let avoided = gateway.avoided.borrow();
+    let unresponsive = gateway.unresponsive_peers.borrow();
     let domain = &gateway.settings.failure_domain;
     let heard = peers.iter().filter_map(|(name, peer)| {
         let near = peer.failure_domain == *domain;
-        let silent_ms = if near { NEAR_SILENT_MS } else { FAR_SILENT_MS };
-        (now < peer.heard_at + silent_ms).then(|| Known {
+        let silent_ms = if near { LOCAL_SILENT_MS } else { REMOTE_SILENT_MS };
+        (now < peer.last_seen_at + silent_ms).then(|| Known {
             name,
             address: peer.address,
             near,
             store_answers: peer.store_answers,
             reads: peer.reads_store,
-            informed: peer.proved_at.is_some_and(|at| is_young(gateway, now, at)),
-            avoided: avoided.get(&peer.address).is_some_and(|at| now < at + AVOID_MS),
+            informed: peer.proved_at.is_some_and(|at| is_recent(gateway, now, at)),
+            avoided: unresponsive.get(&peer.address).is_some_and(|at| now < at + UNRESPONSIVE_MS),
             era: peer.era,
             version: peer.version,
         })
@@ -73,32 +73,32 @@
     /// Returns whether this gateway reads the store now.
     pub fn reads_store(&self) -> bool {
         let proved_at = self.store_proved_at.get();
-        proved_at.is_some_and(|at| is_young(self, self.now(), at)) && self.reads_for_others()
+        proved_at.is_some_and(|at| is_recent(self, self.now(), at)) && self.reads_for_others()
     }
 }
 
 /// Returns whether a proof that the store held nothing newer is as young as a reader's proof should
 /// be. A reader renews its proof whenever the store has held a call back for the longest time.
-fn is_young(gateway: &Gateway, now: Millis, proved_at: Millis) -> bool {
+fn is_recent(gateway: &Gateway, now: Millis, proved_at: Millis) -> bool {
     now < proved_at + gateway.settings.configuration_wait_ms() + PROOF_SLACK_MS
 }
 
 /// Returns whether the store is not known to answer this gateway while others know what it holds. A
 /// call that may stay without an answer must then not delay questions to these gateways for long.
-pub fn tries_the_store(gateway: &Gateway) -> bool {
+pub fn is_store_trial(gateway: &Gateway) -> bool {
     let now = gateway.now();
-    let proven = gateway.store_proved_at.get().is_some_and(|at| is_young(gateway, now, at));
+    let proven = gateway.store_proved_at.get().is_some_and(|at| is_recent(gateway, now, at));
     let peers = gateway.peers.borrow();
-    let informed = |at: Option<Millis>| at.is_some_and(|at| is_young(gateway, now, at));
+    let informed = |at: Option<Millis>| at.is_some_and(|at| is_recent(gateway, now, at));
     !proven && peers.values().any(|peer| informed(peer.proved_at))
 }
 
 /// Records that a gateway did not answer, so that no question is sent there for a while.
-pub fn avoid(gateway: &Gateway, address: SocketAddr, topic: Topic, why: &str) {
+pub fn mark_unresponsive(gateway: &Gateway, address: SocketAddr, topic: Topic, why: &str) {
     let now = gateway.now();
-    let mut avoided = gateway.avoided.borrow_mut();
-    avoided.retain(|_, at| now < *at + AVOID_MS);
-    if avoided.insert(address, now).is_none() {
+    let mut unresponsive = gateway.unresponsive_peers.borrow_mut();
+    unresponsive.retain(|_, at| now < *at + UNRESPONSIVE_MS);
+    if unresponsive.insert(address, now).is_none() {
         Event::new("gateway_does_not_answer")
             .with("address", address.to_string())
             .debug("topic", topic)
