--- a/crates/oliveworks-gateway/src/state.rs
+++ b/crates/oliveworks-gateway/src/state.rs
@@ -37,7 +37,7 @@
 use crate::calls::Calls;
 use crate::dialect::{Dialect, Record, TOPICS, Topic};
 use crate::events::Event;
-use crate::host_says::Leaving;
+use crate::host_statements::Leaving;
 use crate::rate_limits::ToLimiter;
 use crate::settings::Settings;
 use crate::{members, slow_start};
@@ -50,7 +50,7 @@
     /// Failure domain of the peer.
     pub failure_domain: String,
     /// Time of the last message from the peer, received by this gateway or reported by a third one.
-    pub heard_at: Millis,
+    pub last_seen_at: Millis,
     /// Whether other gateways may rely on the peer to read the store, as of its last heartbeat.
     pub store_answers: bool,
     /// Whether the peer read the store itself, as of its last heartbeat.
@@ -100,19 +100,19 @@
     /// notification of tasks that wait for new records.
     passing: HashMap<Topic, (RefCell<Passing<Record>>, Notify)>,
     /// Gateways that did not answer a question, with the time of the failure.
-    pub avoided: RefCell<HashMap<SocketAddr, Millis>>,
+    pub unresponsive_peers: RefCell<HashMap<SocketAddr, Millis>>,
     /// Time of this gateway's last call to the store to follow a topic.
-    pub store_tried_at: Cell<Millis>,
+    pub store_called_at: Cell<Millis>,
     /// Time at which the last call answered by the store was sent by this gateway.
     pub store_proved_at: Cell<Option<Millis>>,
     /// Time of the last failed call to the store, by this gateway or by a gateway that it asked.
     pub store_failed_at: Cell<Option<Millis>>,
     /// Time of the store's last answer to this gateway or to a gateway that it asked.
-    pub store_heard_at: Cell<Millis>,
+    pub store_answered_at: Cell<Millis>,
     /// Era of the store. An era begins when the store is restored from an older copy of its data.
     pub store_era: Cell<StoreEra>,
     /// Time of the last heartbeat received directly from another gateway.
-    pub gateway_heard_at: Cell<Option<Millis>>,
+    pub peer_heartbeat_at: Cell<Option<Millis>>,
     /// Newest configuration version that the store is known to hold in its current era.
     pub stored_version: Cell<Option<u64>>,
     /// Duration for which the store has been behind the newest version known to any gateway.
@@ -136,7 +136,7 @@
     /// Outgoing messages to limiters, with their addresses.
     pub to_limiters: RefCell<Vec<(SocketAddr, ToLimiter)>>,
     /// Time of the last log line on the limit of each backend server.
-    pub limits_told_at: RefCell<HashMap<Target, Millis>>,
+    pub limit_logged_at: RefCell<HashMap<Target, Millis>>,
     /// Names of answer headers that this gateway does not read.
     pub unread_headers: RefCell<HashSet<String>>,
     /// Remaining wait of callers per route, used to recognize callers that retry.
@@ -146,7 +146,7 @@
     /// Cold backend servers; none if the load on cold backend servers is not limited.
     pub slow_starts: RefCell<Option<SlowStarts>>,
     /// Time of the last log line on a used-up share of a cold backend server.
-    pub cold_told_at: Cell<Millis>,
+    pub cold_logged_at: Cell<Millis>,
     /// Requests that this gateway sent to each group in the current window.
     pub admission: RefCell<Admission>,
     /// Demand per model, and the fraction of requests without a place.
@@ -164,13 +164,13 @@
     /// Serving groups.
     pub table: RefCell<Table>,
     /// Time of the last confirmation of the leader's table.
-    pub table_heard_at: Cell<Millis>,
+    pub table_confirmed_at: Cell<Millis>,
     /// Other gateways by name.
     pub peers: RefCell<BTreeMap<String, Peer>>,
     /// Stalled groups to report to the leader, with the time of detection.
     pub suspects: RefCell<HashMap<u64, Millis>>,
     /// Backend servers to report as leaving, with the time at which this gateway learned of it.
-    pub leaving_told: RefCell<Vec<(Millis, Leaving)>>,
+    pub leaving_reports: RefCell<Vec<(Millis, Leaving)>>,
     /// Peer address of the leader.
     pub leader_address: Cell<Option<SocketAddr>>,
     /// Earliest time at which another gateway may be asked for a newer table.
@@ -178,14 +178,14 @@
     /// Last changes of the table, kept for gateways that missed some of them.
     pub changes: RefCell<Changes>,
     /// Changes of the table to forward.
-    pub changes_to_pass: RefCell<Vec<Change>>,
+    pub changes_to_forward: RefCell<Vec<Change>>,
     /// Received parts of a newer table.
     pub table_parts: RefCell<Assembly>,
     /// Times at which the sums of requests outstanding elsewhere were last sent to each failure
     /// domain.
-    pub sums: RefCell<Pace>,
+    pub elsewhere_reports: RefCell<Pace>,
     /// Whether the next heartbeat is sent at once.
-    pub beat_is_urgent: Cell<bool>,
+    pub heartbeat_is_urgent: Cell<bool>,
     /// Requests that pending messages to other gateways be sent at once.
     pub send_now: Notify,
     /// Requests a planning round of the leader.
@@ -195,11 +195,11 @@
     /// Time at which the stop began.
     pub stop_began_at: Cell<Option<Millis>>,
     /// Number of requests in flight.
-    pub open_requests: Cell<usize>,
+    pub requests_in_flight: Cell<usize>,
     /// Whether any gateway has received a request.
     pub traffic: Cell<bool>,
     /// Incarnation of this process, a random number.
-    pub life: u64,
+    pub incarnation: u64,
     /// Counters by name.
     pub counters: RefCell<BTreeMap<String, u64>>,
     /// Latencies by kind.
@@ -214,14 +214,14 @@
     /// Creates the state of a gateway that has not learned anything yet.
     pub fn new(settings: Settings, dialect: Rc<dyn Dialect>, clock: Clock) -> Gateway {
         let now = clock.now().0;
-        let life = rand::random::<u64>() >> 1;
+        let incarnation = rand::random::<u64>() >> 1;
         let bounds = &settings.bounds;
-        let terms = BudgetConfig {
+        let budget_config = BudgetConfig {
             ratio: bounds.repeat_ratio,
             extra: bounds.repeat_extra,
             window_ms: bounds.repeat_window_ms,
         };
-        let budget = Budget::new(terms, now);
+        let budget = Budget::new(budget_config, now);
         Gateway {
             dialect,
             lookup: RefCell::new(None),
@@ -232,13 +232,13 @@
             directory_read: Cell::new(false),
             missing: RefCell::default(),
             passing: TOPICS.into_iter().map(|topic| (topic, Default::default())).collect(),
-            avoided: RefCell::default(),
-            store_tried_at: Cell::new(0),
+            unresponsive_peers: RefCell::default(),
+            store_called_at: Cell::new(0),
             store_proved_at: Cell::new(None),
             store_failed_at: Cell::new(None),
-            store_heard_at: Cell::new(now),
+            store_answered_at: Cell::new(now),
             store_era: Cell::default(),
-            gateway_heard_at: Cell::new(None),
+            peer_heartbeat_at: Cell::new(None),
             stored_version: Cell::new(None),
             store_lag: Cell::default(),
             own_lag: Cell::default(),
@@ -250,38 +250,38 @@
             rate_limits: RefCell::default(),
             permits_came: Notify::new(),
             to_limiters: RefCell::default(),
-            limits_told_at: RefCell::default(),
+            limit_logged_at: RefCell::default(),
             unread_headers: RefCell::default(),
             waits: RefCell::default(),
             members: RefCell::new(members::members(&settings, now)),
             slow_starts: RefCell::new(slow_start::slow_starts(&settings, now)),
-            cold_told_at: Cell::new(0),
-            admission: RefCell::new(Admission::new(settings.policy.admission, life)),
+            cold_logged_at: Cell::new(0),
+            admission: RefCell::new(Admission::new(settings.policy.admission, incarnation)),
             demand: RefCell::default(),
             speeds: RefCell::default(),
             budget: RefCell::new(budget),
             calls: Calls::default(),
-            election: RefCell::new(Election::new(ElectionConfig::default(), life, now)),
+            election: RefCell::new(Election::new(ElectionConfig::default(), incarnation, now)),
             planners: RefCell::default(),
             table: RefCell::default(),
-            table_heard_at: Cell::new(0),
+            table_confirmed_at: Cell::new(0),
             peers: RefCell::default(),
             suspects: RefCell::default(),
-            leaving_told: RefCell::default(),
+            leaving_reports: RefCell::default(),
             leader_address: Cell::new(None),
             ask_table_at: Cell::new(0),
             changes: RefCell::default(),
-            changes_to_pass: RefCell::default(),
+            changes_to_forward: RefCell::default(),
             table_parts: RefCell::default(),
-            sums: RefCell::default(),
-            beat_is_urgent: Cell::new(false),
+            elsewhere_reports: RefCell::default(),
+            heartbeat_is_urgent: Cell::new(false),
             send_now: Notify::new(),
             plan_now: Notify::new(),
             stopping: watch::channel(false).0,
             stop_began_at: Cell::new(None),
-            open_requests: Cell::new(0),
+            requests_in_flight: Cell::new(0),
             traffic: Cell::new(false),
-            life,
+            incarnation,
             counters: RefCell::default(),
             latencies: RefCell::default(),
             resumed: Notify::new(),
@@ -312,14 +312,14 @@
             if let Some(slow_starts) = self.slow_starts.borrow_mut().as_mut() {
                 slow_starts.paused(now, paused_ms);
             }
-            self.go_on(paused_ms);
+            self.notify_resumed(paused_ms);
         }
         self.ticked_at.set(now);
     }
 
     /// Notifies waiting tasks that the process continues after a pause, caused by a suspended host
     /// or by the process being stopped or not scheduled.
-    fn go_on(&self, paused_ms: u64) {
+    fn notify_resumed(&self, paused_ms: u64) {
         if paused_ms < RESUMED_MS {
             return;
         }
@@ -384,11 +384,11 @@
 
     /// Records an answer of the store.
     pub fn store_answered(&self) {
-        let silent_ms = self.now() - self.store_heard_at.get();
-        if self.store_failed_at.get().is_some_and(|at| at > self.store_heard_at.get()) {
+        let silent_ms = self.now() - self.store_answered_at.get();
+        if self.store_failed_at.get().is_some_and(|at| at > self.store_answered_at.get()) {
             Event::new("store_answers_again").with("after_ms", silent_ms).write();
         }
-        self.store_heard_at.set(self.now());
+        self.store_answered_at.set(self.now());
         self.election.borrow_mut().store_answered(self.now());
     }
 
@@ -398,17 +398,17 @@
     }
 
     /// Returns the notification of new records of a topic.
-    pub fn news(&self, topic: Topic) -> &Notify {
+    pub fn new_records(&self, topic: Topic) -> &Notify {
         &self.passing[&topic].1
     }
 
     /// Records that the store answered a gateway that was asked.
-    pub fn store_heard_elsewhere(&self, at: Millis) {
-        self.store_heard_at.set(self.store_heard_at.get().max(at));
+    pub fn store_answered_peer(&self, at: Millis) {
+        self.store_answered_at.set(self.store_answered_at.get().max(at));
     }
 
     /// Records that a call to the store failed at a gateway that was asked.
-    pub fn store_failed_elsewhere(&self, at: Millis) {
+    pub fn store_failed_for_peer(&self, at: Millis) {
         let failed_at = self.store_failed_at.get();
         self.store_failed_at.set(Some(failed_at.map_or(at, |known| known.max(at))));
     }
@@ -420,7 +420,7 @@
             Event::new("store_call_failed")
                 .with("call", what)
                 .with("why", why)
-                .with("last_answer_ms_ago", now - self.store_heard_at.get())
+                .with("last_answer_ms_ago", now - self.store_answered_at.get())
                 .write();
         }
         self.store_failed_at.set(Some(now));
@@ -428,14 +428,14 @@
     }
 
     /// Removes the state of backend servers that are no longer listed.
-    pub fn forget_gone(&self) {
+    pub fn remove_unlisted(&self) {
         let directory = self.directory.borrow();
         let listed: HashSet<Target> = directory.iter().map(|w| Target::of(&w.id)).collect();
         self.balance.borrow_mut().retain(|target| listed.contains(&target));
         self.suspensions.borrow_mut().retain(|target| listed.contains(&target));
         self.backoffs.borrow_mut().retain(|target| listed.contains(&target));
         self.rate_limits.borrow_mut().retain(self.now(), |target| listed.contains(&target));
-        self.limits_told_at.borrow_mut().retain(|target, _| listed.contains(target));
+        self.limit_logged_at.borrow_mut().retain(|target, _| listed.contains(target));
         self.admission.borrow_mut().retain(|target| listed.contains(&target));
         self.speeds.borrow_mut().retain(|target| listed.contains(&target));
         self.members.borrow_mut().retain(self.now());
--- a/crates/oliveworks-gateway/src/store.rs
+++ b/crates/oliveworks-gateway/src/store.rs
@@ -55,7 +55,7 @@
             Ok(answer) => {
                 self.exchange = Some(open);
                 let era = self.gateway.dialect.store_era(&answer.headers);
-                if self.gateway.hear_store_era(sent, &era, &call.target) == EraTold::Late {
+                if self.gateway.record_store_era(sent, &era, &call.target) == EraTold::Late {
                     return Err("an answer of a former copy of the store".to_owned());
                 }
                 // The latency of a call that the store may hold back measures the wait for new
@@ -73,7 +73,7 @@
 /// Claims the leadership.
 pub async fn claim_leadership(gateway: Rc<Gateway>, end: Place) {
     let mut client = Client::new(&gateway);
-    let call = gateway.dialect.claim(end, gateway.life);
+    let call = gateway.dialect.claim(end, gateway.incarnation);
     Event::new("claims_to_lead").with("end", end.offset).with("era", end.era.0).write();
     let answer = client.call(&call, 0).await;
     let claimed = answer.and_then(|(status, body)| {
@@ -87,7 +87,7 @@
             gateway.election.borrow_mut().refused(now);
         }
         Ok(Claimed::Written(offset)) => {
-            let claim = Claim { place: Place::new(end.era, offset), claimant: gateway.life };
+            let claim = Claim { place: Place::new(end.era, offset), claimant: gateway.incarnation };
             let next = Place::new(end.era, offset + 1);
             gateway.election.borrow_mut().read(now, Some(claim), next);
         }
--- a/crates/oliveworks-gateway/src/suspicions.rs
+++ b/crates/oliveworks-gateway/src/suspicions.rs
@@ -7,7 +7,7 @@
 
 /// Longest age of the last data from a group, in ms, for which another gateway's suspicion is
 /// ignored.
-const JUST_HEARD_MS: u64 = 150;
+const RECENT_DATA_MS: u64 = 150;
 
 impl Gateway {
     /// Returns the groups that this gateway observes to be much slower than others of their model.
@@ -34,7 +34,7 @@
     }
 
     /// Processes the observation that a group is slow.
-    pub fn runs_slowly(&self, epoch: u64) {
+    pub fn process_slow_group(&self, epoch: u64) {
         let now = self.now();
         for planner in self.planners.borrow_mut().values_mut() {
             planner.runs_slowly(now, epoch);
@@ -45,7 +45,7 @@
     pub fn suspect(&self, epoch: u64) {
         let now = self.now();
         if self.suspects.borrow_mut().insert(epoch, now).is_none() {
-            self.beat_is_urgent.set(true);
+            self.heartbeat_is_urgent.set(true);
             self.send_now.notify_one();
         }
         for planner in self.planners.borrow_mut().values_mut() {
@@ -55,17 +55,17 @@
 
     /// Processes another gateway's suspicion of a stalled group: this gateway avoids the group too,
     /// unless it has just received data from there.
-    pub fn suspected_by_another(&self, epoch: u64) {
+    pub fn process_suspicion(&self, epoch: u64) {
         let now = self.now();
         let table = self.table.borrow();
         let head = table.groups.iter().find(|group| group.epoch == epoch);
         if let Some(group) = head {
             let target = Target::of(&group.members[0]);
             let last = self.balance.borrow().last_progress(target);
-            let silent = last.is_none_or(|at| now > at + JUST_HEARD_MS);
+            let silent = last.is_none_or(|at| now > at + RECENT_DATA_MS);
             if silent && !self.suspensions.borrow().holds(now, target) {
                 self.suspensions.borrow_mut().suspend(now, target);
-                self.lose(&group.members[0]);
+                self.record_unreachable(&group.members[0]);
             }
         }
         drop(table);
--- a/crates/oliveworks-gateway/src/table.rs
+++ b/crates/oliveworks-gateway/src/table.rs
@@ -11,7 +11,7 @@
         let fits = self.table.borrow_mut().apply(&change);
         if fits {
             self.changes.borrow_mut().keep(change);
-            self.note_lives();
+            self.record_incarnations();
         }
         fits
     }
@@ -19,16 +19,16 @@
     /// Replaces the table.
     pub fn replace_table(&self, table: Table) {
         *self.table.borrow_mut() = table;
-        self.note_lives();
+        self.record_incarnations();
     }
 
     /// Records heads that have restarted since their records were written as cold.
-    fn note_lives(&self) {
+    fn record_incarnations(&self) {
         for group in &self.table.borrow().groups {
             let Some(born) = group.head_born else { continue };
             let known = self.directory.borrow().born(&group.members[0]);
             if known.is_some_and(|known| known < born) {
-                self.starts_again(&group.members[0], &group.service, born);
+                self.record_restart(&group.members[0], &group.service, born);
             }
         }
     }
--- a/crates/oliveworks-gateway/src/versions.rs
+++ b/crates/oliveworks-gateway/src/versions.rs
@@ -11,40 +11,40 @@
 
 use crate::dialect::{Record, Topic};
 use crate::events::Event;
-use crate::follow::{Follower, Step, ToldBy};
-use crate::peers::PEER_MS;
+use crate::follow::{Follower, RecordSource, Step};
+use crate::peers::PEER_TIMEOUT_MS;
 use crate::sources;
 use crate::state::Gateway;
 
 /// Time for which a starting gateway waits for a heartbeat of a gateway that holds a configuration,
 /// in ms: a few heartbeats. The store may have been restored from a copy that lacks what the others
 /// know.
-const HEAR_OTHERS_MS: u64 = 400;
+const PEER_WAIT_MS: u64 = 400;
 /// Time between two checks for such a heartbeat, in ms.
-const LOOK_MS: u64 = 20;
+const POLL_INTERVAL_MS: u64 = 20;
 
 /// Waits until a gateway that holds a configuration has sent a heartbeat, or the time is over.
-pub async fn others_heard(gateway: &Rc<Gateway>) {
+pub async fn wait_for_peers(gateway: &Rc<Gateway>) {
     let own = gateway.settings.listen.peers.ip();
     if gateway.settings.seeds.iter().all(|seed| seed.ip() == own) {
         return;
     }
-    let until = gateway.now() + HEAR_OTHERS_MS;
-    while gateway.now() < until && gateway.newest_told().is_none() {
-        sleep(Duration::from_millis(LOOK_MS)).await;
+    let until = gateway.now() + PEER_WAIT_MS;
+    while gateway.now() < until && gateway.newest_reported_version().is_none() {
+        sleep(Duration::from_millis(POLL_INTERVAL_MS)).await;
     }
 }
 
 /// Asks another gateway for a version that the store has not delivered to this one in time.
 pub async fn catch_up(gateway: &Gateway, follower: &mut Follower) -> Vec<Record> {
     let mut lag = gateway.own_lag.get();
-    let is_due = lag.asks(gateway.now(), gateway.version_held(), gateway.newest_told());
+    let is_due = lag.asks(gateway.now(), gateway.version_held(), gateway.newest_reported_version());
     gateway.own_lag.set(lag);
     let Some(address) = gateway.holder_of_newest().filter(|_| is_due) else { return Vec::new() };
-    let records = match follower.newest_of(address).await {
+    let records = match follower.fetch_newest(address).await {
         Ok(records) => records,
         Err(why) => {
-            sources::avoid(gateway, address, Topic::Configuration, &why);
+            sources::mark_unresponsive(gateway, address, Topic::Configuration, &why);
             return Vec::new();
         }
     };
@@ -52,7 +52,7 @@
     Event::new("asks_for_version")
         .with("address", address.to_string())
         .with("version_held", gateway.version_held())
-        .with("version_told", gateway.newest_told())
+        .with("version_told", gateway.newest_reported_version())
         .write();
     // The end of a drain is decided by the log of the store alone, which this gateway continues to
     // read from its position.
@@ -66,28 +66,28 @@
     }
 
     /// Returns the newest version that another gateway recently reported to hold.
-    pub fn newest_told(&self) -> Option<u64> {
+    pub fn newest_reported_version(&self) -> Option<u64> {
         let now = self.now();
         let peers = self.peers.borrow();
-        let young = peers.values().filter(|peer| now < peer.heard_at + PEER_MS);
-        young.filter_map(|peer| peer.version).max()
+        let recent = peers.values().filter(|peer| now < peer.last_seen_at + PEER_TIMEOUT_MS);
+        recent.filter_map(|peer| peer.version).max()
     }
 
     /// Returns a gateway that holds that version, unless all of them failed to answer.
     fn holder_of_newest(&self) -> Option<SocketAddr> {
-        let newest = self.newest_told()?;
+        let newest = self.newest_reported_version()?;
         let peers = self.peers.borrow();
-        let avoided = self.avoided.borrow();
+        let unresponsive = self.unresponsive_peers.borrow();
         let holders = peers.values().filter(|peer| peer.version == Some(newest));
-        let able = holders.filter(|peer| !avoided.contains_key(&peer.address));
-        able.map(|peer| peer.address).choose(&mut rand::rng())
+        let responsive = holders.filter(|peer| !unresponsive.contains_key(&peer.address));
+        responsive.map(|peer| peer.address).choose(&mut rand::rng())
     }
 
     /// Records which version the store is known to hold after a step.
-    pub fn note_stored(&self, step: &Step) {
-        let version = match step.told_by {
-            ToldBy::Gateway { stored_version, .. } => stored_version,
-            ToldBy::Store => step.records.iter().filter_map(version_of).max(),
+    pub fn record_stored_version(&self, step: &Step) {
+        let version = match step.source {
+            RecordSource::Gateway { stored_version, .. } => stored_version,
+            RecordSource::Store => step.records.iter().filter_map(version_of).max(),
         };
         let known = self.stored_version.get().filter(|_| !step.snapshot);
         self.stored_version.set(version.max(known));
@@ -95,23 +95,23 @@
 
     /// Returns whether other gateways exist, but none has sent a heartbeat since the store was
     /// restored from a copy that may lack records.
-    fn is_deaf(&self) -> bool {
+    fn has_lost_contact(&self) -> bool {
         let since = self.store_era.get().known_since().filter(|_| self.store_may_lack_records());
-        let heard_at = self.gateway_heard_at.get();
-        heard_at.zip(since).is_some_and(|(heard_at, since)| heard_at < since)
+        let heartbeat_at = self.peer_heartbeat_at.get();
+        heartbeat_at.zip(since).is_some_and(|(heartbeat_at, since)| heartbeat_at < since)
     }
 
     /// Returns whether a step proves that there is nothing newer than what this gateway holds.
     pub fn step_proves(&self, now: Millis) -> bool {
-        let known = self.version_held().max(self.newest_told());
+        let known = self.version_held().max(self.newest_reported_version());
         let mut lag = self.store_lag.get();
         let behind_ms = lag.behind_ms(now);
-        let proves = lag.proves(now, self.stored_version.get(), known, self.is_deaf());
+        let proves = lag.proves(now, self.stored_version.get(), known, self.has_lost_contact());
         self.store_lag.set(lag);
         match (proves, behind_ms) {
-            (false, None) => self.tell_store_lag("store_lacks_version", known, 0),
+            (false, None) => self.log_store_lag("store_lacks_version", known, 0),
             (true, Some(behind_ms)) if lag.behind_ms(now).is_none() => {
-                self.tell_store_lag("store_holds_version_again", known, behind_ms);
+                self.log_store_lag("store_holds_version_again", known, behind_ms);
             }
             _ => {}
         }
@@ -122,11 +122,11 @@
     }
 
     /// Logs that the store begins or ceases to be behind the versions known to gateways.
-    fn tell_store_lag(&self, kind: &str, known: Option<u64>, after_ms: u64) {
+    fn log_store_lag(&self, kind: &str, known: Option<u64>, after_ms: u64) {
         Event::new(kind)
             .with("version_stored", self.stored_version.get())
             .with("version_known", known)
-            .with("heard_no_other", self.is_deaf())
+            .with("heard_no_other", self.has_lost_contact())
             .with("after_ms", after_ms)
             .write();
     }
