--- a/crates/oliveworks-gateway/src/callers.rs
+++ b/crates/oliveworks-gateway/src/callers.rs
@@ -26,7 +26,7 @@
             Received::Invalid(verdict) => {
                 gateway.count("improper");
                 connection.close_after_next_answer();
-                let _ = relay::refuse(&gateway, &mut connection, "", verdict, 0).await;
+                let _ = relay::reject(&gateway, &mut connection, "", verdict, 0).await;
                 break;
             }
             Received::End => break,
--- a/crates/oliveworks-gateway/src/connection.rs
+++ b/crates/oliveworks-gateway/src/connection.rs
@@ -67,7 +67,7 @@
 pub struct Connection {
     io: Io,
     codec: Codec,
-    closes: bool,
+    closes_after_answer: bool,
 }
 
 fn header(name: &str, value: &[u8]) -> Option<(HeaderName, HeaderValue)> {
@@ -87,7 +87,7 @@
             gateway.lookup().map_or(HEAD_MAX, |l| l.configuration.limits.max_header_bytes);
         let config = HttpServiceConfig::new().set_max_buf_size(head_max.max(1_024));
         let shared: SharedCfg = SharedCfg::new("callers").add(config).into();
-        Connection { io, codec: Codec::new(0, shared.get()), closes: false }
+        Connection { io, codec: Codec::new(0, shared.get()), closes_after_answer: false }
     }
 
     /// Waits for a request.
@@ -165,12 +165,12 @@
 
     /// Marks the next answer as the last one on the connection.
     pub fn close_after_next_answer(&mut self) {
-        self.closes = true;
+        self.closes_after_answer = true;
     }
 
     /// Returns whether another request may follow.
     pub fn can_continue(&self) -> bool {
-        !self.closes && self.codec.keepalive()
+        !self.closes_after_answer && self.codec.keepalive()
     }
 
     fn head(
@@ -185,7 +185,7 @@
                 response.headers_mut().append(name, value);
             }
         }
-        if self.closes {
+        if self.closes_after_answer {
             response.head_mut().set_connection_type(ntex::http::ConnectionType::Close);
         }
         self.io.encode(Message::Item((response, size)), &self.codec).map_err(|_| Disconnected)
--- a/crates/oliveworks-gateway/src/crashers.rs
+++ b/crates/oliveworks-gateway/src/crashers.rs
@@ -140,7 +140,7 @@
     }
 
     /// Records that a request ran to completion.
-    pub fn survived(&self, request: Fingerprint) {
+    pub fn record_completion(&self, request: Fingerprint) {
         self.crashers.borrow_mut().survived(self.now(), request);
     }
 
@@ -166,7 +166,7 @@
     }
 
     /// Waits until a request is convicted, and returns the end of the conviction.
-    async fn convicted(&self, request: Fingerprint) -> Millis {
+    async fn wait_for_conviction(&self, request: Fingerprint) -> Millis {
         loop {
             let news = self.convictions.notified();
             if let Standing::Convicted { until } = self.standing(request) {
@@ -177,8 +177,8 @@
     }
 
     /// Runs a future for a request unless the request is convicted first, in which case the future
-    /// is dropped and the end of the conviction returned. Dropping the future withdraws what was
-    /// sent, and a backend server that has not begun with the request continues to run.
+    /// is dropped and the end of the conviction returned. Dropping the future withdraws the sent
+    /// request, so that a backend server that has not begun to process the request survives.
     pub async fn unless_convicted<T>(
         &self,
         request: Fingerprint,
@@ -186,7 +186,7 @@
     ) -> Result<T, Millis> {
         tokio::select! {
             biased;
-            until = self.convicted(request) => Err(until),
+            until = self.wait_for_conviction(request) => Err(until),
             done = future => Ok(done),
         }
     }
--- a/crates/oliveworks-gateway/src/dialect.rs
+++ b/crates/oliveworks-gateway/src/dialect.rs
@@ -197,7 +197,7 @@
     pub not_run: bool,
     /// Whether the body is encoded, for which no caller asks.
     pub encoded: bool,
-    /// Whether the backend server announces to leave.
+    /// Whether the backend server announces that it is leaving.
     pub leaving: bool,
     /// Time after which this gateway may send again, in a rejection.
     pub retry_after: RetryAfter,
--- a/crates/oliveworks-gateway/src/heartbeat.rs
+++ b/crates/oliveworks-gateway/src/heartbeat.rs
@@ -64,7 +64,7 @@
     suspects: Vec<u64>,
     /// Groups that the sender observes as slow.
     slow: Vec<u64>,
-    /// Backend servers that announced to leave.
+    /// Backend servers that announced that they are leaving.
     leaving: Vec<Leaving>,
     /// Requests during which several backend servers ended in a row.
     crashers: Vec<Chain>,
--- a/crates/oliveworks-gateway/src/peers.rs
+++ b/crates/oliveworks-gateway/src/peers.rs
@@ -125,7 +125,7 @@
     }
     far.retain(|address| *address != gateway.settings.listen.peers);
     let known = heartbeat::domain_figures(gateway);
-    for (domain, addresses) in by_domain(gateway, &far) {
+    for (domain, addresses) in group_by_domain(gateway, &far) {
         let beat = match domain {
             Some(domain) => heartbeat::for_domain(gateway, &beat, &known, &domain),
             None => heartbeat::for_unknown_domain(&beat),
@@ -136,7 +136,7 @@
 }
 
 /// Groups addresses by the failure domain of their gateway; none if the failure domain is unknown.
-fn by_domain(
+fn group_by_domain(
     gateway: &Gateway,
     addresses: &[SocketAddr],
 ) -> BTreeMap<Option<String>, Vec<SocketAddr>> {
@@ -213,8 +213,8 @@
     if announced == held {
         confirm_table(gateway, heartbeat);
     }
-    // The sender may have learned of the newer table only recently and may lack it. The next datagram
-    // leads to another request.
+    // The sender may have learned of the newer table only recently and may lack it. The next
+    // heartbeat leads to another request.
     if announced > held && now >= gateway.ask_table_at.get() {
         gateway.ask_table_at.set(now + ASK_TABLE_MS);
         gateway.count("tables_asked");
--- a/crates/oliveworks-gateway/src/relay.rs
+++ b/crates/oliveworks-gateway/src/relay.rs
@@ -88,7 +88,7 @@
 }
 
 /// Answers with a verdict of the gateway itself.
-pub async fn refuse(
+pub async fn reject(
     gateway: &Gateway,
     connection: &mut Connection,
     id: &str,
@@ -127,21 +127,21 @@
     gateway.traffic.set(true);
     let asked = match gateway.dialect.asked(&request.headers) {
         Ok(asked) => asked,
-        Err(_) => return refuse(gateway, connection, "", Verdict::BadRequest, 0).await,
+        Err(_) => return reject(gateway, connection, "", Verdict::BadRequest, 0).await,
     };
     let id = asked.id.clone();
-    if gateway.refuses_new() {
+    if gateway.rejects_new() {
         connection.close_after_next_answer();
         Event::new("request")
             .with("request", id.as_str())
             .with("outcome", "refused: stopping")
             .write();
-        return refuse(gateway, connection, &id, Verdict::NotRun, RETRY_AFTER_STOPPING_MS).await;
+        return reject(gateway, connection, &id, Verdict::NotRun, RETRY_AFTER_STOPPING_MS).await;
     }
     let Some(lookup) = gateway.lookup() else {
-        return refuse(gateway, connection, &id, Verdict::NotRun, RETRY_AFTER_MS).await;
+        return reject(gateway, connection, &id, Verdict::NotRun, RETRY_AFTER_MS).await;
     };
-    let mut job = match job(gateway, &lookup, &request, asked) {
+    let mut job = match new_job(gateway, &lookup, &request, asked) {
         Ok(job) => job,
         Err(verdict) => {
             Event::new("request")
@@ -149,7 +149,7 @@
                 .debug("outcome", verdict)
                 .with("configuration", lookup.configuration.version)
                 .write();
-            return refuse(gateway, connection, &id, verdict, RETRY_AFTER_MS).await;
+            return reject(gateway, connection, &id, verdict, RETRY_AFTER_MS).await;
         }
     };
     let (end, outcome) = job.run(connection).await;
@@ -171,7 +171,7 @@
     end
 }
 
-fn job<'a>(
+fn new_job<'a>(
     gateway: &'a Gateway,
     lookup: &Lookup,
     request: &'a ReceivedRequest,
@@ -251,11 +251,11 @@
             let (gateway, fingerprint) = (self.gateway, self.fingerprint);
             let standing = gateway.standing(fingerprint);
             if gateway.is_tried_already(fingerprint) {
-                return self.refuse_copy(connection).await;
+                return self.reject_copy(connection).await;
             }
             let found = match gateway.unless_convicted(fingerprint, self.place(standing)).await {
                 Ok(found) => found,
-                Err(until) => return self.refuse_crasher(connection, until).await,
+                Err(until) => return self.reject_crasher(connection, until).await,
             };
             // Backend servers in a backoff exist and are not idle, so more of them may not help: a
             // lack of places for this reason does not count as unmet demand.
@@ -263,11 +263,11 @@
             self.note_demand(lacks_place);
             let place = match found {
                 Ok(place) => place,
-                Err(none) => return self.refuse_without_place(connection, &none).await,
+                Err(none) => return self.reject_without_place(connection, &none).await,
             };
             // A copy of the request may have been sent while this one waited for a place.
             if gateway.is_tried_already(fingerprint) {
-                return self.refuse_copy(connection).await;
+                return self.reject_copy(connection).await;
             }
             let repeat = self.attempts.next_is_repeat();
             if repeat && !self.consume_repeat() {
@@ -298,7 +298,7 @@
                 Ok(tried) => tried,
                 Err(until) => {
                     self.record_withdrawal(&place, sent_before);
-                    return self.refuse_crasher(connection, until).await;
+                    return self.reject_crasher(connection, until).await;
                 }
             };
             let (failure, gone) = match tried {
@@ -319,7 +319,7 @@
     }
 
     /// Rejects a request for which there is no place.
-    async fn refuse_without_place(
+    async fn reject_without_place(
         &mut self,
         connection: &mut Connection,
         none: &NoPlace,
@@ -423,7 +423,7 @@
             return (End::Torn, format!("torn: {verdict:?}"));
         }
         let id = self.asked.id.clone();
-        let end = refuse(self.gateway, connection, &id, verdict, retry_after_ms).await;
+        let end = reject(self.gateway, connection, &id, verdict, retry_after_ms).await;
         (end, format!("refused: {verdict:?}"))
     }
 }
--- a/crates/oliveworks-gateway/src/relay/attempt.rs
+++ b/crates/oliveworks-gateway/src/relay/attempt.rs
@@ -125,7 +125,7 @@
             {
                 // The target is not the head of the group, or its address belongs to another
                 // backend server. The leader finds out by a probe.
-                self.gateway.suspect(epoch);
+                self.gateway.report_stalled_group(epoch);
             }
             return failed;
         }
@@ -154,7 +154,7 @@
                 .debug("why", why)
                 .with("request", self.asked.id.as_str())
                 .write();
-            self.gateway.suspect(epoch);
+            self.gateway.report_stalled_group(epoch);
         }
     }
 
@@ -246,7 +246,7 @@
                 self.gateway.suspensions.borrow_mut().suspend(now, target);
             }
             self.gateway.record_unreachable(&place.server);
-            self.gateway.suspect(epoch);
+            self.gateway.report_stalled_group(epoch);
         }
     }
 
@@ -281,7 +281,7 @@
             Err(failure) => return AttemptOutcome::Failed { failure, gone: false },
         };
         if response.status().is_success() {
-            self.gateway.survived(self.fingerprint);
+            self.gateway.record_completion(self.fingerprint);
         }
         let status = StatusCode::from_u16(response.status().as_u16());
         let status = status.unwrap_or(StatusCode::BAD_GATEWAY);
@@ -347,7 +347,7 @@
         if !splitter.rest().is_empty() {
             return AttemptOutcome::Failed { failure: Failure::Lost, gone: false };
         }
-        self.gateway.survived(self.fingerprint);
+        self.gateway.record_completion(self.fingerprint);
         if !self.head_sent && self.forward(connection, &headers, &[]).await.is_err() {
             return AttemptOutcome::CallerGone;
         }
--- a/crates/oliveworks-gateway/src/relay/crashers.rs
+++ b/crates/oliveworks-gateway/src/relay/crashers.rs
@@ -14,7 +14,8 @@
 
 impl Job<'_> {
     /// Returns whether the backend server of a failed run has ended, in which case the run need not
-    /// count against the request. Returns false if several had already ended in earlier runs.
+    /// count against the request. Returns false if a backend server had already ended in an earlier
+    /// run of the same request.
     pub(super) async fn has_ended(&self, run: &FailedRun<'_>) -> bool {
         if self.gateway.now() >= self.deadline {
             return false;
@@ -42,7 +43,7 @@
 
     /// Rejects a copy of a request that may crash its backend server while another copy is being
     /// tried.
-    pub(super) async fn refuse_copy(&mut self, connection: &mut Connection) -> (End, String) {
+    pub(super) async fn reject_copy(&mut self, connection: &mut Connection) -> (End, String) {
         self.log.push("backend servers ended under the same request, which is being tried".into());
         self.gateway.count("refused_copies");
         let verdict = self.attempts.verdict(self.gateway.now());
@@ -54,7 +55,7 @@
     ///
     /// Rejected: a status for requests that can never succeed. The request may succeed once the
     /// server is fixed, and another server may handle the same request.
-    pub(super) async fn refuse_crasher(
+    pub(super) async fn reject_crasher(
         &mut self,
         connection: &mut Connection,
         until: Millis,
--- a/crates/oliveworks-gateway/src/slow_start.rs
+++ b/crates/oliveworks-gateway/src/slow_start.rs
@@ -140,12 +140,12 @@
     fn apply_evidence(
         &self,
         server: &BackendServerId,
-        doubt: impl FnOnce(&mut SlowStarts, Millis, Target) -> Option<Known>,
+        apply: impl FnOnce(&mut SlowStarts, Millis, Target) -> Option<Known>,
     ) {
         let now = self.now();
         let mut slow_starts = self.slow_starts.borrow_mut();
         let Some(slow_starts) = slow_starts.as_mut() else { return };
-        if let Some(known) = doubt(slow_starts, now, Target::of(server)) {
+        if let Some(known) = apply(slow_starts, now, Target::of(server)) {
             self.count("hosts_turned_cold");
             log_cold_host(server, now, known);
         }
--- a/crates/oliveworks-gateway/src/state.rs
+++ b/crates/oliveworks-gateway/src/state.rs
@@ -367,7 +367,7 @@
     /// Returns whether new requests are rejected. The platform then had time to send its callers to
     /// another gateway, and a request accepted now might not finish. Requests may still arrive if
     /// the failure domain has no other gateway.
-    pub fn refuses_new(&self) -> bool {
+    pub fn rejects_new(&self) -> bool {
         self.stop_began_at.get().is_some_and(|at| self.now() >= at + STOP_NOTICE_MS)
     }
 
--- a/crates/oliveworks-gateway/src/suspicions.rs
+++ b/crates/oliveworks-gateway/src/suspicions.rs
@@ -42,7 +42,7 @@
     }
 
     /// Reports a stalled group to the other gateways and the leader.
-    pub fn suspect(&self, epoch: u64) {
+    pub fn report_stalled_group(&self, epoch: u64) {
         let now = self.now();
         if self.suspects.borrow_mut().insert(epoch, now).is_none() {
             self.heartbeat_is_urgent.set(true);
