--- a/crates/oliveworks-gateway/src/connection.rs
+++ b/crates/oliveworks-gateway/src/connection.rs
@@ -1,4 +1,5 @@
-//! One connection with a caller: requests are read whole, answers are written as they come.
+//! A caller's connection: requests are read completely before they are handled, answers are written
+//! piece by piece.
 
 use std::time::Duration;
 
@@ -17,55 +18,56 @@
 use crate::dialect::Headers;
 use crate::state::{Gateway, STOP_NOTICE_MS};
 
-/// What bounds a connection before the first configuration has come.
+/// Limits on a connection before the first configuration has arrived, in bytes and ms.
 const HEAD_MAX: usize = 16 << 10;
 const BODY_MAX: usize = 4 << 20;
 const IDLE_MS: u64 = 15_000;
-/// The time that a body may take.
+/// Time allowed for receiving a body, in ms.
 const BODY_MS: u64 = 10_000;
-/// How much longer than promised a connection may rest, so that no request crosses its close.
+/// Time by which a connection may be idle beyond the configured timeout, in ms, so that no request
+/// arrives while the connection is being closed.
 const IDLE_EXTRA_MS: u64 = 2_000;
-/// The time in which the last bytes of a connection leave.
+/// Time allowed for sending the last bytes of a connection, in ms.
 const CLOSE_MS: u64 = 500;
 
-/// A request, read whole.
-pub struct Whole {
-    /// Its method.
+/// A request, read completely.
+pub struct ReceivedRequest {
+    /// Method of the request.
     pub method: Method,
-    /// Path and query, as they came.
+    /// Path and query, unchanged.
     pub target: String,
-    /// Its headers.
+    /// Headers of the request.
     pub headers: Headers,
-    /// Its body.
+    /// Body of the request.
     pub body: Bytes,
 }
 
-impl Whole {
-    /// A header's value.
+impl ReceivedRequest {
+    /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(n, _)| n == name);
         found.and_then(|(_, value)| std::str::from_utf8(value).ok())
     }
 }
 
-/// What came on a connection.
+/// Data received on a connection.
 pub enum Received {
     /// A request.
-    Request(Box<Whole>),
-    /// Something that is answered with a verdict, after which the connection ends.
-    Improper(Verdict),
-    /// Nothing more.
+    Request(Box<ReceivedRequest>),
+    /// An invalid request, which is answered with a verdict before the connection ends.
+    Invalid(Verdict),
+    /// End of the connection.
     End,
 }
 
-/// The connection ended while an answer was written.
-pub struct Gone;
+/// Error for a connection that ended while an answer was written.
+pub struct Disconnected;
 
-/// A connection with a caller.
+/// A connection to a caller.
 pub struct Connection {
     io: Io,
     codec: Codec,
-    closes: bool,
+    closes_after_answer: bool,
 }
 
 fn header(name: &str, value: &[u8]) -> Option<(HeaderName, HeaderValue)> {
@@ -79,13 +81,13 @@
 }
 
 impl Connection {
-    /// A connection that has just been accepted.
+    /// Creates the state of a connection that was just accepted.
     pub fn new(gateway: &Gateway, io: Io) -> Connection {
         let head_max =
             gateway.lookup().map_or(HEAD_MAX, |l| l.configuration.limits.max_header_bytes);
         let config = HttpServiceConfig::new().set_max_buf_size(head_max.max(1_024));
         let shared: SharedCfg = SharedCfg::new("callers").add(config).into();
-        Connection { io, codec: Codec::new(0, shared.get()), closes: false }
+        Connection { io, codec: Codec::new(0, shared.get()), closes_after_answer: false }
     }
 
     /// Waits for a request.
@@ -97,7 +99,7 @@
             let next = timeout(Duration::from_millis(idle_ms), self.io.recv(&self.codec));
             let stop = async {
                 let _ = stopping.wait_for(|stopping| *stopping).await;
-                // The platform needs a moment to send its new connections elsewhere.
+                // The platform needs a moment to send new connections to other gateways.
                 sleep(Duration::from_millis(STOP_NOTICE_MS)).await;
             };
             match select(next, stop).await {
@@ -108,7 +110,7 @@
         let (request, payload) = match message {
             Ok(Some(message)) => message,
             Ok(None) | Err(Either::Right(_)) => return Received::End,
-            Err(Either::Left(error)) => return Received::Improper(verdict_of(&error)),
+            Err(Either::Left(error)) => return Received::Invalid(verdict_of(&error)),
         };
         let body_max = limits.map_or(BODY_MAX, |limits| limits.max_body_bytes);
         let body = match self.body(&request, payload, body_max).await {
@@ -118,7 +120,12 @@
         let head = request.head();
         let target = head.uri.path_and_query().map_or("/", |path| path.as_str()).to_owned();
         let headers = headers_of(&request);
-        Received::Request(Box::new(Whole { method: head.method.clone(), target, headers, body }))
+        Received::Request(Box::new(ReceivedRequest {
+            method: head.method.clone(),
+            target,
+            headers,
+            body,
+        }))
     }
 
     async fn body(
@@ -130,7 +137,7 @@
         let decoder = match payload {
             PayloadType::None => return Ok(Bytes::new()),
             PayloadType::Payload(decoder) => decoder,
-            PayloadType::Stream(_) => return Err(Received::Improper(Verdict::BadRequest)),
+            PayloadType::Stream(_) => return Err(Received::Invalid(Verdict::BadRequest)),
         };
         if request.head().expect() {
             let _ = self.io.encode_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
@@ -140,81 +147,86 @@
             loop {
                 match self.io.recv(&decoder).await {
                     Ok(Some(PayloadItem::Chunk(chunk))) if body.len() + chunk.len() > max => {
-                        return Err(Received::Improper(Verdict::BodyTooLarge));
+                        return Err(Received::Invalid(Verdict::BodyTooLarge));
                     }
                     Ok(Some(PayloadItem::Chunk(chunk))) => body.extend_from_slice(&chunk),
                     Ok(Some(PayloadItem::Eof)) => return Ok(()),
                     Ok(None) | Err(Either::Right(_)) => return Err(Received::End),
-                    Err(Either::Left(_)) => return Err(Received::Improper(Verdict::BadRequest)),
+                    Err(Either::Left(_)) => return Err(Received::Invalid(Verdict::BadRequest)),
                 }
             }
         };
         match timeout(Duration::from_millis(BODY_MS), read).await {
             Ok(Ok(())) => Ok(body.into()),
             Ok(Err(received)) => Err(received),
-            Err(_) => Err(Received::Improper(Verdict::TooSlow)),
+            Err(_) => Err(Received::Invalid(Verdict::TooSlow)),
         }
     }
 
-    /// Says in the next answer that the connection ends with it.
-    pub fn closes(&mut self) {
-        self.closes = true;
+    /// Marks the next answer as the last one on the connection.
+    pub fn close_after_next_answer(&mut self) {
+        self.closes_after_answer = true;
     }
 
-    /// Whether another request may follow.
-    pub fn keeps(&self) -> bool {
-        !self.closes && self.codec.keepalive()
+    /// Returns whether another request may follow.
+    pub fn can_continue(&self) -> bool {
+        !self.closes_after_answer && self.codec.keepalive()
     }
 
-    fn head(&self, status: StatusCode, headers: &Headers, size: BodySize) -> Result<(), Gone> {
+    fn head(
+        &self,
+        status: StatusCode,
+        headers: &Headers,
+        size: BodySize,
+    ) -> Result<(), Disconnected> {
         let mut response = Response::build(status).finish().drop_body();
         for (name, value) in headers {
             if let Some((name, value)) = header(name, value) {
                 response.headers_mut().append(name, value);
             }
         }
-        if self.closes {
+        if self.closes_after_answer {
             response.head_mut().set_connection_type(ntex::http::ConnectionType::Close);
         }
-        self.io.encode(Message::Item((response, size)), &self.codec).map_err(|_| Gone)
+        self.io.encode(Message::Item((response, size)), &self.codec).map_err(|_| Disconnected)
     }
 
-    /// Writes a whole answer.
+    /// Writes a complete answer.
     ///
     /// # Errors
-    /// If the caller is gone.
+    /// Returns an error if the caller has disconnected.
     pub async fn answer(
         &mut self,
         status: StatusCode,
         headers: &[(String, Bytes)],
         body: Bytes,
-    ) -> Result<(), Gone> {
+    ) -> Result<(), Disconnected> {
         let size = BodySize::Sized(body.len() as u64);
         self.head(status, &headers.to_vec(), size)?;
         if !body.is_empty() {
             let chunk = ntex::util::Bytes::copy_from_slice(&body);
-            self.io.encode(Message::Chunk(Some(chunk)), &self.codec).map_err(|_| Gone)?;
+            self.io.encode(Message::Chunk(Some(chunk)), &self.codec).map_err(|_| Disconnected)?;
         }
-        self.io.flush(true).await.map_err(|_| Gone)
+        self.io.flush(true).await.map_err(|_| Disconnected)
     }
 
-    /// Begins an answer whose length is not known.
+    /// Begins an answer of unknown length.
     ///
     /// # Errors
-    /// If the caller is gone.
-    pub fn begin(&mut self, status: StatusCode, headers: &Headers) -> Result<(), Gone> {
+    /// Returns an error if the caller has disconnected.
+    pub fn begin(&mut self, status: StatusCode, headers: &Headers) -> Result<(), Disconnected> {
         self.head(status, headers, BodySize::Stream)
     }
 
     /// Writes a part of an answer.
     ///
     /// # Errors
-    /// If the caller is gone.
-    pub async fn part(&mut self, bytes: &[u8]) -> Result<(), Gone> {
+    /// Returns an error if the caller has disconnected.
+    pub async fn part(&mut self, bytes: &[u8]) -> Result<(), Disconnected> {
         let chunk = ntex::util::Bytes::copy_from_slice(bytes);
-        self.io.encode(Message::Chunk(Some(chunk)), &self.codec).map_err(|_| Gone)?;
+        self.io.encode(Message::Chunk(Some(chunk)), &self.codec).map_err(|_| Disconnected)?;
         if self.io.is_wr_backpressure() {
-            self.io.flush(false).await.map_err(|_| Gone)?;
+            self.io.flush(false).await.map_err(|_| Disconnected)?;
         }
         Ok(())
     }
@@ -222,24 +234,24 @@
     /// Ends an answer.
     ///
     /// # Errors
-    /// If the caller is gone.
-    pub async fn end(&mut self) -> Result<(), Gone> {
-        self.io.encode(Message::Chunk(None), &self.codec).map_err(|_| Gone)?;
-        self.io.flush(true).await.map_err(|_| Gone)
+    /// Returns an error if the caller has disconnected.
+    pub async fn end(&mut self) -> Result<(), Disconnected> {
+        self.io.encode(Message::Chunk(None), &self.codec).map_err(|_| Disconnected)?;
+        self.io.flush(true).await.map_err(|_| Disconnected)
     }
 
-    /// Waits until the caller is gone.
-    pub fn gone(&self) -> ntex::io::OnDisconnect {
+    /// Waits until the caller disconnects.
+    pub fn wait_for_disconnect(&self) -> ntex::io::OnDisconnect {
         self.io.on_disconnect()
     }
 
-    /// Ends the connection after what was written.
+    /// Closes the connection after the data written so far.
     pub async fn close(self) {
         let _ = timeout(Duration::from_millis(CLOSE_MS), self.io.shutdown()).await;
     }
 
-    /// Ends the connection so that no answer on it looks whole.
-    pub fn tear(self) {
+    /// Terminates the connection, so that an unfinished answer does not look complete.
+    pub fn abort(self) {
         self.io.get_ref().terminate();
     }
 }
--- a/crates/oliveworks-gateway/src/crashers.rs
+++ b/crates/oliveworks-gateway/src/crashers.rs
@@ -1,5 +1,5 @@
-//! Requests that crash the backend servers they run at: tells them apart, finds out whether a host ended under one,
-//! and tells the other gateways.
+//! Requests that crash the backend servers they run at: identifies them by fingerprint, finds out
+//! whether a host ended during one, and reports them to the other gateways.
 
 use oliveworks_gateway_core::Millis;
 use oliveworks_gateway_core::attempts::Failure;
@@ -7,16 +7,22 @@
 use oliveworks_gateway_core::crashers::{Chain, Fingerprint, Standing};
 use ring::digest::{Context, SHA256};
 
-use crate::connection::Whole;
+use crate::connection::ReceivedRequest;
 use crate::dialect::Asked;
 use crate::events::Event;
 use crate::exchange::{Exchange, NoConnection};
 use crate::places::Place;
 use crate::state::Gateway;
 
-/// What a request is: who asks for what, where. Not what differs from one try of it to the next, nor what only helps to place it
-/// (its service changes with the configuration and, where it is split, with the id of the try; parts of a prompt are hints).
-pub fn fingerprint(request: &Whole, asked: &Asked, workspace: Option<&str>) -> Fingerprint {
+/// Returns the fingerprint of a request, computed from who asks for what, and where. Values that
+/// differ between retries of the same request are left out, as are values that only influence
+/// placement: the service changes with the configuration and, where it is split, with the id of the
+/// try, and parts of a prompt are hints.
+pub fn fingerprint(
+    request: &ReceivedRequest,
+    asked: &Asked,
+    workspace: Option<&str>,
+) -> Fingerprint {
     let parts: [&[u8]; 6] = [
         request.header("host").unwrap_or_default().as_bytes(),
         workspace.unwrap_or_default().as_bytes(),
@@ -27,7 +33,8 @@
     ];
     let mut context = Context::new(&SHA256);
     for part in parts {
-        // With its length, so that no two requests are alike by where one part ends.
+        // The length is included so that two requests never become equal by a different split into
+        // parts.
         context.update(&(part.len() as u64).to_le_bytes());
         context.update(part);
     }
@@ -37,31 +44,32 @@
     Fingerprint(short)
 }
 
-/// The first bytes, for people.
-fn name(request: Fingerprint) -> String {
+/// Returns the first bytes of a fingerprint in hex, for log lines.
+fn short_name(request: Fingerprint) -> String {
     request.0[..6].iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// A run of a request that has failed.
+/// A failed run of a request.
 pub struct FailedRun<'a> {
-    /// Where it ran.
+    /// Place of the run.
     pub place: &'a Place,
-    /// When it was sent.
+    /// Time of the send.
     pub sent: Millis,
-    /// When its first event came, if one did.
+    /// Time of the first event, if any.
     pub first_event: Option<Millis>,
-    /// How it failed.
+    /// Kind of the failure.
     pub failure: Failure,
-    /// The id under which it was sent.
+    /// Request id of the run.
     pub id: &'a str,
 }
 
 impl Gateway {
-    /// Whether a run's backend server ended under it: its connection broke off, and then nothing listens there. One that
-    /// leaves ends as planned; one that answers anew, or is silent, was slow, cut off, or reset connections only.
-    pub async fn ended_under(&self, request: Fingerprint, run: &FailedRun<'_>) -> bool {
+    /// Returns whether the backend server of a run ended during it: the connection broke off, and
+    /// nothing listens at the address afterwards. A leaving server ends as planned. A server that
+    /// accepts connections again, or is silent, was slow, cut off, or only reset its connections.
+    pub async fn server_ended_during(&self, request: Fingerprint, run: &FailedRun<'_>) -> bool {
         let place = run.place;
-        if run.failure != Failure::Lost || place.leaves || self.leaves(&place.server) {
+        if run.failure != Failure::Lost || place.is_leaving || self.is_leaving(&place.server) {
             return false;
         }
         let within_ms = self.settings.requests.connect_ms;
@@ -78,32 +86,32 @@
         Event::new("host_ended_under_request")
             .with("host", &*place.server)
             .with("request", run.id)
-            .with("same_request", name(request))
+            .with("same_request", short_name(request))
             .with("ends_in_a_row", ends)
             .with("ends_needed", assessment.map(|known| known.needed))
             .with("shares_last_end", assessment.map(|known| known.shares_last_end))
             .with("ran_ms", now.saturating_sub(run.sent))
             .with("delivered_ms", delivered_ms)
             .write();
-        self.tell_of_crashers();
+        self.report_crashers();
         true
     }
 
-    /// Others hear at once of what has become known of a request.
-    fn tell_of_crashers(&self) {
-        self.note_convictions();
-        self.beat_is_urgent.set(true);
+    /// Reports at once to other gateways what has become known about a request.
+    fn report_crashers(&self) {
+        self.log_convictions();
+        self.heartbeat_is_urgent.set(true);
         self.send_now.notify_one();
     }
 
-    /// Says which requests have been convicted.
-    pub fn note_convictions(&self) {
+    /// Logs the requests that have been convicted.
+    pub fn log_convictions(&self) {
         let convicted = self.crashers.borrow_mut().take_new_convictions();
         for request in convicted {
             self.count("convicted_crashers");
             let assessment = self.crashers.borrow().assess(request);
             Event::new("crasher_convicted")
-                .with("same_request", name(request))
+                .with("same_request", short_name(request))
                 .with("ends_in_a_row", assessment.map(|known| known.ends))
                 .with("ends_needed", assessment.map(|known| known.needed))
                 .write();
@@ -111,54 +119,54 @@
         }
     }
 
-    /// How a request stands.
+    /// Returns the standing of a request.
     pub fn standing(&self, request: Fingerprint) -> Standing {
         if !self.settings.requests.refuse_crashers {
             return Standing::Clear;
         }
         let standing = self.crashers.borrow_mut().standing(self.now(), request);
-        self.note_convictions();
+        self.log_convictions();
         standing
     }
 
-    /// A request is not sent, since backend servers ended under it one after the other.
-    pub fn crasher_refused(&self, request: Fingerprint, id: &str, for_ms: u64) {
+    /// Logs the rejection of a request during which several backend servers ended in a row.
+    pub fn log_crasher_refusal(&self, request: Fingerprint, id: &str, for_ms: u64) {
         self.count("refused_crashers");
         Event::new("crasher_refused")
             .with("request", id)
-            .with("same_request", name(request))
+            .with("same_request", short_name(request))
             .with("for_ms", for_ms)
             .write();
     }
 
-    /// A request came to its end.
-    pub fn survived(&self, request: Fingerprint) {
+    /// Records that a request ran to completion.
+    pub fn record_completion(&self, request: Fingerprint) {
         self.crashers.borrow_mut().survived(self.now(), request);
     }
 
-    /// Another gateway told of backend servers that ended under a request.
-    pub fn crasher_told(&self, chain: Chain) {
+    /// Processes a report of another gateway on backend servers that ended during a request.
+    pub fn process_crasher_report(&self, chain: Chain) {
         let request = chain.request;
         if !self.crashers.borrow_mut().told(self.now(), chain) {
             return;
         }
-        self.tell_of_crashers();
+        self.report_crashers();
         let assessment = self.crashers.borrow().assess(request);
         Event::new("crasher_told")
-            .with("same_request", name(request))
+            .with("same_request", short_name(request))
             .with("ends_in_a_row", assessment.map_or(0, |known| known.ends))
             .write();
     }
 
-    /// What other gateways are to be told of requests under which backend servers ended.
-    pub fn crashers_told(&self) -> Vec<Chain> {
-        let told = self.crashers.borrow_mut().to_tell(self.now());
-        self.note_convictions();
-        told
+    /// Returns the reports for other gateways on requests during which backend servers ended.
+    pub fn crashers_to_report(&self) -> Vec<Chain> {
+        let reports = self.crashers.borrow_mut().to_tell(self.now());
+        self.log_convictions();
+        reports
     }
 
-    /// Waits until a request is convicted.
-    async fn convicted(&self, request: Fingerprint) -> Millis {
+    /// Waits until a request is convicted, and returns the end of the conviction.
+    async fn wait_for_conviction(&self, request: Fingerprint) -> Millis {
         loop {
             let news = self.convictions.notified();
             if let Standing::Convicted { until } = self.standing(request) {
@@ -168,27 +176,28 @@
         }
     }
 
-    /// Does something for a request unless it is convicted before: then what was sent is taken back, since a backend server
-    /// that has not begun with it goes on. Tells until when it is convicted.
+    /// Runs a future for a request unless the request is convicted first, in which case the future
+    /// is dropped and the end of the conviction returned. Dropping the future withdraws the sent
+    /// request, so that a backend server that has not begun to process the request survives.
     pub async fn unless_convicted<T>(
         &self,
         request: Fingerprint,
-        does: impl Future<Output = T>,
+        future: impl Future<Output = T>,
     ) -> Result<T, Millis> {
         tokio::select! {
             biased;
-            until = self.convicted(request) => Err(until),
-            done = does => Ok(done),
+            until = self.wait_for_conviction(request) => Err(until),
+            done = future => Ok(done),
         }
     }
 
-    /// Whether copies of a request wait for what a run of it tells.
+    /// Returns whether copies of a request wait for the outcome of one that is running.
     pub fn is_tried_already(&self, request: Fingerprint) -> bool {
         let is_off = !self.settings.requests.refuse_crashers;
         !is_off && self.crashers.borrow().is_tried_already(self.now(), request)
     }
 
-    /// A run of a request that is held suspect, for as long as it lasts.
+    /// Registers a run of a suspect request until the returned value is dropped.
     pub fn suspect_run(&self, request: Fingerprint, target: Target) -> Option<SuspectRun<'_>> {
         let standing = self.standing(request);
         if standing == Standing::Clear {
@@ -197,13 +206,13 @@
         let now = self.now();
         let others_wait = self.crashers.borrow_mut().placed(now, target, request, standing);
         if others_wait {
-            self.tell_of_crashers();
+            self.report_crashers();
         }
         Some(SuspectRun { gateway: self, request, target, standing })
     }
 }
 
-/// A run of a request that is held suspect.
+/// A registered run of a suspect request.
 pub struct SuspectRun<'a> {
     gateway: &'a Gateway,
     request: Fingerprint,
--- a/crates/oliveworks-gateway/src/exchange.rs
+++ b/crates/oliveworks-gateway/src/exchange.rs
@@ -1,12 +1,14 @@
-//! One connection to a backend server or the store, and what is said on it.
+//! HTTP/1 client connections to backend servers and the store.
 //!
-//! hyper's client and not ntex's: a backend server may send an answer that ends with its
-//! connection, whose body ntex's client drops, and its pool is out of our hands. The connection is
-//! driven by whoever waits on it, so dropping an exchange ends it at once.
+//! hyper's client is used instead of ntex's for two reasons: ntex's client drops the body of an
+//! answer that ends with its connection, as backend servers may send it, and its connection pool
+//! cannot be controlled. The connection is driven by the task that waits on it, so dropping an
+//! exchange ends it at once.
 //!
-//! One that is dropped before its answer is whole is reset, and not closed: what was sent and has not arrived, as
-//! behind a cut, would arrive when the cut heals, beside what was sent elsewhere in its place, and an order would be
-//! carried out long after it counted as unanswered.
+//! An exchange that is dropped before its answer is complete is reset rather than closed.
+//! Otherwise, data in transit during a network partition would arrive when the partition heals: a
+//! request would run in addition to its repeat at another server, and an order would be carried out
+//! long after it counted as unanswered.
 
 use std::fmt;
 use std::future::{Future, poll_fn};
@@ -28,32 +30,32 @@
 
 type Driver = http1::Connection<TokioIo<TcpStream>, Full<Bytes>>;
 
-/// Why no connection came up.
+/// Reason why no connection could be opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoConnection {
-    /// The address answers that nothing listens there.
+    /// The address rejects connections, since nothing listens there.
     Refused,
-    /// Nothing answers.
+    /// No response from the address.
     Silent,
 }
 
-/// Why there is no whole answer.
+/// Reason why there is no complete answer.
 #[derive(Debug)]
-pub enum Broken {
-    /// The connection ended, or what came is no answer.
+pub enum ExchangeError {
+    /// The connection ended, or the received data is not a valid answer.
     Connection(String),
-    /// The time is over.
+    /// The timeout expired.
     Late,
     /// The answer is too large.
     Large,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for ExchangeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Broken::Connection(why) => write!(f, "connection: {why}"),
-            Broken::Late => write!(f, "late"),
-            Broken::Large => write!(f, "too large"),
+            ExchangeError::Connection(why) => write!(f, "connection: {why}"),
+            ExchangeError::Late => write!(f, "late"),
+            ExchangeError::Large => write!(f, "too large"),
         }
     }
 }
@@ -62,30 +64,32 @@
 pub struct Exchange {
     sender: http1::SendRequest<Full<Bytes>>,
     driver: Option<Pin<Box<Driver>>>,
-    /// Whether something was sent whose answer is not whole.
-    awaits: bool,
+    /// Whether a request was sent whose answer is not complete.
+    awaits_answer: bool,
 }
 
 impl Drop for Exchange {
     fn drop(&mut self) {
-        let Some(driver) = self.driver.take().filter(|_| self.awaits) else { return };
+        let Some(driver) = self.driver.take().filter(|_| self.awaits_answer) else { return };
         let stream = Pin::into_inner(driver).into_parts().io.into_inner();
         if let Err(error) = stream.set_zero_linger() {
-            debug!("exchange: a connection is closed and not reset: {error}");
+            debug!(
+                "exchange: cannot set zero linger, so the connection is closed and not reset: {error}"
+            );
         }
     }
 }
 
-/// The status of a backend server that is not the one meant.
+/// Status of an answer from a backend server that is not the intended one.
 pub const MISDIRECTED: u16 = 421;
-/// The largest head of an answer, in bytes.
+/// Largest head of an answer, in bytes.
 const HEAD_MAX: usize = 64 << 10;
 
 impl Exchange {
     /// Opens a connection.
     ///
     /// # Errors
-    /// If none comes up in time.
+    /// Returns the reason if no connection can be opened in time.
     pub async fn open(address: SocketAddr, within_ms: u64) -> Result<Exchange, NoConnection> {
         let connecting = TcpStream::connect(address);
         let stream = match tokio::time::timeout(Duration::from_millis(within_ms), connecting).await
@@ -101,7 +105,7 @@
         builder.max_buf_size(HEAD_MAX);
         let handshake = builder.handshake(TokioIo::new(stream)).await;
         let (sender, driver) = handshake.map_err(|_| NoConnection::Silent)?;
-        Ok(Exchange { sender, driver: Some(Box::pin(driver)), awaits: false })
+        Ok(Exchange { sender, driver: Some(Box::pin(driver)), awaits_answer: false })
     }
 
     fn drive(&mut self, context: &mut Context<'_>) {
@@ -112,7 +116,7 @@
         }
     }
 
-    /// Whether another request can be sent on it.
+    /// Returns whether another request can be sent on the connection.
     pub async fn is_usable(&mut self) -> bool {
         poll_fn(|context| {
             self.drive(context);
@@ -125,26 +129,26 @@
     /// Sends a request and waits for the head of its answer.
     ///
     /// # Errors
-    /// If the connection ends or what comes is no answer.
+    /// Returns an error if the connection ends or the received data is not a valid answer.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
-    ) -> Result<Response<Incoming>, Broken> {
-        self.awaits = true;
+    ) -> Result<Response<Incoming>, ExchangeError> {
+        self.awaits_answer = true;
         let mut answer = Box::pin(self.sender.send_request(request));
         poll_fn(|context| {
             self.drive(context);
             answer.as_mut().poll(context)
         })
         .await
-        .map_err(|error| Broken::Connection(error.to_string()))
+        .map_err(|error| ExchangeError::Connection(error.to_string()))
     }
 
-    /// The next bytes of an answer's body; none at its end.
+    /// Returns the next bytes of an answer's body; none at its end.
     ///
     /// # Errors
-    /// If the body breaks off.
-    pub async fn next(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, Broken> {
+    /// Returns an error if the body breaks off.
+    pub async fn next(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, ExchangeError> {
         loop {
             let frame = poll_fn(|context| {
                 self.drive(context);
@@ -153,10 +157,10 @@
             .await;
             match frame {
                 None => {
-                    self.awaits = false;
+                    self.awaits_answer = false;
                     return Ok(None);
                 }
-                Some(Err(error)) => return Err(Broken::Connection(error.to_string())),
+                Some(Err(error)) => return Err(ExchangeError::Connection(error.to_string())),
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
                         return Ok(Some(data));
@@ -166,15 +170,19 @@
         }
     }
 
-    /// A whole body.
+    /// Returns a complete body.
     ///
     /// # Errors
-    /// If it breaks off or is larger than `max`.
-    pub async fn whole(&mut self, body: &mut Incoming, max: usize) -> Result<Bytes, Broken> {
+    /// Returns an error if the body breaks off or is larger than `max`.
+    pub async fn read_body(
+        &mut self,
+        body: &mut Incoming,
+        max: usize,
+    ) -> Result<Bytes, ExchangeError> {
         let mut all = Vec::new();
         while let Some(part) = self.next(body).await? {
             if all.len() + part.len() > max {
-                return Err(Broken::Large);
+                return Err(ExchangeError::Large);
             }
             all.extend_from_slice(&part);
         }
@@ -182,55 +190,56 @@
     }
 }
 
-/// The headers of an answer.
+/// Returns the headers of an answer.
 pub fn headers_of(response: &Response<Incoming>) -> Headers {
     let pairs = response.headers().iter();
     pairs.map(|(n, v)| (n.as_str().to_owned(), Bytes::copy_from_slice(v.as_bytes()))).collect()
 }
 
-/// A request out of a call to an address.
-fn request_of(call: &Call, address: SocketAddr) -> Result<Request<Full<Bytes>>, Broken> {
+/// Builds the HTTP request of a call.
+fn request_of(call: &Call, address: SocketAddr) -> Result<Request<Full<Bytes>>, ExchangeError> {
     let mut request = Request::builder().method(call.method).uri(&call.target);
     request = request.header("host", address.to_string());
     for (name, value) in &call.headers {
         request = request.header(*name, value);
     }
-    request.body(Full::new(call.body.clone())).map_err(|e| Broken::Connection(e.to_string()))
+    request.body(Full::new(call.body.clone())).map_err(|e| ExchangeError::Connection(e.to_string()))
 }
 
-/// The largest answer to a call of this system's own, in bytes.
+/// Largest answer to a call of this system itself, in bytes.
 const ANSWER_MAX: usize = 16 << 20;
 
-/// A whole answer to a call of this system's own.
+/// A complete answer to a call of this system itself.
 pub struct Reply {
-    /// Its status.
+    /// Status of the answer.
     pub status: u16,
-    /// Its headers.
+    /// Headers of the answer.
     pub headers: Headers,
-    /// Its body.
+    /// Body of the answer.
     pub body: Bytes,
 }
 
 /// Makes a call on an open connection.
 ///
 /// # Errors
-/// If no whole answer comes in time. The call may have been done nevertheless.
+/// Returns an error if no complete answer arrives in time. The call may have taken effect
+/// nevertheless.
 pub async fn call(
     exchange: &mut Exchange,
     address: SocketAddr,
     call: &Call,
     within_ms: u64,
-) -> Result<Reply, Broken> {
+) -> Result<Reply, ExchangeError> {
     let request = request_of(call, address)?;
     let answer = async {
         let mut response = exchange.send(request).await?;
         let status = response.status().as_u16();
         let headers = headers_of(&response);
-        let body = exchange.whole(response.body_mut(), ANSWER_MAX).await?;
+        let body = exchange.read_body(response.body_mut(), ANSWER_MAX).await?;
         Ok(Reply { status, headers, body })
     };
     match tokio::time::timeout(Duration::from_millis(within_ms), answer).await {
         Ok(answer) => answer,
-        Err(_) => Err(Broken::Late),
+        Err(_) => Err(ExchangeError::Late),
     }
 }
--- a/crates/oliveworks-gateway/src/peers.rs
+++ b/crates/oliveworks-gateway/src/peers.rs
@@ -1,7 +1,8 @@
-//! What gateways tell each other: datagrams, several a second, each complete in itself.
+//! Messages between gateways: datagrams, sent several times a second, each complete in itself.
 //!
-//! Datagrams and not QUIC connections: nothing here must arrive, a lost one is followed by the next,
-//! and no gateway may wait for another. What must hold is in the store or in fences.
+//! Datagrams are preferred to QUIC connections, since no delivery has to be guaranteed: a lost
+//! message is replaced by the next one, and no gateway may wait for another. All state that must be
+//! reliable is in the store or protected by fencing tokens.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,45 +19,46 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, timeout};
 
-use crate::heartbeat::{self, Beat, LeaderSeen};
+use crate::heartbeat::{self, Beat, LeaderHeartbeat};
 use crate::rate_limits::ToLimiter;
 use crate::state::Gateway;
 
-/// The time between two heartbeats.
-const BEAT_MS: u64 = 100;
-/// Silence after which a gateway is no longer told to others.
-pub const PEER_MS: u64 = 3_000;
-/// Silence after which a gateway is forgotten.
-const FORGET_MS: u64 = 60_000;
-/// The largest datagram.
+/// Time between two heartbeats, in ms.
+const HEARTBEAT_MS: u64 = 100;
+/// Silence after which a gateway is no longer named to others, in ms.
+pub const PEER_TIMEOUT_MS: u64 = 3_000;
+/// Silence after which a gateway is forgotten, in ms.
+const PEER_FORGET_MS: u64 = 60_000;
+/// Largest size of a datagram, in bytes.
 const DATAGRAM_MAX: usize = 60_000;
-/// The time between two questions for a newer table, in ms: the way there and back between failure
-/// domains, so that one loss costs little more than that.
+/// Time between two requests for a newer table, in ms: the round-trip time between failure domains,
+/// so that one lost message costs little more than one round trip.
 const ASK_TABLE_MS: u64 = 20;
-/// The same while parts of a whole table come, which take longer, in ms: a megabyte at 80 Mbit/s.
+/// The same while parts of a whole table are arriving, in ms. Their transfer takes longer: 1 MB at
+/// 80 Mbit/s.
 const ASK_WHOLE_MS: u64 = 100;
 
-/// What one gateway says to another.
+/// A message between two gateways.
 #[derive(Debug, Serialize, Deserialize)]
 enum Message {
-    /// What it sees, several times a second.
+    /// Heartbeat, sent several times a second.
     Beat(Box<Beat>),
-    /// A change of the table.
+    /// Change of the table.
     Change(Box<Change>),
-    /// Part of the whole table, for a gateway that is too far behind for changes.
+    /// Part of the whole table, for a gateway that has missed too many changes.
     Part(Box<Part>),
-    /// Asks for what is newer than the table that the sender holds.
+    /// Request for what is newer than the table held by the sender.
     AskTable(Version),
-    /// Asks the limiter of a backend server for a permit.
+    /// Request for a permit, sent to the limiter of a backend server.
     AskPermit(Question),
-    /// A limiter's answer.
+    /// Answer of a limiter.
     Permit(Answer),
-    /// Tells the limiter of a backend server of a call that could not wait for a permit.
+    /// Report to the limiter of a backend server that a call was made without waiting for a permit.
     Spent(Target),
 }
 
 impl Message {
-    /// The counter of the bytes that are sent in messages of this kind.
+    /// Returns the name of the counter of bytes sent in messages of this kind.
     fn bytes_counter(&self) -> &'static str {
         match self {
             Message::Beat(_) => "heartbeat_bytes",
@@ -67,7 +69,7 @@
     }
 }
 
-/// Where datagrams go: to gateways that are known, and to seeds that are not known yet.
+/// Returns the recipients of datagrams: the known gateways, and the seeds that are not known yet.
 fn recipients(gateway: &Gateway) -> Recipients {
     let own = gateway.settings.listen.peers;
     let peers = gateway.peers.borrow();
@@ -89,18 +91,18 @@
     let bytes = match postcard::to_stdvec(message) {
         Ok(bytes) => bytes,
         Err(error) => {
-            warn!("peers: a datagram cannot be written: {error}");
+            warn!("peers: cannot encode a datagram: {error}");
             return None;
         }
     };
     if bytes.len() > DATAGRAM_MAX {
-        warn!("peers: a datagram of {} bytes is too large", bytes.len());
+        warn!("peers: dropped a datagram of {} bytes, which exceeds the size limit", bytes.len());
         return None;
     }
     Some(bytes)
 }
 
-/// Sends a message; a datagram that does not leave is as good as one that is lost on its way.
+/// Sends a message. A datagram that cannot be sent is treated like one lost in transit.
 fn send_to(gateway: &Gateway, socket: &UdpSocket, message: &Message, addresses: &[SocketAddr]) {
     if addresses.is_empty() {
         return;
@@ -112,29 +114,29 @@
     }
 }
 
-fn send_beats(gateway: &Gateway, socket: &UdpSocket) {
+fn send_heartbeats(gateway: &Gateway, socket: &UdpSocket) {
     let Recipients { near, mut far } = recipients(gateway);
-    let beat = heartbeat::own(gateway);
-    // The leader acts on suspicions, so it hears of them first.
+    let beat = heartbeat::for_own_domain(gateway);
+    // The leader acts on suspicions and therefore receives them first.
     let leader = gateway.leader_address.get().filter(|_| beat.is_urgent());
     let unreached = |address: &SocketAddr| !near.contains(address) && !far.contains(address);
     if let Some(address) = leader.filter(unreached) {
         far.push(address);
     }
     far.retain(|address| *address != gateway.settings.listen.peers);
-    let known = heartbeat::known(gateway);
-    for (domain, addresses) in by_domain(gateway, &far) {
+    let known = heartbeat::domain_figures(gateway);
+    for (domain, addresses) in group_by_domain(gateway, &far) {
         let beat = match domain {
             Some(domain) => heartbeat::for_domain(gateway, &beat, &known, &domain),
-            None => heartbeat::for_stranger(&beat),
+            None => heartbeat::for_unknown_domain(&beat),
         };
         send_to(gateway, socket, &Message::Beat(Box::new(beat)), &addresses);
     }
     send_to(gateway, socket, &Message::Beat(Box::new(beat)), &near);
 }
 
-/// Addresses by the failure domain of the gateway there, if that is known.
-fn by_domain(
+/// Groups addresses by the failure domain of their gateway; none if the failure domain is unknown.
+fn group_by_domain(
     gateway: &Gateway,
     addresses: &[SocketAddr],
 ) -> BTreeMap<Option<String>, Vec<SocketAddr>> {
@@ -148,10 +150,11 @@
     found
 }
 
-/// Passes on changes of the table that are new here: a leader to all its recipients, others to their own
-/// failure domain if they came from another. So two copies of each go to a failure domain.
+/// Forwards changes of the table that are new here. The leader sends them to all its recipients,
+/// other gateways to their own failure domain if the changes came from another one. Each failure
+/// domain therefore receives two copies of a change.
 fn send_changes(gateway: &Gateway, socket: &UdpSocket) {
-    let changes = std::mem::take(&mut *gateway.changes_to_pass.borrow_mut());
+    let changes = std::mem::take(&mut *gateway.changes_to_forward.borrow_mut());
     if changes.is_empty() {
         return;
     }
@@ -164,7 +167,7 @@
     }
 }
 
-/// Says to limiters what is to be said.
+/// Sends the pending messages to limiters.
 fn send_to_limiters(gateway: &Gateway, socket: &UdpSocket) {
     for (limiter, message) in gateway.take_messages_to_limiters() {
         let message = match message {
@@ -175,54 +178,60 @@
     }
 }
 
-/// Sends heartbeats, and changes of the table and messages to limiters when there are some.
+/// Sends heartbeats, and pending changes of the table and messages to limiters.
 pub async fn send(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
     let mut beat_at = 0;
     loop {
         send_changes(&gateway, &socket);
         send_to_limiters(&gateway, &socket);
         let now = gateway.now();
-        if gateway.beat_is_urgent.take() || now >= beat_at + BEAT_MS {
+        if gateway.heartbeat_is_urgent.take() || now >= beat_at + HEARTBEAT_MS {
             beat_at = now;
-            send_beats(&gateway, &socket);
-            gateway.peers.borrow_mut().retain(|_, peer| now < peer.heard_at + FORGET_MS);
+            send_heartbeats(&gateway, &socket);
+            gateway.peers.borrow_mut().retain(|_, peer| now < peer.last_seen_at + PEER_FORGET_MS);
             gateway.demand.borrow_mut().retain(now);
         }
-        let pause = Duration::from_millis((beat_at + BEAT_MS).saturating_sub(gateway.now()));
+        let pause = Duration::from_millis((beat_at + HEARTBEAT_MS).saturating_sub(gateway.now()));
         let _ = timeout(pause, gateway.send_now.notified()).await;
     }
 }
 
-/// Takes a leader's heartbeat in, and asks for what its table has newer than the one held.
-fn hear_leader(gateway: &Gateway, socket: &UdpSocket, from: SocketAddr, leader: LeaderSeen) {
+/// Processes a heartbeat of the leader, and requests the newer part of the leader's table.
+fn process_leader_heartbeat(
+    gateway: &Gateway,
+    socket: &UdpSocket,
+    from: SocketAddr,
+    leader: LeaderHeartbeat,
+) {
     let now = gateway.now();
-    let LeaderSeen { heartbeat, address } = leader;
+    let LeaderHeartbeat { heartbeat, address } = leader;
     if gateway.election.borrow_mut().heard(now, heartbeat) {
         gateway.leader_address.set(Some(address));
     }
     let held = gateway.table.borrow().version();
-    let told = Version { fence: heartbeat.fence, number: heartbeat.table };
-    if told == held {
+    let announced = Version { fence: heartbeat.fence, number: heartbeat.table };
+    if announced == held {
         confirm_table(gateway, heartbeat);
     }
-    // A sender that has just heard of it may lack it too; the next datagram asks again.
-    if told > held && now >= gateway.ask_table_at.get() {
+    // The sender may have learned of the newer table only recently and may lack it. The next
+    // heartbeat leads to another request.
+    if announced > held && now >= gateway.ask_table_at.get() {
         gateway.ask_table_at.set(now + ASK_TABLE_MS);
         gateway.count("tables_asked");
         send_to(gateway, socket, &Message::AskTable(held), &[from]);
     }
 }
 
-/// The leader has just said that the table which is held here is its newest one.
+/// Records that the leader has confirmed the held table as its newest one.
 fn confirm_table(gateway: &Gateway, heartbeat: Heartbeat) {
     let newest = gateway.election.borrow().heartbeat();
     if newest.is_some_and(|newest| newest == heartbeat) {
-        gateway.table_heard_at.set(gateway.now());
+        gateway.table_confirmed_at.set(gateway.now());
     }
 }
 
 /// Answers a gateway that holds an older table.
-fn tell_table(gateway: &Gateway, socket: &UdpSocket, held: Version, to: SocketAddr) {
+fn send_table(gateway: &Gateway, socket: &UdpSocket, held: Version, to: SocketAddr) {
     let table = gateway.table.borrow();
     if table.version() <= held {
         return;
@@ -240,71 +249,74 @@
     }
 }
 
-/// Takes a change of the table in, and passes it on if it came from another failure domain. One that does not
-/// fit is left out: it is old, or one before it is missing, which the next heartbeat shows.
-fn take_change(gateway: &Gateway, from: SocketAddr, change: Change) {
+/// Applies a change of the table, and forwards it if it came from another failure domain. A change
+/// that does not fit is dropped: the change is old, or an earlier one is missing, which the next
+/// heartbeat reveals.
+fn apply_change(gateway: &Gateway, from: SocketAddr, change: Change) {
     if !gateway.change_table(change.clone()) {
         return;
     }
-    gateway.table_heard_at.set(gateway.now());
+    gateway.table_confirmed_at.set(gateway.now());
     let peers = gateway.peers.borrow();
     let sender = peers.values().find(|peer| peer.address == from);
-    let far = sender.is_none_or(|peer| peer.failure_domain != gateway.settings.failure_domain);
-    if far {
-        gateway.changes_to_pass.borrow_mut().push(change);
+    let is_remote =
+        sender.is_none_or(|peer| peer.failure_domain != gateway.settings.failure_domain);
+    if is_remote {
+        gateway.changes_to_forward.borrow_mut().push(change);
         gateway.send_now.notify_one();
     }
 }
 
-/// Takes part of a whole table in.
-fn take_part(gateway: &Gateway, part: Part) {
+/// Processes a part of a whole table.
+fn apply_part(gateway: &Gateway, part: Part) {
     gateway.ask_table_at.set(gateway.now() + ASK_WHOLE_MS);
     let Some(table) = gateway.table_parts.borrow_mut().take(part) else { return };
     if table.version() > gateway.table.borrow().version() {
         gateway.replace_table(table);
-        gateway.table_heard_at.set(gateway.now());
+        gateway.table_confirmed_at.set(gateway.now());
     }
 }
 
-fn take(gateway: &Gateway, socket: &UdpSocket, from: SocketAddr, message: Message) {
+fn process(gateway: &Gateway, socket: &UdpSocket, from: SocketAddr, message: Message) {
     match message {
         Message::Beat(beat) => {
-            if let Some(leader) = heartbeat::heard(gateway, from, *beat) {
-                hear_leader(gateway, socket, from, leader);
+            if let Some(leader) = heartbeat::process(gateway, from, *beat) {
+                process_leader_heartbeat(gateway, socket, from, leader);
             }
         }
-        Message::Change(change) => take_change(gateway, from, *change),
-        Message::Part(part) => take_part(gateway, *part),
-        Message::AskTable(held) => tell_table(gateway, socket, held, from),
+        Message::Change(change) => apply_change(gateway, from, *change),
+        Message::Part(part) => apply_part(gateway, *part),
+        Message::AskTable(held) => send_table(gateway, socket, held, from),
         Message::AskPermit(question) => {
             let answer = gateway.answer_permit(question);
             send_to(gateway, socket, &Message::Permit(answer), &[from]);
         }
         Message::Permit(answer) => gateway.permit_answered(answer),
-        Message::Spent(target) => gateway.call_made_elsewhere(target),
+        Message::Spent(target) => gateway.count_peer_call(target),
     }
 }
 
-/// Takes datagrams in.
+/// Receives and processes datagrams.
 pub async fn receive(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; DATAGRAM_MAX + 1];
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
-            sleep(Duration::from_millis(BEAT_MS)).await;
+            sleep(Duration::from_millis(HEARTBEAT_MS)).await;
             continue;
         };
         match postcard::from_bytes::<Message>(&buffer[..length]) {
-            Ok(message) => take(&gateway, &socket, from, message),
-            Err(error) => warn!("peers: a datagram of {from}: {error}"),
+            Ok(message) => process(&gateway, &socket, from, message),
+            Err(error) => warn!("peers: cannot decode a datagram from {from}: {error}"),
         }
     }
 }
 
-/// How many gateways come before this one when a new leader is needed: those that the store answers.
-pub fn rank(gateway: &Gateway) -> u64 {
+/// Returns the number of gateways that precede this one as candidates for the leadership. Only
+/// gateways that the store answers count.
+pub fn election_rank(gateway: &Gateway) -> u64 {
     let now = gateway.now();
     let peers = gateway.peers.borrow();
-    let young = peers.iter().filter(|(_, peer)| now < peer.heard_at + PEER_MS);
-    let able = young.filter(|(_, peer)| peer.store_answers);
-    able.filter(|(name, _)| **name < gateway.settings.node).count() as u64
+    let recent = peers.iter().filter(|(_, peer)| now < peer.last_seen_at + PEER_TIMEOUT_MS);
+    let candidates = recent.filter(|(_, peer)| peer.store_answers);
+    candidates.filter(|(name, _)| **name < gateway.settings.node).count() as u64
 }
--- a/crates/oliveworks-gateway/src/readiness.rs
+++ b/crates/oliveworks-gateway/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Tells the platform whether this process should be sent callers, and its figures.
+//! Readiness checks and metrics for the platform.
 
 use std::rc::Rc;
 
@@ -8,13 +8,13 @@
 use crate::connection::{Connection, Received};
 use crate::state::Gateway;
 
-/// Where figures are told.
+/// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// What the names of figures begin with.
+/// Prefix of the names of metrics.
 const FIGURES_PREFIX: &str = "oliveworks_gateway";
 
-/// Serves a connection of the platform's.
+/// Serves a connection of the platform.
 pub async fn serve(gateway: Rc<Gateway>, io: Io) {
     let mut connection = Connection::new(&gateway, io);
     while let Received::Request(request) = connection.receive(&gateway).await {
@@ -33,7 +33,7 @@
         if connection.answer(answer.0, &headers, answer.1.into()).await.is_err() {
             return;
         }
-        if !connection.keeps() {
+        if !connection.can_continue() {
             break;
         }
     }
@@ -43,7 +43,7 @@
 fn figures(gateway: &Gateway) -> String {
     let counters = gateway.counters.borrow();
     let drains = gateway.drains.borrow().failure_domains();
-    let open: u32 = drains.iter().map(|name| gateway.open_there(name)).sum();
+    let open: u32 = drains.iter().map(|name| gateway.outstanding_in(name)).sum();
     let lookup = gateway.lookup();
     let version = lookup.map_or(0, |lookup| lookup.configuration.version);
     let proof_age_ms = gateway.freshness.get().age_ms(gateway.now());
--- a/crates/oliveworks-gateway/src/relay.rs
+++ b/crates/oliveworks-gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! Sees a request to its answer.
+//! Relays a request to backend servers until its caller has an answer.
 
 mod attempt;
 mod crashers;
@@ -18,80 +18,82 @@
 use oliveworks_gateway_core::obstacles::NoPlace;
 use oliveworks_gateway_core::timeliness::{Goal, Served, Timeliness};
 
-use attempt::Tried;
+use attempt::AttemptOutcome;
 
-use crate::connection::{Connection, Gone, Whole};
+use crate::connection::{Connection, Disconnected, ReceivedRequest};
 use crate::crashers::{FailedRun, fingerprint};
 use crate::dialect::{Asked, Headers};
 use crate::events::Event;
 use crate::places::Place;
 use crate::state::Gateway;
 
-/// What a request's deadline is if its caller names none.
+/// Deadline of a request whose caller names none, in ms, counted from its receipt.
 const DEADLINE_MS: u64 = 30_000;
-/// When a caller may come back.
-const COME_BACK_MS: u64 = 1_300;
-/// A random time on top, so that those who were refused together do not come back together.
-const COME_BACK_SPREAD_MS: u64 = 1_300;
-/// The same from a gateway that stops: others take callers, or it is back soon.
-const COME_BACK_STOPPING_MS: u64 = 200;
-/// The same when keys are not honoured for a while.
-const COME_BACK_STALE_MS: u64 = 1_000;
+/// Shortest time after which a rejected caller may retry, in ms.
+const RETRY_AFTER_MS: u64 = 1_300;
+/// Upper limit of the random time, in ms, added to the retry time. The jitter keeps callers that
+/// were rejected together from retrying together.
+const RETRY_AFTER_JITTER_MS: u64 = 1_300;
+/// Shortest retry time sent by a gateway that is stopping, in ms. The time is short because other
+/// gateways accept callers or this gateway is back soon.
+const RETRY_AFTER_STOPPING_MS: u64 = 200;
+/// Shortest retry time sent while the configuration is too old to honour keys, in ms.
+const RETRY_AFTER_STALE_MS: u64 = 1_000;
 
-/// How an answer ended.
+/// Outcome of writing an answer to a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// Whole: another request may follow.
+    /// The answer is complete, and another request may follow on the connection.
     Whole,
-    /// Broken off: the connection must end without looking whole.
+    /// The answer broke off. The connection must end without looking complete to the caller.
     Torn,
 }
 
-impl From<Gone> for End {
-    fn from(_: Gone) -> End {
+impl From<Disconnected> for End {
+    fn from(_: Disconnected) -> End {
         End::Torn
     }
 }
 
-/// A request that is seen to its answer.
+/// A request in flight.
 struct Job<'a> {
     gateway: &'a Gateway,
-    request: &'a Whole,
+    request: &'a ReceivedRequest,
     asked: Asked,
     route: Route,
     service: String,
-    /// The model, if replica groups serve it.
+    /// Requested model, if the service serves models by replica groups.
     model: Option<String>,
-    /// The longest pass of a replica group of the model.
+    /// Duration of the longest pass of a replica group of the model, in ms; 0 if unknown.
     pass_ms: u64,
     workspace: Option<String>,
-    /// Regions that the workspace's requests may be served in; empty if any may serve them.
+    /// Regions that may serve requests of the workspace; empty if there is no restriction.
     workspace_regions: Vec<String>,
     priority: Option<u8>,
     received: Millis,
     deadline: Millis,
-    /// What is sent, told apart from other requests.
+    /// Fingerprint of the request's content, equal for all copies of the same request.
     fingerprint: Fingerprint,
     attempts: Attempts,
-    tried: Vec<Target>,
-    /// What the caller has of the stream.
+    tried_targets: Vec<Target>,
+    /// Position in the event stream up to which the caller has received events.
     progress: Progress,
-    /// Whether the caller has the head of a stream.
-    begun: bool,
-    /// How its answer comes about.
+    /// Whether the head of a streamed answer was sent to the caller.
+    head_sent: bool,
+    /// Facts about the answer's timeliness, such as delays and number of sends.
     served: Served,
-    /// The leader's table by which it was sent: fence and number.
+    /// Fence and number of the leader's table that the last send was based on.
     table: (u64, u64),
     log: Vec<String>,
 }
 
-/// Answers with a verdict of this system's own.
-pub async fn refuse(
+/// Answers with a verdict of the gateway itself.
+pub async fn reject(
     gateway: &Gateway,
     connection: &mut Connection,
     id: &str,
     verdict: Verdict,
-    come_back_ms: u64,
+    retry_after_ms: u64,
 ) -> End {
     let answer = verdict.answer();
     gateway.count(answer.code);
@@ -101,8 +103,9 @@
         headers.push((name, value.into()));
     }
     if answer.come_back {
-        let (name, value) =
-            gateway.dialect.come_back(come_back_ms + rand::random_range(0..COME_BACK_SPREAD_MS));
+        let (name, value) = gateway
+            .dialect
+            .come_back(retry_after_ms + rand::random_range(0..RETRY_AFTER_JITTER_MS));
         headers.push((name, value.into()));
     }
     headers.push(("content-type".into(), "application/json".into()));
@@ -114,27 +117,31 @@
     }
 }
 
-/// Sees a request to its answer.
-pub async fn handle(gateway: &Rc<Gateway>, connection: &mut Connection, request: Whole) -> End {
+/// Relays a request to backend servers and returns how writing its answer ended.
+pub async fn handle(
+    gateway: &Rc<Gateway>,
+    connection: &mut Connection,
+    request: ReceivedRequest,
+) -> End {
     gateway.count("requests");
     gateway.traffic.set(true);
     let asked = match gateway.dialect.asked(&request.headers) {
         Ok(asked) => asked,
-        Err(_) => return refuse(gateway, connection, "", Verdict::BadRequest, 0).await,
+        Err(_) => return reject(gateway, connection, "", Verdict::BadRequest, 0).await,
     };
     let id = asked.id.clone();
-    if gateway.refuses_new() {
-        connection.closes();
+    if gateway.rejects_new() {
+        connection.close_after_next_answer();
         Event::new("request")
             .with("request", id.as_str())
             .with("outcome", "refused: stopping")
             .write();
-        return refuse(gateway, connection, &id, Verdict::NotRun, COME_BACK_STOPPING_MS).await;
+        return reject(gateway, connection, &id, Verdict::NotRun, RETRY_AFTER_STOPPING_MS).await;
     }
     let Some(lookup) = gateway.lookup() else {
-        return refuse(gateway, connection, &id, Verdict::NotRun, COME_BACK_MS).await;
+        return reject(gateway, connection, &id, Verdict::NotRun, RETRY_AFTER_MS).await;
     };
-    let mut job = match job(gateway, &lookup, &request, asked) {
+    let mut job = match new_job(gateway, &lookup, &request, asked) {
         Ok(job) => job,
         Err(verdict) => {
             Event::new("request")
@@ -142,7 +149,7 @@
                 .debug("outcome", verdict)
                 .with("configuration", lookup.configuration.version)
                 .write();
-            return refuse(gateway, connection, &id, verdict, COME_BACK_MS).await;
+            return reject(gateway, connection, &id, verdict, RETRY_AFTER_MS).await;
         }
     };
     let (end, outcome) = job.run(connection).await;
@@ -164,10 +171,10 @@
     end
 }
 
-fn job<'a>(
+fn new_job<'a>(
     gateway: &'a Gateway,
     lookup: &Lookup,
-    request: &'a Whole,
+    request: &'a ReceivedRequest,
     asked: Asked,
 ) -> Result<Job<'a>, Verdict> {
     let host = request.header("host").ok_or(Verdict::BadRequest)?;
@@ -212,8 +219,8 @@
         service,
         received,
         deadline,
-        tried: Vec::new(),
-        begun: false,
+        tried_targets: Vec::new(),
+        head_sent: false,
         served: Served { came_back, ..Served::default() },
         table: (0, 0),
         log: Vec::new(),
@@ -221,7 +228,7 @@
 }
 
 impl Job<'_> {
-    /// Whether what this gateway knows of keys is young enough.
+    /// Returns whether the proof that the configuration is current is recent enough to honour keys.
     fn may_send(&self) -> bool {
         let gateway = self.gateway;
         let freshness = gateway.freshness.get();
@@ -237,40 +244,41 @@
                     .give_up(
                         connection,
                         self.attempts.verdict(self.gateway.now()),
-                        COME_BACK_STALE_MS,
+                        RETRY_AFTER_STALE_MS,
                     )
                     .await;
             }
             let (gateway, fingerprint) = (self.gateway, self.fingerprint);
             let standing = gateway.standing(fingerprint);
             if gateway.is_tried_already(fingerprint) {
-                return self.refuse_copy(connection).await;
+                return self.reject_copy(connection).await;
             }
             let found = match gateway.unless_convicted(fingerprint, self.place(standing)).await {
                 Ok(found) => found,
-                Err(until) => return self.refuse_crasher(connection, until).await,
+                Err(until) => return self.reject_crasher(connection, until).await,
             };
-            // Hosts that ask to be left alone are there: more of them may not help, and they are not idle.
+            // Backend servers in a backoff exist and are not idle, so more of them may not help: a
+            // lack of places for this reason does not count as unmet demand.
             let lacks_place = found.as_ref().is_err_and(|none| none.reason != NoTarget::Backoff);
             self.note_demand(lacks_place);
             let place = match found {
                 Ok(place) => place,
-                Err(none) => return self.refuse_without_place(connection, &none).await,
+                Err(none) => return self.reject_without_place(connection, &none).await,
             };
-            // While it waited for a place a copy of it may have begun.
+            // A copy of the request may have been sent while this one waited for a place.
             if gateway.is_tried_already(fingerprint) {
-                return self.refuse_copy(connection).await;
+                return self.reject_copy(connection).await;
             }
             let repeat = self.attempts.next_is_repeat();
-            if repeat && !self.take_repeat() {
+            if repeat && !self.consume_repeat() {
                 self.log.push("no repeat left".into());
                 let verdict = self.attempts.verdict(self.gateway.now());
-                return self.give_up(connection, verdict, COME_BACK_MS).await;
+                return self.give_up(connection, verdict, RETRY_AFTER_MS).await;
             }
             let target = place.candidate.target;
             let tokens = self.asked.prompt_tokens;
             let now = self.begin_send(&place);
-            let mut open = Open {
+            let mut outstanding = OutstandingRequest {
                 gateway: self.gateway,
                 target,
                 tokens,
@@ -278,25 +286,25 @@
                 failed: false,
             };
             let suspect_run = gateway.suspect_run(fingerprint, target);
-            let choice = gateway.pending_send(target);
+            let pending_send = gateway.pending_send(target);
             let sent_before = self.attempts.sent();
-            let attempt = self.attempt(connection, &place, choice, &open.first_event);
+            let attempt = self.attempt(connection, &place, pending_send, &outstanding.first_event);
             let tried = gateway.unless_convicted(fingerprint, attempt).await;
-            open.failed = tried.as_ref().is_ok_and(|tried| self.is_to_blame(target, tried));
-            let first_event = open.first_event.get();
-            drop(open);
+            outstanding.failed = tried.as_ref().is_ok_and(|tried| self.is_penalized(target, tried));
+            let first_event = outstanding.first_event.get();
+            drop(outstanding);
             drop(suspect_run);
             let tried = match tried {
                 Ok(tried) => tried,
                 Err(until) => {
-                    self.take_back(&place, sent_before);
-                    return self.refuse_crasher(connection, until).await;
+                    self.record_withdrawal(&place, sent_before);
+                    return self.reject_crasher(connection, until).await;
                 }
             };
             let (failure, gone) = match tried {
-                Tried::Done => return (End::Whole, self.count_served().into()),
-                Tried::Left => return (End::Torn, "left".into()),
-                Tried::Failed { failure, gone } => (failure, gone),
+                AttemptOutcome::Completed => return (End::Whole, self.count_served().into()),
+                AttemptOutcome::CallerGone => return (End::Torn, "left".into()),
+                AttemptOutcome::Failed { failure, gone } => (failure, gone),
             };
             let id = &self.asked.id;
             let run = FailedRun { place: &place, sent: now, first_event, failure, id };
@@ -305,13 +313,13 @@
             self.log.push(format!("{} {failure:?} at {} ms", place.server, now - self.received));
             self.gateway.count(&format!("attempt_{failure:?}").to_lowercase());
             if let Next::GiveUp(verdict) = self.attempts.failed(now, failure, gone) {
-                return self.give_up(connection, verdict, COME_BACK_MS).await;
+                return self.give_up(connection, verdict, RETRY_AFTER_MS).await;
             }
         }
     }
 
-    /// Tells a caller that there is no place for its request.
-    async fn refuse_without_place(
+    /// Rejects a request for which there is no place.
+    async fn reject_without_place(
         &mut self,
         connection: &mut Connection,
         none: &NoPlace,
@@ -326,18 +334,18 @@
             NoTarget::Limited => "refused_limited",
         });
         let now = self.gateway.now();
-        let come_back_ms = match none.reason {
-            NoTarget::Backoff | NoTarget::Limited => none.known_ms(now).unwrap_or(COME_BACK_MS),
-            _ => COME_BACK_MS,
+        let retry_after_ms = match none.reason {
+            NoTarget::Backoff | NoTarget::Limited => none.known_ms(now).unwrap_or(RETRY_AFTER_MS),
+            _ => RETRY_AFTER_MS,
         };
-        self.give_up(connection, self.attempts.verdict(now), come_back_ms).await
+        self.give_up(connection, self.attempts.verdict(now), retry_after_ms).await
     }
 
-    /// Notes where the request goes, for the choices of others and for people; tells when.
+    /// Records the send in the load counts and in the log, and returns its time.
     fn begin_send(&mut self, place: &Place) -> Millis {
         self.table = self.gateway.table_version();
         let (target, tokens) = (place.candidate.target, self.asked.prompt_tokens);
-        self.tried.push(target);
+        self.tried_targets.push(target);
         let now = self.gateway.now();
         if self.attempts.sent() == 0 {
             self.served.sent_after_ms = now - self.received;
@@ -356,20 +364,24 @@
         now
     }
 
-    /// Whether a target counts for less in the next choices, since an attempt there failed.
+    /// Returns whether a target gets a penalty in later choices because an attempt there failed.
+    ///
+    /// A refusal counts as well: a host that rejects its requests at once has nothing outstanding
+    /// and would attract the next ones. The penalty reduces refusals by 18 in 100 (4,726 instead of
+    /// 5,759 in three runs of a day on which a third of the hosts refuse), and the number of served
+    /// callers stays the same. A host that named a backoff time gets no penalty, since it is as
+    /// good as any other afterwards.
     ///
-    /// Also if it refused: a host that ends its requests at once holds nothing open and would draw the next ones. It
-    /// refuses 18 in 100 fewer for that (4,726 in place of 5,759 on three plays of a day on which a third of the hosts
-    /// refuse), and as many callers are served. Not if it is left alone for a time that it named: after that it is as good
-    /// as any. Rejected: to send one that names no time nothing for a while, doubled with each refusal in a row, since
-    /// what it does take is missed under load (0.79 of callers served in place of 0.81).
-    fn is_to_blame(&self, target: Target, tried: &Tried) -> bool {
-        let Tried::Failed { failure, .. } = tried else { return false };
+    /// Rejected: a backoff, doubled with each consecutive refusal, for hosts that name no time. The
+    /// system then lacks the capacity of these hosts under load (0.79 of callers served instead of
+    /// 0.81).
+    fn is_penalized(&self, target: Target, tried: &AttemptOutcome) -> bool {
+        let AttemptOutcome::Failed { failure, .. } = tried else { return false };
         let now = self.gateway.now();
         *failure != Failure::Refused || self.gateway.backoffs.borrow().until(now, target).is_none()
     }
 
-    /// Counts an answer by whether it came in time; returns the outcome for the log.
+    /// Counts an answer by its timeliness and returns the outcome for the log.
     fn count_served(&mut self) -> &'static str {
         let now = self.gateway.now();
         if self.served.first_after_ms == 0 {
@@ -387,14 +399,14 @@
         timeliness.outcome()
     }
 
-    /// Counts a request that looks for its first place, by its model.
+    /// Counts a request that looks for its first place, per model.
     fn note_demand(&self, refused: bool) {
         let Some(model) = self.model.as_ref().filter(|_| self.attempts.sent() == 0) else { return };
         let key = ModelKey::of(&self.service, model);
         self.gateway.demand.borrow_mut().looked(self.gateway.now(), key, refused);
     }
 
-    fn take_repeat(&self) -> bool {
+    fn consume_repeat(&self) -> bool {
         let now = self.gateway.now();
         let sharers = self.gateway.members.borrow().sharers(now);
         self.gateway.budget.borrow_mut().take(now, &self.service, sharers)
@@ -404,30 +416,30 @@
         &mut self,
         connection: &mut Connection,
         verdict: Verdict,
-        come_back_ms: u64,
+        retry_after_ms: u64,
     ) -> (End, String) {
-        if self.begun {
+        if self.head_sent {
             self.gateway.count("streams_torn");
             return (End::Torn, format!("torn: {verdict:?}"));
         }
         let id = self.asked.id.clone();
-        let end = refuse(self.gateway, connection, &id, verdict, come_back_ms).await;
+        let end = reject(self.gateway, connection, &id, verdict, retry_after_ms).await;
         (end, format!("refused: {verdict:?}"))
     }
 }
 
-/// Counts a request at its target, however its attempt ends.
-struct Open<'a> {
+/// Counts a request as outstanding at its target until dropped, however the attempt ends.
+struct OutstandingRequest<'a> {
     gateway: &'a Gateway,
     target: Target,
-    /// Tokens of its prompt.
+    /// Number of tokens in the prompt.
     tokens: u32,
-    /// When the first event came from there, if one did.
+    /// Time of the first event from the target, if any.
     first_event: Cell<Option<Millis>>,
     failed: bool,
 }
 
-impl Drop for Open<'_> {
+impl Drop for OutstandingRequest<'_> {
     fn drop(&mut self) {
         let now = self.gateway.now();
         let mut balance = self.gateway.balance.borrow_mut();
--- a/crates/oliveworks-gateway/src/relay/crashers.rs
+++ b/crates/oliveworks-gateway/src/relay/crashers.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request under which backend servers ended.
+//! Treatment of requests during which backend servers ended.
 
 use std::time::Duration;
 
@@ -7,30 +7,32 @@
 use oliveworks_gateway_core::crashers::SETTLED_MS;
 use tokio::time::sleep;
 
-use super::{COME_BACK_MS, End, Job};
+use super::{End, Job, RETRY_AFTER_MS};
 use crate::connection::Connection;
 use crate::crashers::FailedRun;
 use crate::places::Place;
 
 impl Job<'_> {
-    /// Whether the backend server of a run that failed has ended, so that the run need not count against the request: not
-    /// again if others had ended under it before.
+    /// Returns whether the backend server of a failed run has ended, in which case the run need not
+    /// count against the request. Returns false if a backend server had already ended in an earlier
+    /// run of the same request.
     pub(super) async fn has_ended(&self, run: &FailedRun<'_>) -> bool {
         if self.gateway.now() >= self.deadline {
             return false;
         }
         let gateway = self.gateway;
-        let ended = gateway.ended_under(self.fingerprint, run).await;
+        let ended = gateway.server_ended_during(self.fingerprint, run).await;
         if !ended || !gateway.standing(self.fingerprint).is_strong_suspect() {
             return ended;
         }
-        // Before it is sent on, those that ran beside it are heard of, and more of them may have ended elsewhere.
+        // Before the request is sent again, ends reported for requests that ran beside it are
+        // awaited, as well as further ends at other gateways.
         sleep(Duration::from_millis(SETTLED_MS)).await;
         false
     }
 
-    /// Notes that an attempt was taken back.
-    pub(super) fn take_back(&mut self, place: &Place, sent_before: u32) {
+    /// Records that an attempt was withdrawn.
+    pub(super) fn record_withdrawal(&mut self, place: &Place, sent_before: u32) {
         let now = self.gateway.now();
         self.log.push(format!("taken back from {} at {} ms", place.server, now - self.received));
         self.gateway.count("crashers_taken_back");
@@ -39,18 +41,21 @@
         self.attempts.failed(now, failure, false);
     }
 
-    /// Refuses a copy of a request that may crash its backend server, while another one is tried.
-    pub(super) async fn refuse_copy(&mut self, connection: &mut Connection) -> (End, String) {
+    /// Rejects a copy of a request that may crash its backend server while another copy is being
+    /// tried.
+    pub(super) async fn reject_copy(&mut self, connection: &mut Connection) -> (End, String) {
         self.log.push("backend servers ended under the same request, which is being tried".into());
         self.gateway.count("refused_copies");
         let verdict = self.attempts.verdict(self.gateway.now());
-        self.give_up(connection, verdict, COME_BACK_MS).await
+        self.give_up(connection, verdict, RETRY_AFTER_MS).await
     }
 
-    /// Refuses a request under which backend servers ended one after the other: this try has not run, and tells its
-    /// caller when one may. Rejected: a status for a request that is never right (it may be once the server is mended, and
-    /// it is the same request that another server may bear).
-    pub(super) async fn refuse_crasher(
+    /// Rejects a request during which several backend servers ended in a row. The answer says that
+    /// this try has not run and when the caller may retry.
+    ///
+    /// Rejected: a status for requests that can never succeed. The request may succeed once the
+    /// server is fixed, and another server may handle the same request.
+    pub(super) async fn reject_crasher(
         &mut self,
         connection: &mut Connection,
         until: Millis,
@@ -58,7 +63,7 @@
         self.log.push("backend servers ended under the same request".into());
         let now = self.gateway.now();
         let for_ms = until.saturating_sub(now);
-        self.gateway.crasher_refused(self.fingerprint, &self.asked.id, for_ms);
+        self.gateway.log_crasher_refusal(self.fingerprint, &self.asked.id, for_ms);
         let verdict = self.attempts.verdict(now);
         self.give_up(connection, verdict, for_ms).await
     }
--- a/crates/oliveworks-gateway/src/slow_start.rs
+++ b/crates/oliveworks-gateway/src/slow_start.rs
@@ -1,4 +1,5 @@
-//! Cold backend servers: takes in what tells of them, and tells of which this gateway's part is taken.
+//! Cold backend servers: processes evidence that a server is cold, and logs when this gateway's
+//! share of one is used up.
 
 use oliveworks_gateway_core::Millis;
 use oliveworks_gateway_core::backend_servers::{BackendServer, BackendServerId, Born};
@@ -12,10 +13,10 @@
 use crate::settings::Settings;
 use crate::state::Gateway;
 
-/// The time between two lines that a part is taken, in ms: refusals come by the hundred.
-const TELL_MS: u64 = 1_000;
+/// Time between two log lines on used-up shares, in ms, since rejections come by the hundred.
+const LOG_INTERVAL_MS: u64 = 1_000;
 
-/// Nothing is known yet; none if what cold backend servers are sent is not bound.
+/// Returns the initial state; none if the load on cold backend servers is not limited.
 pub fn slow_starts(settings: &Settings, now: Millis) -> Option<SlowStarts> {
     let bound = settings.bounds.slow_start?;
     let config = SlowStartConfig {
@@ -26,8 +27,8 @@
     Some(SlowStarts::new(config, now))
 }
 
-/// A line for a backend server that turns cold.
-fn tell(server: &BackendServerId, now: Millis, known: Known) {
+/// Logs a backend server that becomes cold.
+fn log_cold_host(server: &BackendServerId, now: Millis, known: Known) {
     Event::new("host_is_cold")
         .with("host", &**server)
         .with("for_ms", known.until.map(|until| until.saturating_sub(now)))
@@ -36,13 +37,14 @@
 }
 
 impl Gateway {
-    /// How the backend servers of a service begin, if that is bound.
+    /// Returns the ramp-up of the backend servers of a service, if it is limited.
     fn slow_start_of(&self, service: &str) -> Option<SlowStart> {
         self.lookup()?.service(service)?.slow_start
     }
 
-    /// Whether the backend servers of a service may begin slowly, and how, if that is known. What tells that one is cold may come
-    /// before the first configuration does, and is not told again.
+    /// Returns whether the backend servers of a service may have a limited ramp-up, and its
+    /// parameters if known. Evidence that a server is cold may arrive before the first
+    /// configuration and is not repeated.
     fn may_start_slowly(&self, service: &str) -> Option<Option<SlowStart>> {
         match self.lookup() {
             None => Some(None),
@@ -50,8 +52,8 @@
         }
     }
 
-    /// Takes in what a record says of how cold its backend server is.
-    pub fn take_cold(&self, server: &BackendServer, listed: Listed) {
+    /// Processes what a record says about its backend server being cold.
+    pub fn record_cold(&self, server: &BackendServer, listed: Listed) {
         let now = self.now();
         let mut slow_starts = self.slow_starts.borrow_mut();
         let Some(slow_starts) = slow_starts.as_mut() else { return };
@@ -60,109 +62,115 @@
         let target = Target::of(&server.id);
         if let Some(known) = slow_starts.record(now, target, lasts_ms, server.cold_ms, listed) {
             self.count("hosts_turned_cold");
-            tell(&server.id, now, known);
+            log_cold_host(&server.id, now, known);
         }
     }
 
-    /// A backend server's record for a gateway that takes the list over: as cold as it counts here.
-    pub fn as_cold_as_known(&self, server: &BackendServer) -> BackendServer {
-        let mut told = server.clone();
+    /// Returns the record of a backend server for a gateway that adopts the list, with the
+    /// remaining cold time known here.
+    pub fn with_known_cold_time(&self, server: &BackendServer) -> BackendServer {
+        let mut record = server.clone();
         if let (Some(terms), Some(slow_starts)) =
             (self.slow_start_of(&server.service), self.slow_starts.borrow().as_ref())
         {
             let cold_ms = slow_starts.told_ms(self.now(), Target::of(&server.id), terms.lasts_ms);
-            told.cold_ms = told.cold_ms.max(cold_ms);
+            record.cold_ms = record.cold_ms.max(cold_ms);
         }
-        told
+        record
     }
 
-    /// Whether a backend server is doubted: then a record that says what the one before it said is news.
+    /// Returns whether the state of any backend server is in doubt. A record that repeats its
+    /// predecessor then counts as news.
     pub fn doubts_any_host(&self) -> bool {
         let slow_starts = self.slow_starts.borrow();
         slow_starts.as_ref().is_some_and(|slow_starts| slow_starts.doubts_any(self.now()))
     }
 
-    /// A failure domain is drained no more: its backend servers may be cold.
-    pub fn drain_leaves_cold(&self, failure_domain: &str) {
+    /// Records the end of a drain: the backend servers of the failure domain may be cold.
+    pub fn mark_cold_after_drain(&self, failure_domain: &str) {
         let directory = self.directory.borrow();
         for server in directory.iter().filter(|s| s.failure_domain == failure_domain) {
             let Some(terms) = self.may_start_slowly(&server.service) else { continue };
-            self.doubt(&server.id, |slow_starts, now, target| {
+            self.apply_evidence(&server.id, |slow_starts, now, target| {
                 slow_starts.drain_ended(now, target, terms)
             });
         }
     }
 
-    /// A backend server is listed whose failure domain's drain has ended just before: its record may be from before
-    /// that. Those that were listed then are doubted with the end itself.
+    /// Processes the listing of a backend server whose failure domain's drain has just ended: its
+    /// record may be older than the end. Servers that were listed at the end are handled by the end
+    /// itself.
     pub fn doubt_after_drain(&self, server: &BackendServer) {
         let (now, lag_ms) = (self.now(), self.settings.record_lag_ms());
         if !self.drains.borrow().has_ended_within(now, &server.failure_domain, lag_ms) {
             return;
         }
         let Some(terms) = self.may_start_slowly(&server.service) else { return };
-        self.doubt(&server.id, |slow_starts, now, target| {
+        self.apply_evidence(&server.id, |slow_starts, now, target| {
             slow_starts.drain_ended(now, target, terms)
         });
     }
 
-    /// A backend server is not reached. If that lasts, it may come back cold.
+    /// Records that a backend server could not be reached. If that lasts, it may be cold
+    /// afterwards.
     ///
-    /// Rejected: taking each failed call for a loss (a host that missed one call would be sent few requests
-    /// for seconds, and callers refused beside it).
-    pub fn lose(&self, server: &str) {
+    /// Rejected: treating each failed call as a loss. A host that missed one call would be sent few
+    /// requests for seconds, and callers would be rejected meanwhile.
+    pub fn record_unreachable(&self, server: &str) {
         if !self.suspensions.borrow().is_lost(Target::of(server)) {
             return;
         }
         let directory = self.directory.borrow();
         let Some(server) = directory.get(server) else { return };
         if self.may_start_slowly(&server.service).is_some() {
-            self.doubt(&server.id, SlowStarts::lost);
+            self.apply_evidence(&server.id, SlowStarts::lost);
         }
     }
 
-    /// A backend server of a service has begun a life of which its record does not tell.
-    pub fn starts_again(&self, server: &str, service: &str, born: Born) {
+    /// Records that a backend server has begun a new incarnation that its record does not contain
+    /// yet.
+    pub fn record_restart(&self, server: &str, service: &str, born: Born) {
         let Some(terms) = self.may_start_slowly(service) else { return };
         let id: BackendServerId = server.into();
-        self.doubt(&id, |slow_starts, now, target| {
+        self.apply_evidence(&id, |slow_starts, now, target| {
             slow_starts.started_again(now, target, born, terms)
         });
     }
 
-    fn doubt(
+    fn apply_evidence(
         &self,
         server: &BackendServerId,
-        doubt: impl FnOnce(&mut SlowStarts, Millis, Target) -> Option<Known>,
+        apply: impl FnOnce(&mut SlowStarts, Millis, Target) -> Option<Known>,
     ) {
         let now = self.now();
         let mut slow_starts = self.slow_starts.borrow_mut();
         let Some(slow_starts) = slow_starts.as_mut() else { return };
-        if let Some(known) = doubt(slow_starts, now, Target::of(server)) {
+        if let Some(known) = apply(slow_starts, now, Target::of(server)) {
             self.count("hosts_turned_cold");
-            tell(server, now, known);
+            log_cold_host(server, now, known);
         }
     }
 
-    /// Something came from a backend server of a service.
-    pub fn reached(&self, service: &str, target: Target) {
+    /// Records that data has arrived from a backend server.
+    pub fn record_reached(&self, service: &str, target: Target) {
         let Some(terms) = self.slow_start_of(service) else { return };
         if let Some(slow_starts) = self.slow_starts.borrow_mut().as_mut() {
             slow_starts.heard(self.now(), target, terms);
         }
     }
 
-    /// What a backend server of a service bears, in requests a second, if it is cold.
+    /// Returns the request rate that a cold backend server can take, in requests per second; none
+    /// if it is not cold or not limited.
     ///
     /// # Errors
-    /// If this gateway has taken its part of it.
+    /// Returns an obstacle if this gateway has used up its share of the rate.
     pub fn cold_rate(&self, service: &str, target: Target) -> Result<Option<f64>, Obstacle> {
         let Some(terms) = self.slow_start_of(service) else { return Ok(None) };
         let mut slow_starts = self.slow_starts.borrow_mut();
         let Some(slow_starts) = slow_starts.as_mut() else { return Ok(None) };
         let members = self.members.borrow();
         let now = self.now();
-        slow_starts.store_heard(self.store_heard_at.get());
+        slow_starts.store_heard(self.store_answered_at.get());
         if !slow_starts.is_cold(now, target, terms, &members) {
             return Ok(None);
         }
@@ -171,17 +179,17 @@
             return Ok(Some(terms.requests_per_s));
         }
         let part_per_s = slow_starts.part(now, target, terms, &members);
-        self.part_is_taken(target, part_per_s, members.count());
+        self.log_used_up_share(target, part_per_s, members.count());
         Err(Obstacle::Cold { free_at })
     }
 
-    fn part_is_taken(&self, target: Target, part_per_s: u32, gateways: usize) {
+    fn log_used_up_share(&self, target: Target, part_per_s: u32, gateways: usize) {
         self.count("cold_parts_taken");
         let now = self.now();
-        if now < self.cold_told_at.get() + TELL_MS {
+        if now < self.cold_logged_at.get() + LOG_INTERVAL_MS {
             return;
         }
-        self.cold_told_at.set(now);
+        self.cold_logged_at.set(now);
         let directory = self.directory.borrow();
         let host = directory.iter().find(|server| Target::of(&server.id) == target);
         Event::new("cold_part_taken")
--- a/crates/oliveworks-gateway/src/suspicions.rs
+++ b/crates/oliveworks-gateway/src/suspicions.rs
@@ -1,15 +1,16 @@
-//! Replica groups that stand still or run slowly, as gateways see them.
+//! Replica groups that are stalled or slow, as observed by gateways.
 
 use oliveworks_gateway_core::balance::Target;
 use oliveworks_gateway_core::table::TableGroup;
 
 use crate::state::Gateway;
 
-/// How lately something must have come from a group for another's suspicion to be put aside.
-const JUST_HEARD_MS: u64 = 150;
+/// Longest age of the last data from a group, in ms, for which another gateway's suspicion is
+/// ignored.
+const RECENT_DATA_MS: u64 = 150;
 
 impl Gateway {
-    /// Groups that run much slower than others of their model, as this gateway sees them.
+    /// Returns the groups that this gateway observes to be much slower than others of their model.
     pub fn slow_groups(&self) -> Vec<u64> {
         let Some(lookup) = self.lookup() else { return Vec::new() };
         let now = self.now();
@@ -32,19 +33,19 @@
         slow
     }
 
-    /// A gateway sees a group running slowly.
-    pub fn runs_slowly(&self, epoch: u64) {
+    /// Processes the observation that a group is slow.
+    pub fn process_slow_group(&self, epoch: u64) {
         let now = self.now();
         for planner in self.planners.borrow_mut().values_mut() {
             planner.runs_slowly(now, epoch);
         }
     }
 
-    /// A group stands still: others and the leader are told.
-    pub fn suspect(&self, epoch: u64) {
+    /// Reports a stalled group to the other gateways and the leader.
+    pub fn report_stalled_group(&self, epoch: u64) {
         let now = self.now();
         if self.suspects.borrow_mut().insert(epoch, now).is_none() {
-            self.beat_is_urgent.set(true);
+            self.heartbeat_is_urgent.set(true);
             self.send_now.notify_one();
         }
         for planner in self.planners.borrow_mut().values_mut() {
@@ -52,19 +53,19 @@
         }
     }
 
-    /// Another gateway sees a group standing still: this one avoids it too, unless it just heard
-    /// from there itself.
-    pub fn suspected_by_another(&self, epoch: u64) {
+    /// Processes another gateway's suspicion of a stalled group: this gateway avoids the group too,
+    /// unless it has just received data from there.
+    pub fn process_suspicion(&self, epoch: u64) {
         let now = self.now();
         let table = self.table.borrow();
         let head = table.groups.iter().find(|group| group.epoch == epoch);
         if let Some(group) = head {
             let target = Target::of(&group.members[0]);
             let last = self.balance.borrow().last_progress(target);
-            let silent = last.is_none_or(|at| now > at + JUST_HEARD_MS);
+            let silent = last.is_none_or(|at| now > at + RECENT_DATA_MS);
             if silent && !self.suspensions.borrow().holds(now, target) {
                 self.suspensions.borrow_mut().suspend(now, target);
-                self.lose(&group.members[0]);
+                self.record_unreachable(&group.members[0]);
             }
         }
         drop(table);
