--- a/crates/oliveworks-gateway-core/src/demand.rs
+++ b/crates/oliveworks-gateway-core/src/demand.rs
@@ -1,9 +1,9 @@
-//! How many requests for each model find a place, as all gateways see it.
+//! Fraction of the requests for each model that find a slot, as observed by all gateways.
 //!
-//! The share of slots that is taken says how busy a model is up to the point at which it is full, and
-//! nothing beyond: a model that refuses one request of ten and one that refuses nine look alike. What
-//! is refused tells them apart. Rejected: working demand out from arrivals and the length of answers,
-//! which callers only guess.
+//! The fraction of occupied slots tells how busy a model is only up to the point at which all are
+//! occupied: a model that refuses one request of ten and one that refuses nine look alike. The
+//! fraction of refused requests distinguishes them. Rejected: computing the demand from arrivals
+//! and the length of answers, because callers only guess that length.
 
 use std::collections::HashMap;
 
@@ -14,23 +14,23 @@
 use crate::fan_out::Source;
 use crate::locality::CallersPart;
 
-/// A model of a service.
+/// Key of a model of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ModelKey(u64);
 
 impl ModelKey {
-    /// The key of a service's model.
+    /// Returns the key of a service's model.
     pub fn of(service: &str, model: &str) -> ModelKey {
         ModelKey(xxh3_64(format!("{service}\n{model}").as_bytes()))
     }
 }
 
-/// Requests that looked for a place lately; older ones weigh less.
+/// Recent requests that looked for a slot, weighted by age.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Looked {
-    /// All of them.
+    /// All of these requests.
     pub all: f64,
-    /// Those that found none and were refused.
+    /// Requests that found no slot and were refused.
     pub refused: f64,
 }
 
@@ -41,10 +41,10 @@
     }
 }
 
-/// The time in which the weight of a request halves, in ms: long enough to hold some tens of requests
-/// at a hundred a second, and short beside the 1.6 s in which a replica group is formed.
+/// Half-life of the weight of a request, in ms: long enough to hold some tens of requests at a
+/// hundred per second, and short compared with the 1.6 s in which a replica group is formed.
 const HALF_MS: f64 = 1_000.0;
-/// The longest that another gateway's figures are believed, in ms.
+/// Maximum age of another gateway's figures, in ms.
 const PEER_MS: u64 = 1_500;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -60,7 +60,7 @@
     }
 }
 
-/// What gateways know of the demand for models.
+/// Demand for models as known to this gateway.
 #[derive(Clone, Debug, Default)]
 pub struct Demand {
     own: HashMap<ModelKey, Fading>,
@@ -68,7 +68,8 @@
 }
 
 impl Demand {
-    /// A request of this gateway's looked for a place, and `refused` is whether it found none.
+    /// Records that a request at this gateway looked for a slot. `refused` is whether it found
+    /// none.
     pub fn looked(&mut self, now: Millis, model: ModelKey, refused: bool) {
         let fading = self.own.entry(model).or_default();
         let mut looked = fading.now(now);
@@ -77,17 +78,18 @@
         *fading = Fading { looked, at: now };
     }
 
-    /// What this gateway saw.
+    /// Returns the demand that this gateway observed.
     pub fn own(&self, now: Millis) -> impl Iterator<Item = (ModelKey, Looked)> {
         self.own.iter().map(move |(model, fading)| (*model, fading.now(now)))
     }
 
-    /// What another gateway, or those of another failure domain, saw.
+    /// Records the demand that another gateway, or the gateways of another failure domain,
+    /// observed.
     pub fn peer(&mut self, now: Millis, source: Source, looked: HashMap<ModelKey, Looked>) {
         self.peers.insert(source, (now, looked));
     }
 
-    /// What the gateways of this failure domain saw.
+    /// Returns the demand that the gateways of this failure domain observed.
     pub fn of_domain(&self, now: Millis) -> HashMap<ModelKey, Looked> {
         let mut sum: HashMap<ModelKey, Looked> = self.own(now).collect();
         let near = self.peers.iter().filter(|(source, _)| source.is_near());
@@ -111,19 +113,21 @@
         sum
     }
 
-    /// The part of a model's requests that found no place lately, 0 to 1; 0 if none came.
+    /// Returns the fraction of a model's recent requests that found no slot, from 0 to 1; 0 without
+    /// requests.
     pub fn refused_part(&self, now: Millis, model: ModelKey) -> f64 {
         let sum = self.looked_everywhere(now, model);
         if sum.all > 0.0 { sum.refused / sum.all } else { 0.0 }
     }
 
-    /// This gateway's part of a model's requests that came lately, of all and of its failure domain's.
+    /// Returns this gateway's fraction of a model's recent requests, of all and of those in its
+    /// failure domain.
     pub fn callers_part(&self, now: Millis, model: ModelKey) -> CallersPart {
         let own = self.own_looked(now, model).all;
         let everywhere = self.looked_everywhere(now, model);
         let all = everywhere.all;
         let domain = self.of_domain(now).get(&model).map_or(0.0, |looked| looked.all);
-        // Whoever has heard of no callers may be the only one who has some.
+        // A gateway that knows of no requests may be the only one that gets some.
         let part = |of: f64, whole: f64| if whole > 0.0 { of / whole } else { 1.0 };
         CallersPart {
             of_all: part(own, all),
@@ -133,7 +137,7 @@
         }
     }
 
-    /// Forgets other gateways that are no longer heard.
+    /// Removes the figures of other gateways that are too old.
     pub fn retain(&mut self, now: Millis) {
         self.peers.retain(|_, (at, _)| now < *at + PEER_MS);
     }
--- a/crates/oliveworks-gateway-core/src/planner.rs
+++ b/crates/oliveworks-gateway-core/src/planner.rs
@@ -1,31 +1,35 @@
-//! Which hosts form each replica group of a service, and every order that this takes.
+//! Forms the replica groups of a service from its hosts and issues the orders for that.
 //!
-//! A group is formed in steps: every member joins under a new epoch; once each is seen ready under
-//! that name and epoch, the head is told to open. A group that lost a member is taken apart at the
-//! head first, so that no host joins a group while the head of its old one may serve. If the head
-//! itself is silent, every member is told to leave before it joins another group; a head that lives
-//! on, unseen, then stands still and breaks by itself.
+//! A group is formed in steps. Every member joins under a new epoch. Once every member reports that
+//! it is ready under the group's name and epoch, the head is ordered to open. A group that lost a
+//! member is dissolved at its head first, so that no host joins a new group while the head of its
+//! old group may still serve. If the head itself does not answer, every member is ordered to leave
+//! before it joins another group. A head that still runs but cannot be reached then makes no
+//! progress and breaks up its group by itself.
 //!
-//! Spares hold a model without serving, so that a repair takes a moment and not a load. Loads are
-//! spread in time, below the weight store's rate.
+//! Spares hold a model without serving, so that a repair takes the time of an order and not of a
+//! load. Loads are spread over time and stay below the rate of the weight store.
 //!
 //! | module | decides |
 //! |---|---|
-//! | `adopt` | which groups of an earlier leader go on |
-//! | `anew` | what becomes of the group of a host that has started again |
+//! | `adopt` | which groups of an earlier leader continue |
+//! | `anew` | what happens to the group of a host that restarted |
 //! | `advance` | the next step of each group |
-//! | `allot`, `shortage` | which free hosts form new groups, and for which model hosts are kept |
-//! | `sooner` | what free hosts can serve before what is wanted of them |
+//! | `allot`, `shortage` | which free hosts form new groups, and which hosts are reserved |
+//! | `sooner` | what free hosts can serve earlier than the groups of their domain's quota |
 //! | `spares`, `stage` | what other hosts load, and keep in memory |
-//! | `yielding` | which groups end for others |
-//! | `parts`, `pressure` | the part of the hosts that each model should have |
+//! | `yielding` | which groups are preempted for others |
+//! | `parts`, `pressure` | the target share of the hosts for each model |
 //! | `spread` | over how many failure domains a model's groups are spread |
-//! | `ending` | whether a group that ends does so for certain |
-//! | `growth`, `outage` | whether a domain is coming back, or fell silent as a whole |
-//! | `drain` | what becomes of the hosts of a drained failure domain |
-//! | `heads` | which member heads a group |
-//! | `heard` | what is heard of hosts beside their answers |
-//! | `waiting`, `describe` | what people are told |
+//! | `ending` | whether a group that ends has certainly stopped serving |
+//! | `growth`, `outage` | whether a domain is returning, or stopped answering as a whole |
+//! | `drain` | what happens to the hosts of a drained failure domain |
+//! | `heads` | which member is the head of a group |
+//! | `heard` | what is known about hosts from sources other than their answers |
+//! | `waiting`, `describe` | what is reported to operators |
+//!
+//! A domain without further qualification is a fabric domain: all members of a group are in the
+//! same one. Failure domains are always named as such.
 
 mod adopt;
 mod advance;
@@ -70,67 +74,70 @@
 pub use waiting::WaitingHosts;
 use waiting::Waits;
 
-/// Epochs that one fence has room for.
+/// Number of epochs per fence: epochs of one leader are above `fence * EPOCHS_OF_FENCE`.
 const EPOCHS_OF_FENCE: u64 = 1_000_000;
-/// Ended groups that are told to others.
+/// Maximum number of ended groups that are reported to other gateways, the newest ones.
 const ENDED_TOLD: usize = 64;
-/// The part of all hosts, in hundredths, that is left out for being slow, at the most: slow groups
-/// are better than none.
+/// Maximum percentage of all hosts that is excluded for being slow. Slow groups are better than
+/// none.
 const SLOW_PERCENT_MAX: usize = 30;
-/// How long what domains can hold must have been the same before groups end for others.
+/// Time for which the capacities of the domains must have been unchanged before groups are
+/// preempted, in ms.
 const CALM_MS: u64 = 400;
-/// Loads that may begin at once.
+/// Maximum number of loads that may begin at once.
 const LOAD_BURST: f64 = 2.0;
-/// The part of the weight store's rate that is used: orders that are carried out late come on top.
+/// Fraction of the weight store's rate that is used. The rest is left for orders that are carried
+/// out late.
 const LOAD_RATE: f64 = 0.75;
-/// Loads before traffic beyond those that run at full speed, so that none has to wait to be told.
+/// Number of loads that are ordered before traffic in addition to those that run at full speed, so
+/// that no host idles until it receives its order.
 const LOADS_BEYOND: u32 = 5;
 
-/// The decisions on one service's groups, by the gateway that leads.
+/// Plans the replica groups of one service, on the gateway that leads.
 #[derive(Clone, Debug)]
 pub struct Planner {
     config: PlannerConfig,
-    /// The engine as it is configured.
+    /// Engine as it is configured.
     configured: Engine,
-    /// The same, where the shares of models are the parts of the hosts that they should have now.
+    /// Engine whose model shares are the current target shares of the hosts.
     engine: Engine,
-    /// What these parts follow.
+    /// Recent demand, from which the target shares are computed.
     parts: Parts,
     fence: u64,
     epochs: u64,
     hosts: BTreeMap<BackendServerId, Host>,
     groups: BTreeMap<u64, Group>,
-    /// Epochs of groups that serve no more for certain: their members are free.
+    /// Epochs of groups that have certainly stopped serving. Their members are free.
     ended: BTreeSet<u64>,
-    /// Groups that ended since that was last told.
+    /// Groups that ended and have not been reported yet.
     endings: Vec<Ending>,
     load_tokens: f64,
     load_tokens_at: Millis,
-    /// The most hosts that each domain had.
+    /// Largest number of hosts that each domain ever had.
     most_hosts: BTreeMap<String, usize>,
-    /// The hosts that each domain got last.
+    /// Most recent burst of new hosts in each domain.
     growth: BTreeMap<String, Growth>,
-    /// Hosts of each domain that fell silent together.
+    /// Hosts of each domain that stopped answering at about the same time.
     outages: Outages,
-    /// Free hosts that wait beside a model which refuses callers.
+    /// Free hosts that wait while a model that they could serve refuses requests.
     waits: Waits,
-    /// How many full groups each model's callers would fill.
+    /// Demand for each model, as the number of groups that its requests would fill.
     demand: BTreeMap<String, Demand>,
-    /// What the domains can hold, and the groups that they should hold for it.
+    /// Capacity of each domain, and the groups that each domain should hold for it.
     rooms: BTreeMap<String, Room>,
     quotas: Quotas,
-    /// The quotas of each domain from when it last had as many hosts as ever.
+    /// Quotas of each domain when it last had its largest number of hosts.
     quotas_when_whole: Quotas,
-    /// When the quotas last changed.
+    /// Time at which the quotas last changed.
     quotas_at: Millis,
-    /// How many failure domains may be lost at once.
+    /// Number of failure domains that may be lost at once.
     tolerance: usize,
-    /// Whether callers have been served, from which time on loads are slow and counted.
+    /// Whether requests have been served. From then on loads are slow and limited.
     traffic: bool,
 }
 
 impl Planner {
-    /// A planner that leads under `fence` and knows of no host yet.
+    /// Creates a planner that leads under `fence` and knows no hosts yet.
     pub fn new(config: PlannerConfig, engine: Engine, fence: u64, now: Millis) -> Planner {
         Planner {
             config,
@@ -159,12 +166,12 @@
         }
     }
 
-    /// The models of its service.
+    /// Returns the models of the service, with their current target shares.
     pub fn models(&self) -> &[Model] {
         &self.engine.models
     }
 
-    /// The part of the hosts that each model should have, 0 to 1.
+    /// Returns the target share of the hosts for each model, from 0 to 1.
     pub fn parts(&self) -> BTreeMap<String, f64> {
         let all: f64 = self.engine.models.iter().map(|model| model.share).sum();
         let part = |model: &Model| model.share / all.max(f64::MIN_POSITIVE);
@@ -172,12 +179,13 @@
         parts.collect()
     }
 
-    /// What a host was last known to hold.
+    /// Returns the last known models and membership of a host.
     pub fn holding(&self, id: &str) -> Option<&Holding> {
         self.hosts.get(id).map(|host| &host.holding)
     }
 
-    /// Hosts of a domain that live on in groups of a model which are being taken apart.
+    /// Returns the number of eligible hosts of a domain that are members of groups of the model
+    /// which are being dissolved.
     fn freed_soon(&self, domain: &str, model: &Model) -> usize {
         let groups = self.groups.values().filter(|group| group.model == model.name);
         let ending =
@@ -186,29 +194,30 @@
         hosts.filter(|host| host.is_fit() && host.server.domain == domain).count()
     }
 
-    /// Whether callers have been served at all.
+    /// Sets whether requests have been served.
     pub fn set_traffic(&mut self, traffic: bool) {
         self.traffic = traffic;
     }
 
-    /// Whether a domain has had the same hosts for a while, so that its cold ones may be dealt out.
+    /// Whether a domain has had the same hosts for a while, so that its cold hosts may be assigned.
     fn is_settled(&self, now: Millis, domain: &str) -> bool {
         let growth = self.growth.get(domain);
         growth.is_none_or(|growth| growth.is_settled(now, self.config.settle_ms))
     }
 
-    /// Whether a domain with so many living hosts is coming back from a loss, with more to be listed.
+    /// Whether a domain with `living` eligible hosts is returning from an outage and more of its
+    /// hosts are still to be listed.
     fn is_returning(&self, now: Millis, domain: &str, living: usize) -> bool {
         let most = self.most_hosts.get(domain).copied().unwrap_or_default();
         living < most && self.growth.get(domain).is_some_and(|growth| growth.is_return(now))
     }
 
-    /// The fence under which its orders go out.
+    /// Returns the fence under which orders are sent.
     pub fn fence(&self) -> u64 {
         self.fence
     }
 
-    /// Takes over the engine's figures of a newer configuration.
+    /// Applies the engine settings of a newer configuration.
     pub fn set_engine(&mut self, engine: &Engine) {
         if self.configured != *engine {
             self.configured = engine.clone();
@@ -217,7 +226,7 @@
         }
     }
 
-    /// Works out how many groups each domain should hold, if anything has changed.
+    /// Recomputes the number of groups that each domain should hold, if its inputs have changed.
     fn update_quotas(&mut self, now: Millis) {
         let rooms = domain::rooms(now, self);
         if rooms != self.rooms {
@@ -229,12 +238,12 @@
         self.keep_quotas_of_whole_domains(now);
     }
 
-    /// Keeps what is wanted of each domain while it has as many hosts as it ever had.
+    /// Records the quotas of each domain while it has its largest number of hosts.
     fn keep_quotas_of_whole_domains(&mut self, now: Millis) {
         for (domain, groups) in &self.quotas {
             let room = self.rooms.get(domain).map_or(0, |room| room.hosts + room.spares);
             let most = self.most_hosts.get(domain).copied().unwrap_or_default();
-            // One that is coming back is planned as if it were whole.
+            // The quotas of a returning domain are planned as if it were complete.
             let returns = self.growth.get(domain).is_some_and(|growth| growth.is_return(now));
             if room >= most && !returns && self.quotas_when_whole.get(domain) != Some(groups) {
                 self.quotas_when_whole.insert(domain.clone(), groups.clone());
@@ -242,22 +251,23 @@
         }
     }
 
-    /// Epochs of groups that have ended for certain, the newest ones.
+    /// Returns the newest epochs of groups that have certainly ended.
     pub fn ended(&self) -> impl Iterator<Item = u64> {
         self.ended.iter().rev().take(ENDED_TOLD).copied()
     }
 
-    /// Takes over what an earlier leader knew of ended groups.
+    /// Adds the epochs of ended groups that an earlier leader recorded.
     pub fn adopt_ended(&mut self, epochs: impl IntoIterator<Item = u64>) {
         self.ended.extend(epochs);
     }
 
-    /// The most hosts that each domain had, by which its spares shrink with losses.
+    /// Returns the largest number of hosts that each domain ever had. The spares of a domain shrink
+    /// by the hosts that it has lost since.
     pub fn most_hosts(&self) -> &BTreeMap<String, usize> {
         &self.most_hosts
     }
 
-    /// Takes over the most hosts that an earlier leader knew of.
+    /// Merges the largest numbers of hosts that an earlier leader recorded.
     pub fn adopt_most_hosts(&mut self, most: &BTreeMap<String, usize>) {
         for (domain, count) in most {
             let held = self.most_hosts.entry(domain.clone()).or_default();
@@ -265,7 +275,7 @@
         }
     }
 
-    /// A host is listed, or its record changed.
+    /// Handles a host that is listed, or whose record changed.
     pub fn listed(&mut self, now: Millis, server: &BackendServer) {
         let known = self.hosts.get(&server.id).map(Host::born);
         match self.hosts.get_mut(&server.id) {
@@ -280,7 +290,7 @@
         }
     }
 
-    /// A host has told its state.
+    /// Handles a state report of a host.
     pub fn reported(&mut self, now: Millis, id: &str, holding: &Holding) {
         let host = self.hosts.get(id).filter(|host| holding.is_of_later_life(host.born()));
         if let Some(server) = host.map(|host| host.server.clone()) {
@@ -301,7 +311,8 @@
         }
     }
 
-    /// A host did not answer. `refused` if its address answers that nothing listens there.
+    /// Handles a host that did not answer. `refused` is whether its address reported that nothing
+    /// listens there.
     pub fn silent(&mut self, now: Millis, id: &str, refused: bool) {
         let Some(host) = self.hosts.get_mut(id) else { return };
         let stood_still = host.suspected && !host.is_lost();
@@ -311,13 +322,13 @@
         }
     }
 
-    /// An order was answered.
+    /// Handles the outcome of an order.
     pub fn ordered(&mut self, now: Millis, id: &str, order: &Order, outcome: Outcome) {
         let Some(host) = self.hosts.get_mut(id) else { return };
         host.answered(now, order, outcome);
     }
 
-    /// Groups that serve.
+    /// Returns the groups that serve. Groups with a lost, leaving or drained member are left out.
     pub fn serving(&self, now: Millis) -> Vec<Serving> {
         let open = self.groups.values().filter(|group| group.serves(now));
         let whole = open.filter(|group| !self.is_hurt(group) && !self.is_drained(group));
@@ -332,13 +343,13 @@
             .collect()
     }
 
-    /// Whether a member is lost or leaving.
+    /// Whether a member of a group is lost or leaving.
     fn is_hurt(&self, group: &Group) -> bool {
         group.members.iter().any(|id| self.hosts.get(id).is_none_or(|host| !host.stays()))
     }
 
-    /// Whether a group has slow members and its domain has others for them: without, it serves on,
-    /// slowly.
+    /// Whether a group has slow members and its domain has enough others to replace them. Without
+    /// replacements the group continues to serve slowly.
     fn can_shed_slow(&self, group: &Group) -> bool {
         let members = group.members.iter().filter_map(|id| self.hosts.get(id));
         let slow: Vec<&Host> = members.filter(|host| host.is_slow()).collect();
@@ -353,13 +364,13 @@
         spare.count() >= slow.len()
     }
 
-    /// The pace of a group's slowest member.
+    /// Returns the pace of the slowest member of a group.
     fn pace(&self, group: &Group) -> f64 {
         let members = group.members.iter().filter_map(|id| self.hosts.get(id));
         members.map(Host::pace).fold(1.0, f64::max)
     }
 
-    /// Gateways see a group running much slower than others.
+    /// Handles the observation of gateways that a group runs much slower than others.
     pub fn runs_slowly(&mut self, now: Millis, epoch: u64) {
         let Some(group) = self.groups.get(&epoch) else { return };
         for member in &group.members {
@@ -369,14 +380,14 @@
         }
     }
 
-    /// Whether one more host can be done without for being slow.
+    /// Whether one more host may be excluded for being slow.
     fn may_be_slow(&self) -> bool {
         let staying = self.hosts.values().filter(|host| host.stays());
         let slow = staying.clone().filter(|host| host.is_slow()).count();
         (slow + 1) * 100 <= staying.count() * SLOW_PERCENT_MAX
     }
 
-    /// Decides what to do now.
+    /// Advances all groups, forms and preempts groups, and returns the commands to carry out now.
     pub fn tick(&mut self, now: Millis) -> Vec<Command> {
         self.refill_loads(now);
         let mut commands = Vec::new();
@@ -393,8 +404,8 @@
             let epoch = self.found(now, group);
             self.advance(now, epoch, &mut commands);
         }
-        // A domain that goes dark loses one host after the other: groups elsewhere do not end for what
-        // is wanted halfway.
+        // A domain that loses its power or network loses one host after the other. Groups in other
+        // domains are not preempted for quotas that are computed midway.
         let calm = now >= self.quotas_at + CALM_MS;
         if let Some(plan) = yielding::yielding(now, self).filter(|_| calm) {
             for epoch in plan.epochs {
@@ -414,7 +425,8 @@
         let passed = now.saturating_sub(self.load_tokens_at) as f64 / 1_000.0;
         self.load_tokens_at = now;
         if !self.traffic {
-            // Before traffic loads are short and free; only how many run at once matters.
+            // Before traffic, loads are short and do not count against the rate. Only the number of
+            // concurrent loads matters.
             let most = self.engine.loads_at_once + LOADS_BEYOND;
             self.load_tokens = f64::from(most) - self.loading() as f64;
             return;
@@ -423,14 +435,14 @@
         self.load_tokens = (self.load_tokens + passed * rate).min(LOAD_BURST);
     }
 
-    /// Begins a new group; returns its epoch.
+    /// Creates a new group and returns its epoch.
     fn found(&mut self, now: Millis, plan: allot::NewGroup) -> u64 {
         self.epochs += 1;
         let epoch = self.fence * EPOCHS_OF_FENCE + self.epochs;
         for member in &plan.members {
             let Some(host) = self.hosts.get_mut(member) else { continue };
             host.joined = None;
-            // The spare that it was, or the group that gives up its loads.
+            // The host was a spare, or a member of a group whose loads are abandoned.
             if let Some(old) = host.group {
                 self.dissolve(now, old, EndReason::HostsTaken);
             }
@@ -463,8 +475,8 @@
         self.engine.model(name)
     }
 
-    /// Makes every host that an earlier leader may still give orders to know this leader's fence, by
-    /// an order that holds already: to stage what it has staged.
+    /// Makes this leader's fence known to every host to which an earlier leader may still send
+    /// orders. The order changes nothing: it stages a model that the host already has in memory.
     fn show_fence(&mut self, now: Millis, commands: &mut Vec<Command>) {
         for host in self.hosts.values_mut().filter(|host| !host.knows_fence && host.stays()) {
             let Some(model) = host.holding.staging.first().cloned() else { continue };
@@ -474,11 +486,11 @@
         }
     }
 
-    /// Frees hosts that say they belong to a group that this leader does not lead.
+    /// Frees hosts that report membership in a group which this leader does not manage.
     ///
-    /// Each leaves for itself, whatever becomes of its head: the head may serve on, unseen, or open
-    /// late, but then without this member. Rejected: waiting until the head has left, which a late
-    /// join and a late order to open can undo.
+    /// Every member is ordered to leave by itself, whatever happens to its head. The head may still
+    /// serve unobserved or open late, but then without this member. Rejected: waiting until the
+    /// head has left, because a late join and a late order to open can undo that.
     fn free_strays(&mut self, now: Millis, commands: &mut Vec<Command>) {
         for host in self.hosts.values_mut() {
             let Some(member) = host.stray(&self.ended) else { continue };
@@ -489,13 +501,14 @@
         }
     }
 
-    /// Stages models with what the joins of this tick left of the loads.
+    /// Orders hosts to stage models, with the loads that the joins of this tick left over.
     fn stage(&mut self, now: Millis, commands: &mut Vec<Command>) {
         if self.waits_for_joins() || self.is_starting() {
             return;
         }
         let most = self.engine.loads_at_once as usize * self.config.staging_percent / 100;
-        // What one more load costs the others is little beside callers who are refused until it ends.
+        // The cost of one more load to the others is small compared with requests that are refused
+        // until the load ends.
         let only_urgent = self.traffic && self.loading() >= most;
         if only_urgent && !self.any_refuses() {
             return;
@@ -515,7 +528,7 @@
         }
     }
 
-    /// Whether members of new groups are still to be told to join.
+    /// Whether members of new groups have not accepted the order to join yet.
     fn waits_for_joins(&self) -> bool {
         self.groups.values().any(|group| {
             let unjoined = |id: &BackendServerId| {
@@ -525,16 +538,17 @@
         })
     }
 
-    /// Whether hosts still wait for their first model before there are callers: they are listed one after
-    /// the other, and what others stage meanwhile holds their loads up (25 of 57 hosts still loaded when
-    /// callers came, and 0.50 of the callers were served in place of 0.82).
+    /// Whether hosts still wait for their first model before there is traffic. Hosts are listed one
+    /// after the other, and models that others stage in the meantime delay their loads: 25 of 57
+    /// hosts were still loading when traffic began, and 0.50 instead of 0.82 of the requests were
+    /// served.
     fn is_starting(&self) -> bool {
         let fit = || self.hosts.values().filter(|host| host.is_fit());
         let joins = |group: &Group| group.phase == Phase::Joining;
         !self.traffic && (fit().any(|host| !host.held_any()) || self.groups.values().any(joins))
     }
 
-    /// Hosts that load something.
+    /// Returns the number of hosts that load a model.
     fn loading(&self) -> usize {
         self.hosts.values().filter(|host| host.stays() && host.is_loading()).count()
     }
@@ -560,7 +574,7 @@
         }
     }
 
-    /// Hosts that belong to more than one group; always empty.
+    /// Returns the hosts that belong to more than one group. The result is always empty.
     pub fn shared_hosts(&self) -> BTreeSet<BackendServerId> {
         let mut seen = BTreeSet::new();
         let members = self.groups.values().flat_map(|group| &group.members);
@@ -568,7 +582,7 @@
     }
 }
 
-/// One more host of a domain is listed, or answers again.
+/// Records that one more host of a domain is listed, or answers again.
 fn grow(growth: &mut BTreeMap<String, Growth>, now: Millis, domain: &str) {
     growth.entry(domain.to_owned()).or_insert_with(|| Growth::new(now)).add(now);
 }
--- a/crates/oliveworks-gateway-core/src/planner/adopt.rs
+++ b/crates/oliveworks-gateway-core/src/planner/adopt.rs
@@ -1,6 +1,6 @@
-//! What a new leader takes over of an earlier one's groups.
+//! Adoption of the groups of an earlier leader.
 //!
-//! Hosts say which group they belong to, and that is all there is to go by: no group is kept in the store.
+//! The only source is the membership that hosts report, since groups are not kept in the store.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,8 @@
 use crate::backend_servers::{BackendServerId, MemberState};
 
 impl Planner {
-    /// Takes over groups that an earlier leader formed, once every host was asked or heard of.
+    /// Adopts groups that an earlier leader formed. Called once every host was probed or its record
+    /// was read.
     pub fn adopt(&mut self, now: Millis) {
         for host in self.hosts.values_mut() {
             host.knows_fence = false;
@@ -23,7 +24,8 @@
             let row = (host.server.id.clone(), member.state, member.name.clone());
             found.entry(member.epoch).or_default().insert(member.rank, row);
         }
-        // What the earlier leader gave up must not come back: it may have dealt with the hosts.
+        // Groups that the earlier leader gave up must not be revived, because it may have assigned
+        // their hosts to other groups.
         found.retain(|epoch, _| !self.ended.contains(epoch));
         for (epoch, ranks) in found {
             self.adopt_group(now, epoch, &ranks);
--- a/crates/oliveworks-gateway-core/src/planner/advance.rs
+++ b/crates/oliveworks-gateway-core/src/planner/advance.rs
@@ -1,4 +1,4 @@
-//! What each group needs next, phase by phase.
+//! Advances each group through its phases.
 
 use super::ending::EndReason;
 use super::group::{Group, Phase};
@@ -6,14 +6,14 @@
 use super::{Command, Order, Planner};
 use crate::Millis;
 
-/// How much later than told a head may be open.
+/// Time by which a head may open later than the configured time, in ms.
 const FORM_MARGIN_MS: u64 = 100;
-/// Phases that a group may pass at once, so that a repair does not wait for the next look at each:
-/// three looks less.
+/// Maximum number of phases that a group may pass in one tick. A repair then takes up to three
+/// ticks less than with one phase per tick.
 const STEPS_MAX: usize = 4;
 
 impl Planner {
-    /// Takes a group as far as it can go now.
+    /// Advances a group as far as possible now.
     pub(super) fn advance(&mut self, now: Millis, epoch: u64, commands: &mut Vec<Command>) {
         for _ in 0..STEPS_MAX {
             let before = self.groups.get(&epoch).map(|group| group.phase);
@@ -50,7 +50,7 @@
         }
         if self.is_hurt(group) {
             match group.adopted {
-                // An earlier leader may have told the head to open.
+                // An earlier leader may have ordered the head to open.
                 true => self.set_phase(now, group.epoch, Phase::Breaking),
                 false => self.dissolve(now, group.epoch, EndReason::NeverOpened),
             }
@@ -76,7 +76,7 @@
                 continue;
             }
             if let Some(old) = host.belongs_elsewhere(group.epoch, &self.ended) {
-                // A late order has brought it back to its old group, whose head may serve.
+                // A late order has returned the host to its old group, whose head may serve.
                 if host.may_order(now) {
                     commands.push(host.order(now, old));
                 }
@@ -125,7 +125,8 @@
         let hosts = group.members.iter().filter_map(|id| self.hosts.get(id));
         let mut broken = hosts.clone().count() < group.members.len();
         let mut leaving = false;
-        // A slow member slows the whole group: its streams go on elsewhere sooner than they finish.
+        // A slow member slows the whole group: its streams resume on another group sooner than they
+        // would finish here.
         broken |= self.can_shed_slow(group);
         for host in hosts {
             broken |= host.is_lost() || host.is_astray(group.epoch);
@@ -150,7 +151,8 @@
         let form_ms = self.engine.form_ms;
         let Some(head) = self.hosts.get_mut(&group.members[0]) else { return };
         if now < head.opened_at + form_ms + FORM_MARGIN_MS {
-            // A head that still forms says that it is ready, and opens all the same.
+            // A head that is still forming its group reports that it is ready, and opens all the
+            // same.
             return;
         }
         if head.closed != Some(group.epoch) {
--- a/crates/oliveworks-gateway-core/src/planner/allot.rs
+++ b/crates/oliveworks-gateway-core/src/planner/allot.rs
@@ -1,7 +1,8 @@
-//! Which free hosts form which new groups.
+//! Assignment of free hosts to new groups.
 //!
-//! How many groups of each model every domain should hold is in [`quota`](crate::quota); what the other
-//! free hosts load is in [`spares`](super::spares).
+//! The number of groups of each model that every domain should hold is computed in
+//! [`quota`](crate::quota). The models that the remaining free hosts load are chosen in
+//! [`spares`](super::spares).
 
 use std::collections::BTreeMap;
 
@@ -29,10 +30,10 @@
     }
 }
 
-/// The groups to form now.
+/// Returns the groups to form now.
 pub(super) fn allot(now: Millis, planner: &Planner) -> Vec<NewGroup> {
     let mut domains = domains(now, planner);
-    // Hosts are still being listed, in one domain longer than in another.
+    // Hosts are still being listed, which takes longer in some domains than in others.
     let listing = !planner.traffic && domains.values().any(|domain| !domain.steady);
     let mut plans = form(planner, &mut domains, listing);
     if plans.is_empty()
@@ -49,9 +50,10 @@
     plans
 }
 
-/// Forms groups up to the quotas, the neediest model first, where there are fewest of it. While hosts
-/// are still being listed, what they make room for is not known yet, but for the largest model, whose
-/// groups take longest to form.
+/// Forms groups up to the quotas. The model with the fewest hosts for its share comes first, in the
+/// domain with the fewest groups of it. While hosts are still being listed, the capacity of the
+/// domains is not known yet. Only the largest model, whose groups take longest to form, gets groups
+/// then.
 fn form<'a>(
     planner: &'a Planner,
     domains: &mut BTreeMap<&str, Domain<'a>>,
@@ -80,7 +82,8 @@
     plans
 }
 
-/// A group for which some hosts give up their loads of another model, if one serves so much sooner.
+/// Returns a group for which some hosts abandon their loads of another model, if the group serves
+/// much sooner than the loads would end.
 fn give_up_loads(
     now: Millis,
     planner: &Planner,
@@ -102,7 +105,7 @@
     })
 }
 
-/// The hosts that a model has for its share.
+/// Returns the number of hosts of a model relative to its share.
 pub(super) fn need(model: &Model, domains: &BTreeMap<&str, Domain<'_>>) -> f64 {
     let groups: usize = domains.values().map(|domain| domain.count(model)).sum();
     per_weight(groups * model.size, model)
@@ -112,7 +115,8 @@
     open.iter().copied().min_by(|a, b| need(a, domains).total_cmp(&need(b, domains)))
 }
 
-/// Takes the free hosts of a domain that serve the model soonest, if it should have another group.
+/// Claims the free hosts of a domain that can serve the model soonest, if the domain should have
+/// another group of it.
 fn take<'a>(short: &Shortage<'a>, domain: &mut Domain<'a>, model: &Model) -> Option<Vec<&'a Host>> {
     let planner = short.planner;
     if domain.kept_for.is_some_and(|kept| kept != model.name) {
@@ -130,15 +134,16 @@
     let lacks = domain.lacks(planner, model) > 0;
     let may = match coldest {
         Warmth::Hot => lacks || planner.is_busy(model),
-        // Hosts that would wait for others serve a crowded model meanwhile; they yield when the group
-        // that they wait for can be formed.
+        // Hosts that would wait for others serve a crowded model in the meantime. Their group is
+        // preempted once the group that they wait for can be formed.
         Warmth::Staged => {
             lacks
                 || (planner.config.waiting_serve
                     && (short.comes_first(domain, model)
                         || sooner::serves_first(short, domain, model)))
         }
-        // Hosts that hold the model do not wait for one that loads it: that one loads as a spare.
+        // Hosts that hold the model do not wait for a host that must load it. That host loads it as
+        // a spare.
         Warmth::Cold => {
             let unused =
                 |host: &&Host| is_unused(planner, host) || warmth(host, model) < Warmth::Cold;
@@ -156,13 +161,14 @@
 }
 
 impl Domain<'_> {
-    /// Whether cold hosts may be dealt out: in traffic only once new ones have stopped coming.
+    /// Whether cold hosts may be assigned. During traffic they may be only once no new hosts
+    /// arrive.
     fn steady_or_listing(&self, planner: &Planner) -> bool {
         self.steady || !planner.traffic
     }
 }
 
-/// Whether a host holds no model at all.
+/// Whether a host has no model at all.
 fn is_unused(planner: &Planner, host: &Host) -> bool {
     !planner.engine.models.iter().any(|model| host.has(&model.name))
 }
--- a/crates/oliveworks-gateway-core/src/planner/anew.rs
+++ b/crates/oliveworks-gateway-core/src/planner/anew.rs
@@ -1,10 +1,12 @@
-//! Hosts that start again under the id that they had.
+//! Hosts that restart under their old id.
 //!
-//! Such a host holds no place in a group and knows nothing of orders, epochs and fences, while all that is known of
-//! it is from before. Its record may be the first sign, since nobody need have missed it: a host that is back
-//! within a heartbeat was never lost. A group with it as a member is hurt at once, and one that it headed serves no
-//! more for certain. Rejected: waiting until gateways see the group standing still (requests in its group hang until
-//! then, and a head that is alive and in no group counted as open for good).
+//! Such a host is a member of no group and knows no orders, epochs or fences, while everything
+//! known about it dates from before the restart. Its record may be the first sign of the restart,
+//! because the outage may have gone unnoticed: a host that returns within a heartbeat was never
+//! lost. A group with the host as a member is broken at once. A group of which it was the head has
+//! certainly stopped serving. Rejected: waiting until gateways observe no progress in the group,
+//! because requests in the group hang until then, and a head that is alive and in no group counted
+//! as open for good.
 
 use super::ending::EndReason;
 use super::group::{Group, Phase};
@@ -13,7 +15,7 @@
 use crate::backend_servers::BackendServer;
 
 impl Planner {
-    /// A host has started again; `server` is what is known of its new life.
+    /// Handles the restart of a host. `server` is the state of its new incarnation.
     pub(super) fn starts_anew(&mut self, now: Millis, server: &BackendServer) {
         let Some(host) = self.hosts.get_mut(&server.id) else { return };
         host.starts_anew(now, server);
@@ -27,7 +29,7 @@
 
     fn lost_a_member(&mut self, now: Millis, group: &Group, server: &BackendServer) {
         let opened = match group.phase {
-            // An earlier leader may have told the head to open.
+            // An earlier leader may have ordered the head to open.
             Phase::Joining => group.adopted,
             Phase::Spare => false,
             Phase::Opening | Phase::Open { .. } | Phase::Finishing | Phase::Breaking => true,
--- a/crates/oliveworks-gateway-core/src/planner/describe.rs
+++ b/crates/oliveworks-gateway-core/src/planner/describe.rs
@@ -1,4 +1,4 @@
-//! What the planner knows, in lines for people.
+//! Descriptions of the planner's state for operators.
 
 use std::collections::BTreeMap;
 
@@ -6,12 +6,13 @@
 use super::group::Group;
 
 impl Planner {
-    /// A line for each group, for people.
+    /// Returns a line for each group, for operators.
     pub fn describe(&self) -> Vec<String> {
         self.groups.values().map(Group::describe).collect()
     }
 
-    /// A line for each domain: what its hosts are doing, and the groups that it should hold.
+    /// Returns a line for each domain, with the state of its hosts and the groups that it should
+    /// hold.
     pub fn describe_domains(&self) -> Vec<String> {
         let mut domains: BTreeMap<&str, BTreeMap<String, usize>> = BTreeMap::new();
         for host in self.hosts.values() {
--- a/crates/oliveworks-gateway-core/src/planner/domain.rs
+++ b/crates/oliveworks-gateway-core/src/planner/domain.rs
@@ -1,4 +1,4 @@
-//! A fabric domain as the planner sees it when it deals out hosts.
+//! State of a fabric domain while hosts are assigned to groups.
 
 use std::collections::BTreeMap;
 
@@ -12,15 +12,15 @@
 /// How soon a host can serve a model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Warmth {
-    /// It held the model last.
+    /// The host held the model last.
     Hot,
-    /// Its host keeps the model.
+    /// The host has the model staged in memory.
     Staged,
-    /// It must load the model.
+    /// The host must load the model from the weight store.
     Cold,
 }
 
-/// How soon a host can serve a model.
+/// Returns how soon a host can serve a model.
 pub(super) fn warmth(host: &Host, model: &Model) -> Warmth {
     if host.held_last(&model.name) {
         return Warmth::Hot;
@@ -31,64 +31,65 @@
     }
 }
 
-/// A domain's hosts.
+/// Hosts and groups of a fabric domain.
 #[derive(Default)]
 pub(super) struct Domain<'a> {
     pub(super) name: &'a str,
-    /// Hosts that live.
+    /// Number of eligible hosts.
     pub(super) living: usize,
-    /// Hosts that may join something, among them spares.
+    /// Hosts that may join a group, including spares.
     pub(super) free: Vec<&'a Host>,
-    /// Groups by model, those that serve and those that are being formed.
+    /// Number of groups by model, including those that are being formed.
     pub(super) groups: BTreeMap<&'a str, usize>,
-    /// Whether it has had the same hosts for a while.
+    /// Whether the domain has had the same hosts for a while.
     pub(super) steady: bool,
-    /// Whether it is coming back from a loss, with more hosts to be listed.
+    /// Whether the domain is returning from an outage, with more hosts to be listed.
     pub(super) returning: bool,
-    /// Whether a group of it is being formed or taken apart.
+    /// Whether a group of the domain is being formed or dissolved.
     pub(super) moving: bool,
-    /// The model for which groups here are being ended.
+    /// Model for which groups of this domain are being preempted.
     pub(super) kept_for: Option<&'a str>,
-    /// Models that spares load, one for each of them.
+    /// Models that spares are loading, one entry for each of these spares.
     pub(super) loading: Vec<&'a str>,
 }
 
 impl Domain<'_> {
-    /// Groups of a model.
+    /// Returns the number of groups of a model.
     pub(super) fn count(&self, model: &Model) -> usize {
         self.groups.get(model.name.as_str()).copied().unwrap_or(0)
     }
 
-    /// Groups of a model that the domain lacks.
+    /// Returns by how many groups of a model the domain is below its quota.
     pub(super) fn lacks(&self, planner: &Planner, model: &Model) -> usize {
         quota(planner, self.name, model).saturating_sub(self.count(model))
     }
 
-    /// Free hosts that can serve a model without a load.
+    /// Returns the number of free hosts that can serve a model without a load.
     pub(super) fn warm(&self, model: &Model) -> usize {
         self.free.iter().filter(|host| warmth(host, model) != Warmth::Cold).count()
     }
 
-    /// Spares that load a model.
+    /// Returns the number of spares that are loading a model.
     pub(super) fn loads(&self, model: &Model) -> usize {
         self.loading.iter().filter(|name| **name == model.name).count()
     }
 }
 
-/// The groups of a model that a domain should hold.
+/// Returns the number of groups of a model that a domain should hold.
 pub(super) fn quota(planner: &Planner, domain: &str, model: &Model) -> usize {
     planner.quotas.get(domain).and_then(|groups| groups.get(&model.name)).copied().unwrap_or(0)
 }
 
-/// The hosts that a domain is planned with.
+/// Returns the number of hosts with which a domain is planned.
 fn known_hosts(planner: &Planner, domain: &Domain<'_>) -> usize {
     let most = planner.most_hosts.get(domain.name).copied().unwrap_or_default();
     if domain.returning { most.max(domain.living) } else { domain.living }
 }
 
-/// How many of so many hosts of a domain are kept as spares: a part of the most that it had, less those that
-/// it has lost since, for whose groups spares are. Where none of the hosts beside them could form a
-/// group, there is nothing to repair, and none is kept.
+/// Returns how many of a domain's `hosts` are kept as spares: a percentage of the largest number of
+/// hosts that the domain had, less the hosts that it has lost since, because spares exist to
+/// replace those. No spares are kept where the remaining hosts could not form a group, since there
+/// is nothing to repair.
 fn reserve(planner: &Planner, domain: &Domain<'_>, hosts: usize) -> usize {
     let sizes = planner.engine.models.iter().map(|model| model.size).filter(|size| *size > 1);
     let most = planner.most_hosts.get(domain.name).copied().unwrap_or(hosts);
@@ -98,13 +99,13 @@
     if forms_one { spares } else { 0 }
 }
 
-/// Whether a domain may come to hold a group of a model, with all the hosts that it ever had.
+/// Whether a domain can hold a group of a model when it has its largest number of hosts.
 pub(super) fn fits(planner: &Planner, domain: &Domain<'_>, model: &Model) -> bool {
     let most = planner.most_hosts.get(domain.name).copied().unwrap_or(0);
     model.size <= most.max(domain.living)
 }
 
-/// All domains.
+/// Collects the state of all domains with eligible hosts.
 pub(super) fn domains(now: Millis, planner: &Planner) -> BTreeMap<&str, Domain<'_>> {
     let mut domains: BTreeMap<&str, Domain<'_>> = BTreeMap::new();
     for host in planner.hosts.values().filter(|host| host.is_fit()) {
@@ -144,8 +145,9 @@
     domains
 }
 
-/// What each domain can hold, and holds. One that is coming back can hold what it could before, and is taken
-/// to hold what was wanted of it then: the plan does not change with each host that is listed.
+/// Returns the capacity and the current groups of each domain. A returning domain has its previous
+/// capacity and counts as holding its previous quotas, so that the plan does not change with each
+/// host that is listed.
 pub(super) fn rooms(now: Millis, planner: &Planner) -> BTreeMap<String, Room> {
     let domains = domains(now, planner);
     let rooms = domains.values().map(|domain| (domain.name.to_owned(), room(planner, domain)));
--- a/crates/oliveworks-gateway-core/src/planner/drain.rs
+++ b/crates/oliveworks-gateway-core/src/planner/drain.rs
@@ -1,12 +1,14 @@
-//! What becomes of the hosts and groups of a drained failure domain.
+//! Hosts and groups of a drained failure domain.
 //!
-//! For the load of the whole pool on the domains that are left: their quotas are worked out at once as if
-//! the drained hosts did not exist, so that hosts elsewhere take over what is wanted in the time of an
-//! order where they keep the model in memory. Drained hosts form no groups and load nothing, as the
-//! operators may switch them off at any moment. Whole groups stay, unlisted: they serve again with the
-//! first table after the drain. Rejected: ending them (72 hosts that join anew when the drain ends are
-//! 72 orders and seconds without a third of the pool). A group that loses a member there is taken apart
-//! as anywhere, since its head may still work on what it took.
+//! A drain puts the load of the whole pool on the remaining domains. Their quotas are recomputed at
+//! once as if the drained hosts did not exist, so that hosts in other domains that have the model
+//! in memory replace the lost groups within the time of an order. Drained hosts form no groups and
+//! load nothing, because operators may switch them off at any moment. Complete groups stay formed
+//! but are left out of the routing table. They serve again with the first table after the drain.
+//! Rejected: ending these groups, because 72 hosts that join again when the drain ends cost 72
+//! orders and seconds without a third of the pool. A group that loses a member in a drained failure
+//! domain is dissolved as in any other, since its head may still process the requests that it
+//! accepted.
 
 use std::collections::BTreeSet;
 
@@ -14,7 +16,7 @@
 use super::group::Group;
 
 impl Planner {
-    /// Takes over which failure domains are drained.
+    /// Sets the drained failure domains.
     pub fn set_drained(&mut self, failure_domains: &BTreeSet<String>) {
         for host in self.hosts.values_mut() {
             host.drained = failure_domains.contains(&host.server.failure_domain);
@@ -27,8 +29,9 @@
         members.any(|host| host.drained)
     }
 
-    /// Whether a group that is being formed is given up for a drain: a member was not told to join yet.
-    /// One whose members all were is finished, so that it can serve when the drain ends.
+    /// Whether the forming of a group is stopped by a drain: a member has not accepted the order to
+    /// join yet. A group whose members all have is completed, so that it can serve when the drain
+    /// ends.
     pub(super) fn is_stopped_by_drain(&self, group: &Group) -> bool {
         let unjoined = |id| self.hosts.get(id).is_none_or(|host| host.joined != Some(group.epoch));
         self.is_drained(group) && group.members.iter().any(unjoined)
--- a/crates/oliveworks-gateway-core/src/planner/ending.rs
+++ b/crates/oliveworks-gateway-core/src/planner/ending.rs
@@ -1,59 +1,61 @@
-//! How groups end: for certain, so that their members are free, or not, so that each member leaves for itself.
+//! Ends of groups. If the group has certainly stopped serving, its members are free. Otherwise each
+//! member is ordered to leave by itself.
 //!
-//! Each end is told with its reason and with what the head had said by then. Two hosts joined a group beside their old
-//! one, whose head served, and no line said why the old one counted as ended.
+//! Each end is reported with its reason and the last report of the head. Without that, two hosts
+//! once joined a new group while the head of their old group still served, and no log line told why
+//! the old group counted as ended.
 
 use super::Planner;
 use super::group::Group;
 use crate::Millis;
 use crate::backend_servers::Membership;
 
-/// Ended groups that are remembered.
+/// Maximum number of ended groups that are remembered.
 const ENDED_MAX: usize = 4_096;
 
-/// Why a group ended.
+/// Reason for the end of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// It was given up before its head was told to open.
+    /// The group was given up before its head was ordered to open.
     NeverOpened,
-    /// Its hosts form another group.
+    /// The hosts of the group form another group.
     HostsTaken,
-    /// Its head took the order to leave.
+    /// The head accepted the order to leave.
     HeadLeft,
-    /// Another backend server answers at its head's address.
+    /// Another backend server answers at the head's address.
     HeadReplaced,
-    /// Its head says that it does not belong to it.
+    /// The head reports that it is not a member of the group.
     HeadOutside,
-    /// Its head took the order to close and said afterwards that it is ready.
+    /// The head accepted the order to close and reported afterwards that it is ready.
     HeadClosed,
-    /// Its head has started again, or any member before it was opened.
+    /// The head restarted, or any member did before the group was opened.
     StartedAgain,
-    /// Its head does not answer, or is not known any more.
+    /// The head does not answer, or is no longer known.
     HeadSilent,
 }
 
-/// The end of a group, for people.
+/// The end of a group, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ending {
-    /// Its name, model, phase and members.
+    /// Name, model, phase and members of the group.
     pub group: String,
-    /// Why it ended.
+    /// Reason for the end.
     pub reason: EndReason,
-    /// Whether its members are free; else each leaves for itself.
+    /// Whether the members are free. Otherwise each member is ordered to leave by itself.
     pub is_certain: bool,
-    /// What its head had said last.
+    /// Last reported membership of the head.
     pub head_said: Option<Membership>,
-    /// How long ago, in ms.
+    /// Age of the head's last report, in ms.
     pub head_said_ms_ago: u64,
 }
 
 impl Planner {
-    /// Groups that ended since this was last asked.
+    /// Returns the groups that ended since the last call.
     pub fn take_endings(&mut self) -> Vec<Ending> {
         std::mem::take(&mut self.endings)
     }
 
-    /// The group serves no more for certain.
+    /// Removes a group that has certainly stopped serving, and frees its members.
     pub(super) fn dissolve(&mut self, now: Millis, epoch: u64, reason: EndReason) {
         self.tell(now, epoch, reason, true);
         self.ended.insert(epoch);
@@ -63,8 +65,8 @@
         self.free_members(epoch);
     }
 
-    /// The group's head serves no more. If any of its orders went unanswered, one may yet be carried
-    /// out, so that its members leave for themselves.
+    /// Ends a group whose head has stopped serving. If an order of the group went unanswered, that
+    /// order may still be carried out. In this case each member is ordered to leave by itself.
     pub(super) fn end_of(&mut self, now: Millis, group: &Group, reason: EndReason) {
         let mut hosts = group.members.iter().filter_map(|id| self.hosts.get(id));
         match hosts.any(|host| host.unanswered == Some(group.epoch)) {
@@ -73,7 +75,8 @@
         }
     }
 
-    /// The group's head may serve on: its members are freed one by one, see `free_strays`.
+    /// Removes a group whose head may still serve. Its members are freed one by one, see
+    /// `free_strays`.
     pub(super) fn abandon(&mut self, now: Millis, epoch: u64, reason: EndReason) {
         self.tell(now, epoch, reason, false);
         self.free_members(epoch);
--- a/crates/oliveworks-gateway-core/src/planner/group.rs
+++ b/crates/oliveworks-gateway-core/src/planner/group.rs
@@ -1,25 +1,25 @@
-//! A replica group as the leader knows it.
+//! State of a replica group as the leader knows it.
 
 use crate::Millis;
 use crate::backend_servers::BackendServerId;
 
-/// Where a group stands.
+/// Phase of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     /// Members join.
     Joining,
-    /// The head is told to open.
+    /// The head is ordered to open.
     Opening,
-    /// It serves, from a time on.
+    /// The group serves from the given time on.
     Open {
-        /// When the head is open.
+        /// Time at which the head is open.
         from: Millis,
     },
-    /// A member leaves: the head finishes its work.
+    /// A member leaves or the group is preempted: the head finishes its requests.
     Finishing,
-    /// A member is lost: the group is taken apart.
+    /// A member is lost: the group is being dissolved.
     Breaking,
-    /// It holds a model for repairs and serves nothing.
+    /// The group holds a model for repairs and does not serve.
     Spare,
 }
 
@@ -36,12 +36,13 @@
     }
 }
 
-/// How the names of groups that serve or will begin, and those of spares. The next leader tells by it
-/// whether a host that is alone in its group holds a model for repairs or is what is left of a group.
+/// First characters of the names of groups that serve or will serve, and of spares. By these the
+/// next leader distinguishes a host that holds a model for repairs from the last remaining member
+/// of a group.
 const NAME: char = 'g';
 const SPARE_NAME: char = 's';
 
-/// The name of a new group: one that will serve, or a spare.
+/// Returns the name of a new group, which is either a group that will serve or a spare.
 pub(super) fn name(epoch: u64, serves: bool) -> String {
     let first = if serves { NAME } else { SPARE_NAME };
     format!("{first}{epoch}")
@@ -60,11 +61,11 @@
     pub(super) model: String,
     pub(super) members: Vec<BackendServerId>,
     pub(super) phase: Phase,
-    /// When it came into its phase.
+    /// Time at which the group entered its phase.
     pub(super) since: Millis,
-    /// The model that is to get its hosts.
+    /// Model for which the group is preempted.
     pub(super) yields_to: Option<String>,
-    /// Whether an earlier leader formed it.
+    /// Whether an earlier leader formed the group.
     pub(super) adopted: bool,
 }
 
@@ -73,7 +74,7 @@
         matches!(self.phase, Phase::Open { from } if now >= from)
     }
 
-    /// Whether it serves or will.
+    /// Whether the group serves or is being formed to serve.
     pub(super) fn counts(&self) -> bool {
         matches!(self.phase, Phase::Joining | Phase::Opening | Phase::Open { .. })
     }
--- a/crates/oliveworks-gateway-core/src/planner/growth.rs
+++ b/crates/oliveworks-gateway-core/src/planner/growth.rs
@@ -1,23 +1,26 @@
-//! Whether a domain's hosts are still being listed.
+//! Detects whether a domain's hosts are still being listed.
 //!
-//! The load that this answers: a whole domain goes dark and comes back under twice the usual callers. Its
-//! hosts are listed within a few seconds, some at a time, and what is known of it after the first of
-//! them is no ground for loads that last 12 s and more. A host that replaces another waits a read of
-//! the list only. Rejected: the longer wait for every host (hosts are replaced one by one all the
-//! time, and each would load a second later), and no limit (a domain that keeps growing never settles).
+//! The case behind this: a whole domain goes down and returns under twice the usual traffic. Its
+//! hosts are listed in batches within a few seconds. The state of the domain after the first batch
+//! does not justify loads of 12 s and more. A host that replaces another waits only for one read of
+//! the list. Rejected: the longer wait for every host, because hosts are replaced one by one all
+//! the time and each would load a second later. Rejected: no time limit, because a domain that
+//! keeps growing would never settle.
 
 use crate::Millis;
 
-/// Hosts listed shortly after one another from which on a domain is taken to return as a whole: a
-/// replacement brings one, a release a few.
+/// Number of hosts listed in short succession from which on a domain counts as returning as a
+/// whole. A replacement brings one host, a release a few.
 const RETURNING_HOSTS: usize = 4;
-/// How long a domain that returns must have got no host to be taken as complete, in ms: the longest
-/// between a host's start and its record in the list, as seen by the other hosts' records.
+/// Time without a new host after which a returning domain counts as complete, in ms: the longest
+/// time between a host's start and its record in the list, as seen in the records of the other
+/// hosts.
 const RETURN_QUIET_MS: u64 = 1_000;
-/// The longest that a domain is taken to return, in ms: what comes later is dealt with as it comes.
+/// Maximum time for which a domain counts as returning, in ms. Later hosts are assigned as they
+/// arrive.
 const RETURN_MAX_MS: u64 = 3_000;
 
-/// The hosts that a domain got shortly after one another.
+/// Hosts that a domain got in short succession.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Growth {
     first_at: Millis,
@@ -30,7 +33,7 @@
         Growth { first_at: now, last_at: now, hosts: 0 }
     }
 
-    /// One more host is listed.
+    /// Records one more listed host.
     pub(super) fn add(&mut self, now: Millis) {
         if now >= self.last_at + RETURN_QUIET_MS {
             *self = Growth::new(now);
@@ -39,12 +42,12 @@
         self.hosts += 1;
     }
 
-    /// Whether it has been the same for so long that a replaced host would be used.
+    /// Whether the hosts have been unchanged for long enough to use a replaced host.
     pub(super) fn is_settled(&self, now: Millis, settle_ms: u64) -> bool {
         now >= self.last_at + settle_ms
     }
 
-    /// Whether the domain is coming back, with more hosts to be listed.
+    /// Whether the domain is returning, with more hosts to be listed.
     pub(super) fn is_return(&self, now: Millis) -> bool {
         let ends_at = (self.last_at + RETURN_QUIET_MS).min(self.first_at + RETURN_MAX_MS);
         self.hosts >= RETURNING_HOSTS && now < ends_at
--- a/crates/oliveworks-gateway-core/src/planner/heads.rs
+++ b/crates/oliveworks-gateway-core/src/planner/heads.rs
@@ -1,14 +1,14 @@
-//! Which member heads a new group.
+//! Choice of the head of a new group.
 //!
-//! Requests go to the head alone, so only it has to be warm: a group of hosts that came back together and of
-//! spares that stayed bears all its callers at once if a spare heads it. Among equals the first stays:
-//! nothing else depends on who it is.
+//! Requests go to the head alone, so only the head has to be warm. In a group of hosts that
+//! returned together and of warm spares, a spare as the head serves all requests of the group at
+//! once. Among equals the first member stays the head, because nothing else depends on the choice.
 
 use super::Planner;
 use crate::Millis;
 use crate::backend_servers::BackendServerId;
 
-/// Puts the member that is warm soonest first.
+/// Moves the member that is warm soonest to the front.
 pub(super) fn put_warmest_first(now: Millis, planner: &Planner, members: &mut [BackendServerId]) {
     let cold_ms = |id: &BackendServerId| {
         let host = planner.hosts.get(id);
--- a/crates/oliveworks-gateway-core/src/planner/heard.rs
+++ b/crates/oliveworks-gateway-core/src/planner/heard.rs
@@ -1,25 +1,26 @@
-//! What is heard of hosts beside their own answers to this leader.
+//! Observations of hosts from sources other than their answers to this leader.
 
 use super::Planner;
 use crate::Millis;
 use crate::backend_servers::Born;
 
 impl Planner {
-    /// A host said in an answer that it leaves, in a life that began then.
+    /// Handles a host's statement in an answer that it is leaving, made in the incarnation that
+    /// started at `born`.
     pub fn leaves(&mut self, id: &str, born: Option<Born>) {
         if let Some(host) = self.hosts.get_mut(id).filter(|host| host.born() <= born) {
             host.server.draining = true;
         }
     }
 
-    /// A host is no longer listed: it leaves, or is dead.
+    /// Handles a host that is no longer listed, because it is leaving or dead.
     pub fn unlisted(&mut self, id: &str) {
         if let Some(host) = self.hosts.get_mut(id) {
             host.unlisted = true;
         }
     }
 
-    /// Another backend server answers at a host's address.
+    /// Handles the observation that another backend server answers at a host's address.
     pub fn replaced(&mut self, now: Millis, id: &str) {
         if let Some(host) = self.hosts.get_mut(id) {
             host.replaced = true;
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Gateways see no progress in a group.
+    /// Handles the observation of gateways that a group makes no progress.
     pub fn suspected(&mut self, epoch: u64) {
         let Some(group) = self.groups.get(&epoch) else { return };
         for member in &group.members {
--- a/crates/oliveworks-gateway-core/src/planner/host.rs
+++ b/crates/oliveworks-gateway-core/src/planner/host.rs
@@ -1,4 +1,4 @@
-//! A host as the leader knows it.
+//! State of a host as the leader knows it.
 
 use std::collections::BTreeSet;
 
@@ -7,43 +7,44 @@
 use crate::backend_servers::{BackendServer, Born, Holding, MemberState, Membership};
 use crate::configuration::Model;
 
-/// The time between two questions to the same host.
+/// Time between two probes of the same host, in ms.
 pub(super) const PROBE_EVERY_MS: u64 = 80;
-/// The time between two questions to a host that does not answer.
+/// Time between two probes of a host that does not answer, in ms.
 const LOST_PROBE_EVERY_MS: u64 = 700;
-/// Questions without an answer after which a host is lost.
+/// Number of unanswered probes after which a host counts as lost.
 const SILENCE_MAX: u32 = 2;
-/// The time after which an order that was not answered is given again.
+/// Time after which an unanswered order is sent again, in ms.
 const ORDER_AGAIN_MS: u64 = 300;
-/// How long after it was given an order without an answer may be carried out.
+/// Time for which an unanswered order may still be carried out, in ms.
 const LATE_MS: u64 = 15_000;
-/// How long what a host said of itself is taken for its state, while such an order is about.
+/// Time for which a host's report counts as its current state while an unanswered order may still
+/// be carried out, in ms.
 const FRESH_MS: u64 = 60;
-/// The pace above which a host is slow, and the one at which it is no longer.
+/// Pace above which a host becomes slow, and pace at or below which it no longer is.
 const SLOW_PACE: f64 = 1.6;
 const USUAL_PACE: f64 = 1.25;
-/// The time between two questions to a host that is slow, or whose group is.
+/// Time between two probes of a host that is slow or belongs to a slow group, in ms.
 const SLOW_PROBE_EVERY_MS: u64 = 1_000;
-/// The time between two questions to a host that loads what this leader did not order, in ms: a load takes
-/// four times as long, and its end also shows in the list.
+/// Time between two probes of a host with a load that this leader did not order, in ms. A load
+/// takes four times as long, and its end also shows in the list.
 const ADOPTED_PROBE_EVERY_MS: u64 = 4_000;
-/// The time that a member which has the model needs to join.
+/// Time that a member needs to join if it has the model, in ms.
 const JOIN_MS: u64 = 200;
 
-/// A host and what is under way there.
+/// A host with its outstanding orders and probes.
 #[derive(Clone, Debug)]
 pub(super) struct Host {
     pub(super) server: BackendServer,
     pub(super) holding: Holding,
     pub(super) heard_at: Millis,
-    /// Until when it is cold by its newest record.
+    /// Time until which the host is cold according to its newest record.
     pub(super) cold_until: Millis,
-    /// The group that it is to belong to.
+    /// Epoch of the group to which the host is assigned.
     pub(super) group: Option<u64>,
-    /// How many orders it has begun in this life, as far as is known: what it told last, and those that it
-    /// answered since.
+    /// Number of orders that the host has begun in this incarnation, as far as is known: the last
+    /// reported number plus the orders that it has accepted since.
     orders: Option<u64>,
-    /// The newest epochs for which it took each order.
+    /// Newest epoch for which the host accepted each kind of order, and the time of that.
     pub(super) joined: Option<u64>,
     pub(super) joined_at: Millis,
     pub(super) opened: Option<u64>,
@@ -52,36 +53,37 @@
     pub(super) closed_at: Millis,
     pub(super) left: Option<u64>,
     pub(super) unlisted: bool,
-    /// Its failure domain is drained.
+    /// Whether the host's failure domain is drained.
     pub(super) drained: bool,
-    /// Whether it has taken an order of this leader's, or never had one of another's.
+    /// Whether the host has accepted an order of this leader, or never had one of another leader.
     pub(super) knows_fence: bool,
-    /// Another backend server answers at its address: this one has ended.
+    /// Whether another backend server answers at the host's address, so that this one has ended.
     pub(super) replaced: bool,
-    /// The newest epoch of which an order to join or open went unanswered.
+    /// Newest epoch for which an order to join or open went unanswered.
     pub(super) unanswered: Option<u64>,
     unanswered_at: Millis,
     silences: u32,
-    /// Gateways see its group standing still, so that one silence tells.
+    /// Whether gateways observe no progress in the host's group. One missed answer then marks the
+    /// host as lost.
     pub(super) suspected: bool,
-    /// It said that it is slow.
+    /// Whether the reported pace marks the host as slow.
     slow: bool,
-    /// The pace that it told last.
+    /// Last reported pace.
     pace: f64,
     pending: bool,
-    /// Its last order went unanswered: it is asked before the next one, since an order that came late
-    /// may have changed it.
+    /// Whether the host must be probed before the next order. This holds after an unanswered order,
+    /// since an order that arrived late may have changed the host's state.
     ask_first: bool,
     ordered_at: Millis,
-    /// When it took its last order, if it took one of this leader's.
+    /// Time at which the host accepted its last order, if it accepted one of this leader.
     taken_at: Option<Millis>,
-    /// Whether its last join takes a load from the weight store.
+    /// Whether the host's last join requires a load from the weight store.
     join_loads: bool,
-    /// The model that it was told to stage and does not have yet.
+    /// Model that the host was ordered to stage and does not have yet.
     staging: Option<String>,
-    /// Whether it loads something that this leader did not order.
+    /// Whether the host runs a load that this leader did not order.
     adopted_load: bool,
-    /// The model of its last join in this life.
+    /// Model of the host's last join in this incarnation.
     last_model: Option<String>,
     pub(super) wants_probe: bool,
     probing: bool,
@@ -92,7 +94,7 @@
     pub(super) fn new(now: Millis, server: &BackendServer) -> Host {
         Host {
             holding: server.holding.clone(),
-            // Its record may be old: it has its first order once it was asked.
+            // The record may be stale, so the host is probed before its first order.
             heard_at: 0,
             cold_until: now + server.cold_ms,
             server: server.clone(),
@@ -129,7 +131,8 @@
         }
     }
 
-    /// It has started again: nothing of before holds, but for what it is still planned for.
+    /// Resets the state of a host that restarted. Only its assignment to a group and its drain
+    /// remain.
     pub(super) fn starts_anew(&mut self, now: Millis, server: &BackendServer) {
         let (group, drained) = (self.group, self.drained);
         *self = Host { group, drained, ..Host::new(now, server) };
@@ -142,26 +145,28 @@
         self.unlisted = false;
         self.server = server.clone();
         self.cold_until = now + server.cold_ms;
-        // A record may be older than whatever was heard or ordered, by seconds, so that it says nothing for certain;
-        // it is a reason to ask. Rejected: taking it for the host's state some time after the last order
-        // (the members of a group whose head served were taken for free).
+        // A record may be seconds older than the last report or order, so it proves nothing about
+        // the current state. It is a reason to probe. Rejected: trusting a record some time after
+        // the last order, because members of a group whose head was serving then counted as free.
         self.wants_probe |= !self.holding.says_the_same(&server.holding);
     }
 
-    /// When its life began, as far as is known.
+    /// Returns the start time of the host's incarnation, as far as is known.
     pub(super) fn born(&self) -> Option<Born> {
         self.server.holding.born.max(self.holding.born)
     }
 
-    /// Whether an answer to a question of that time, `lag_ms` old, is from before its last order.
+    /// Whether the answer to a probe sent at `asked_at` predates the host's last order. The content
+    /// of an answer is `lag_ms` old.
     fn tells_of_before(&self, asked_at: Millis, lag_ms: u64) -> bool {
         self.taken_at.is_some_and(|taken_at| asked_at < taken_at + lag_ms)
     }
 
-    /// It answered the question that is under way with what stood `lag_ms` before.
+    /// Handles the answer to the outstanding probe. Its content is `lag_ms` old.
     pub(super) fn reported(&mut self, now: Millis, lag_ms: u64, holding: &Holding) {
-        // From before its last order it says nothing of what came of that: a head that has just opened seems
-        // ready right after an order to close, and its members free while it serves.
+        // A report from before the last order does not show the effect of that order: a head that
+        // has just opened would seem ready right after an order to close, and its members free
+        // while it serves.
         match self.tells_of_before(self.probed_at, lag_ms) {
             true => self.wants_probe = true,
             false => self.heard(now, holding),
@@ -171,7 +176,7 @@
     fn heard(&mut self, now: Millis, holding: &Holding) {
         let changed = self.holding.staging != holding.staging;
         self.adopted_load &= !changed && holding.loads != Some(false);
-        // What it tells of its orders lags behind the rest.
+        // The reported number of orders may lag behind the rest of the report.
         self.orders = self.orders.max(holding.orders);
         self.holding = holding.clone();
         self.heard_at = now;
@@ -192,45 +197,48 @@
         self.probed_at = now;
         self.silences += if std::mem::take(&mut self.suspected) { SILENCE_MAX } else { 1 };
         if refused {
-            // Nothing listens there, or a cut says so: it gets nothing, but it may live.
+            // Nothing listens at the address, or a network partition produces that answer. The host
+            // receives no work, but it may still be running.
             self.silences = self.silences.max(SILENCE_MAX);
         } else if self.silences < SILENCE_MAX {
             self.wants_probe = true;
         }
     }
 
-    /// It is asked at once, and one silence tells.
+    /// Marks the host as suspected: it is probed at once, and one missed answer marks it as lost.
     pub(super) fn suspect(&mut self) {
         self.wants_probe = true;
         self.suspected = true;
     }
 
-    /// Whether it does not answer.
+    /// Whether the host does not answer.
     pub(super) fn is_lost(&self) -> bool {
         self.silences >= SILENCE_MAX
     }
 
-    /// Whether it answers and is not leaving.
+    /// Whether the host answers, is listed and is not leaving.
     pub(super) fn stays(&self) -> bool {
         !self.is_lost() && !self.unlisted && !self.server.draining
     }
 
-    /// Whether it may come to belong to a group, or load something.
+    /// Whether the host may be assigned to a group or load a model.
     pub(super) fn is_fit(&self) -> bool {
         self.stays() && !self.slow && !self.drained
     }
 
-    /// Whether it said that it is slow.
+    /// Whether the host is slow.
     pub(super) fn is_slow(&self) -> bool {
         self.slow
     }
 
-    /// How much slower than usual it is, if so much that it matters.
+    /// Returns the host's pace as a factor on the usual time, or 1 if the difference is too small
+    /// to matter.
     pub(super) fn pace(&self) -> f64 {
         if self.pace > USUAL_PACE { self.pace } else { 1.0 }
     }
 
-    /// Takes in the pace that it told; `may_be_slow` is whether it can be done without.
+    /// Updates the reported pace. `may_be_slow` is whether this host may be excluded for being
+    /// slow.
     pub(super) fn paced(&mut self, pace: f64, may_be_slow: bool) {
         self.pace = pace;
         self.slow = match self.slow {
@@ -239,13 +247,14 @@
         };
     }
 
-    /// Gateways see its group running slowly: it is asked, but not again and again.
+    /// Requests a probe because the host or its group runs slowly, at most once per
+    /// `SLOW_PROBE_EVERY_MS`.
     pub(super) fn slows(&mut self, now: Millis) {
         self.wants_probe |= now >= self.probed_at + SLOW_PROBE_EVERY_MS;
     }
 
-    /// Whether it loads a model from the weight store, or an order that it has not answered yet may
-    /// make it do so.
+    /// Whether the host loads a model from the weight store, or may do so because of an unanswered
+    /// order.
     pub(super) fn is_loading(&self) -> bool {
         let member = self.holding.group.as_ref();
         let done =
@@ -254,7 +263,7 @@
         self.pending || (joins && self.join_loads) || self.stages()
     }
 
-    /// Whether it loads a model for the group of this epoch, or will.
+    /// Whether the host loads a model for the group of this epoch, or will do so.
     pub(super) fn loads_for(&self, epoch: u64, model: &str) -> bool {
         let ready =
             self.holding.group.as_ref().is_some_and(|member| {
@@ -267,25 +276,26 @@
         loads && !ready
     }
 
-    /// It belongs to a group that an earlier leader formed, and may load for it.
+    /// Assigns the host to a group that an earlier leader formed. The host may still load the model
+    /// for it.
     pub(super) fn adopted(&mut self, epoch: u64) {
         self.group = Some(epoch);
         self.joined = Some(epoch);
         self.join_loads = true;
     }
 
-    /// Whether it loads a model to its host's memory.
+    /// Whether the host is loading this model to its memory.
     pub(super) fn is_staging(&self, model: &str) -> bool {
         self.staging.as_deref() == Some(model)
     }
 
-    /// Whether it loads any model to its host's memory.
+    /// Whether the host is loading any model to its memory.
     pub(super) fn stages(&self) -> bool {
         self.staging.is_some() || self.adopted_load
     }
 
-    /// An earlier leader may have told it to load a model to its host's memory: what it says it loads and
-    /// no join explains.
+    /// Records whether an earlier leader may have ordered the host to stage a model: the host
+    /// reports a load that no join explains.
     pub(super) fn adopt_load(&mut self) {
         let joins = self.holding.group.as_ref().is_some_and(|m| m.state == MemberState::Joining);
         self.adopted_load = self.holding.loads == Some(true) && !joins;
@@ -297,45 +307,46 @@
         })
     }
 
-    /// Whether it says that it belongs to a later group than the one of this epoch.
+    /// Whether the host reports membership in a later group than the one of this epoch.
     pub(super) fn is_astray(&self, epoch: u64) -> bool {
         self.holding.group.as_ref().is_some_and(|member| member.epoch > epoch)
     }
 
-    /// Whether it answers and says that it is not, or no longer, in the group of this epoch.
+    /// Whether the host joined the group of this epoch, answers, and does not report membership in
+    /// it.
     pub(super) fn is_outside(&self, epoch: u64) -> bool {
         !self.is_lost()
             && self.joined == Some(epoch)
             && self.holding.group.as_ref().is_none_or(|member| member.epoch != epoch)
     }
 
-    /// Whether it need not load the model from the weight store.
+    /// Whether the host can serve the model without a load from the weight store.
     pub(super) fn has(&self, model: &str) -> bool {
         self.held_last(model) || self.keeps(model)
     }
 
-    /// Whether it keeps the model in memory.
+    /// Whether the host has the model staged in memory.
     pub(super) fn keeps(&self, model: &str) -> bool {
         self.holding.staging.iter().any(|staged| staged == model)
     }
 
-    /// The model of its last join, for people.
+    /// Returns the model of the host's last join, for operators.
     pub(super) fn last_model(&self) -> &str {
         self.last_model.as_deref().unwrap_or("none")
     }
 
-    /// The models that it can take up beside the one that it held last, for people.
+    /// Lists the staged models besides the one that the host held last, for operators.
     pub(super) fn beside(&self) -> String {
         let staged = self.holding.staging.iter().filter(|model| !self.held_last(model));
         staged.map(|model| format!("+{model}")).collect()
     }
 
-    /// Whether it ever held a model.
+    /// Whether the host ever held a model in this incarnation.
     pub(super) fn held_any(&self) -> bool {
         self.last_model.is_some()
     }
 
-    /// Whether it was the last that it held.
+    /// Whether the model is the one that the host held last.
     pub(super) fn held_last(&self, model: &str) -> bool {
         self.last_model.as_deref() == Some(model)
     }
@@ -344,26 +355,28 @@
         self.group.is_none() && self.is_fit() && !self.pending && self.stray(ended).is_none()
     }
 
-    /// The group that it says it belongs to, if that may not have ended and nobody leads it here.
+    /// Returns the group that the host reports to be a member of, if that group may not have ended
+    /// and is not managed by this leader.
     pub(super) fn stray(&self, ended: &BTreeSet<u64>) -> Option<Membership> {
         if self.group.is_some() || self.is_lost() {
             return None;
         }
         let member = self.holding.group.as_ref()?;
-        // Orders that come late may bring it back, and even open a group that has ended.
+        // Late orders may make the host join again, or even open a group that has ended.
         let serves = !matches!(member.state, MemberState::Joining | MemberState::Ready);
         let over = ended.contains(&member.epoch) && !(member.rank == 0 && serves);
         (!over).then(|| member.clone())
     }
 
-    /// Whether an order that went unanswered may have changed it since it was last heard.
+    /// Whether an unanswered order may have changed the host's state since its last report.
     pub(super) fn may_have_changed(&self, now: Millis) -> bool {
         self.unanswered.is_some()
             && now < self.unanswered_at + LATE_MS
             && now > self.heard_at + FRESH_MS
     }
 
-    /// The order to leave another group that it says it belongs to and that may not have ended.
+    /// Returns the order to leave another group that the host reports to be a member of, if that
+    /// group may not have ended.
     pub(super) fn belongs_elsewhere(&self, epoch: u64, ended: &BTreeSet<u64>) -> Option<Order> {
         let member = self.holding.group.as_ref()?;
         let other = member.epoch != epoch && !ended.contains(&member.epoch);
@@ -396,7 +409,8 @@
                 self.answers();
                 self.ask_first = true;
                 self.wants_probe = true;
-                // It has begun more or fewer orders than is known; it is asked how many.
+                // The host has begun more or fewer orders than expected. The next probe returns the
+                // number.
                 self.orders = None;
                 return;
             }
@@ -427,7 +441,7 @@
                 self.joined = Some(*epoch);
                 self.joined_at = now;
                 self.last_model = Some(model.clone());
-                // A load stages its model in place of what was to be staged.
+                // A join that loads stages its model in place of the model that was being staged.
                 self.staging = None;
                 self.adopted_load = false;
             }
@@ -450,23 +464,25 @@
         }
     }
 
-    /// Whether an order takes it out of its group, which counts and yet is done at once.
+    /// Whether an order removes the host from its current group. Such an order counts as begun
+    /// although it completes at once.
     fn leaves_by(&self, order: &Order) -> bool {
         let member = self.holding.group.as_ref();
         matches!(order, Order::Leave { epoch, .. } if member.is_some_and(|m| m.epoch == *epoch))
     }
 
-    /// Asks for its state once a join should be done.
+    /// Requests a probe once a join should be complete.
     pub(super) fn probe_when_due(&mut self, now: Millis, model: &Model) {
-        // Loads before traffic are much shorter, so ask early, and then now and then.
+        // Loads before traffic are much shorter, so the first probe is early and the later ones are
+        // spaced out.
         let waited = now.saturating_sub(self.joined_at);
         let every = (waited / 8).max(PROBE_EVERY_MS);
         let first = JOIN_MS.min(model.warm_ms.max(1));
         self.wants_probe |= waited >= first && now >= self.probed_at + every;
     }
 
-    /// Asks for its state if that is due, and not while its answer would be `lag_ms` old and so from before its last
-    /// order, unless it is in doubt whether it answers at all.
+    /// Returns a probe if one is due. A probe is postponed while its answer, `lag_ms` old, would
+    /// predate the last order, unless it is in doubt whether the host answers at all.
     pub(super) fn probe(&mut self, now: Millis, lag_ms: u64) -> Option<Command> {
         if self.pace > USUAL_PACE && self.stays() {
             self.slows(now);
--- a/crates/oliveworks-gateway-core/src/planner/order.rs
+++ b/crates/oliveworks-gateway-core/src/planner/order.rs
@@ -1,4 +1,4 @@
-//! What goes into a planner's decisions and what comes out.
+//! Inputs and outputs of the planner.
 
 use std::net::SocketAddr;
 
@@ -6,159 +6,164 @@
 
 use crate::backend_servers::{BackendServerId, Born};
 
-/// An order to a backend server.
+/// Order to a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Order {
-    /// Become a member of a group.
+    /// Join a group.
     Join {
-        /// The group's name.
+        /// Name of the group.
         group: String,
-        /// The group's epoch.
+        /// Epoch of the group.
         epoch: u64,
-        /// The model.
+        /// Model that the group serves.
         model: String,
         /// All members, the head first.
         members: Vec<BackendServerId>,
     },
-    /// To a head: serve.
+    /// Open the group. Sent to the head, which then serves requests.
     Open {
-        /// The group's name.
+        /// Name of the group.
         group: String,
-        /// The group's epoch.
+        /// Epoch of the group.
         epoch: u64,
     },
-    /// To a head: finish what was taken and serve no more.
+    /// Close the group. Sent to the head, which finishes the requests that it accepted and accepts
+    /// no more.
     Close {
-        /// The group's name.
+        /// Name of the group.
         group: String,
-        /// The group's epoch.
+        /// Epoch of the group.
         epoch: u64,
     },
-    /// Load a model to the host's memory, beside everything else.
+    /// Load a model to the host's memory. Does not affect the group of the host.
     Stage {
-        /// The model.
+        /// Model to load.
         model: String,
     },
-    /// Be no member any more.
+    /// Leave a group.
     Leave {
-        /// The group's name.
+        /// Name of the group.
         group: String,
-        /// The group's epoch.
+        /// Epoch of the group.
         epoch: u64,
     },
 }
 
-/// What the planner wants done.
+/// Action that the planner requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Give an order; its outcome comes back through [`Planner::ordered`](super::Planner::ordered).
+    /// Send an order. Its outcome is passed to [`Planner::ordered`](super::Planner::ordered).
     Order {
-        /// To whom.
+        /// Backend server that receives the order.
         server: BackendServerId,
-        /// Where it listens.
+        /// Address on which the backend server listens.
         address: SocketAddr,
-        /// The order.
+        /// Order to send.
         order: Order,
-        /// How many orders it must have begun to take this one, if that matters: one that has begun another
-        /// since it was asked is not what the leader plans with.
+        /// Number of orders that the backend server must have begun to accept this one, if that
+        /// matters. A backend server that has begun another order since its last report is not in
+        /// the state with which the leader plans.
         expects: Option<u64>,
     },
-    /// Ask for its state; the answer comes back through [`Planner::reported`](super::Planner::reported) or
+    /// Request the state of a backend server. The answer is passed to
+    /// [`Planner::reported`](super::Planner::reported) or
     /// [`Planner::silent`](super::Planner::silent).
     Probe {
-        /// Whom.
+        /// Backend server to probe.
         server: BackendServerId,
-        /// Where it listens.
+        /// Address on which the backend server listens.
         address: SocketAddr,
     },
 }
 
 impl Order {
-    /// Whether it makes its host part of a group or lets a head serve: carried out by a host that is not in the
-    /// state that the leader knows, it puts hosts into two groups.
+    /// Whether the order adds a host to a group or lets a head serve. Such an order puts hosts into
+    /// two groups if a host carries it out in another state than the leader knows.
     pub(super) fn is_bound(&self) -> bool {
         matches!(self, Order::Join { .. } | Order::Open { .. })
     }
 }
 
-/// How an order was answered.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It has begun, and counts among the orders that the host has begun.
+    /// The host has begun the order and counts it among the orders that it has begun.
     Begun,
-    /// It holds already, or is done.
+    /// The host is in the ordered state already, or the order is complete.
     Holds,
-    /// It does not fit the backend server's state.
+    /// The order does not fit the backend server's state.
     Unfit,
-    /// A higher fence or epoch was seen.
+    /// The backend server has seen a higher fence or epoch.
     Fenced,
     /// Another backend server is at that address, or none.
     Gone,
-    /// No answer: it may have been taken, or may be later.
+    /// No answer arrived. The order may have been accepted, or may be accepted later.
     Unanswered,
 }
 
-/// A group as gateways need to know it.
+/// A serving group as gateways need to know it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Serving {
-    /// The group's epoch.
+    /// Epoch of the group.
     pub epoch: u64,
-    /// Its model.
+    /// Model that the group serves.
     pub model: String,
-    /// Its members, the head first.
+    /// Members of the group, the head first.
     pub members: Vec<BackendServerId>,
-    /// How much slower than usual it runs; 1 is usual.
+    /// Pace of the group, as a factor on the usual time; 1 is usual.
     pub pace: f64,
-    /// When its head's life began, as far as is known.
+    /// Start time of the head's incarnation, as far as is known.
     pub head_born: Option<Born>,
 }
 
-/// How busy a model's groups are, as all gateways see it.
+/// Load of a model's groups as observed by all gateways.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ModelLoad {
-    /// Open requests for each slot of the groups that serve.
+    /// Requests in flight per slot of the groups that serve.
     pub open_per_slot: f64,
-    /// The part of the requests of the last seconds that found no place, 0 to 1.
+    /// Fraction of the requests of the last seconds that found no slot, from 0 to 1.
     pub refused_part: f64,
 }
 
-/// The weights of a planner's decisions. What each is worth, and how much it may be off, is measured
-/// in docs/POLICY.md.
+/// Settings of the planner's decisions. docs/POLICY.md holds the measured effect of each setting
+/// and how far it may be off.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlannerConfig {
-    /// The part of a domain that is kept as spares, in hundredths, at the most. A tenth serves as well.
+    /// Maximum percentage of a domain's hosts that is kept as spares. 10 % serves as well.
     pub spare_percent: usize,
-    /// How long a group that is to end still takes requests that are on their way, in ms: the time in
-    /// which all gateways hear of it.
+    /// Time for which a group that is to end still accepts requests that are on their way, in ms:
+    /// the time within which all gateways learn of the end.
     pub notice_ms: u64,
-    /// The longest that a group may take to finish its work, in ms: longer than most answers.
+    /// Maximum time that a group may take to finish its requests, in ms. Longer than most answers
+    /// take.
     pub finish_ms: u64,
-    /// How long a domain's hosts must have been the same before cold ones become spares, in ms: the
-    /// next read of the list may bring one that completes a group.
+    /// Time for which a domain's hosts must have been unchanged before cold ones become spares, in
+    /// ms. The next read of the list may bring a host that completes a group.
     pub settle_ms: u64,
-    /// Hosts of a domain that keep a second model staged, beyond which none is staged in traffic: as
-    /// many as repair a group of four.
+    /// Number of hosts of a domain with a second staged model, beyond which none is staged during
+    /// traffic: as many as repair a group of four.
     pub staged_max: usize,
-    /// The part of the loads that run at full speed beyond which nothing is staged in traffic, in
-    /// hundredths; 0 stages nothing then.
+    /// Percentage of the loads that run at full speed beyond which nothing is staged during
+    /// traffic; 0 stages nothing then.
     pub staging_percent: usize,
     /// Whether the first spare of each domain holds the largest model.
     pub first_spare_largest: bool,
-    /// Whether hosts that wait for others to form a large group serve a crowded model meanwhile.
+    /// Whether hosts that wait for others to form a large group serve a crowded model in the
+    /// meantime.
     pub waiting_serve: bool,
-    /// Whether a small group ends for a large one that is busier, also where fewer small ones remain
-    /// than wanted.
+    /// Whether a small group is preempted for a large one that is busier, even if fewer small ones
+    /// remain than the quota asks for.
     pub yields_by_load: bool,
-    /// Whether the parts of the hosts that models should have follow their callers.
+    /// Whether the target shares of the hosts follow the demand for each model.
     pub follows_callers: bool,
-    /// The demand for each group (1: all its slots) above which spares that hold a model serve it.
+    /// Demand per group (1 fills all its slots) above which spares that hold a model serve it.
     pub busy_load: f64,
-    /// The same above which a model gets hosts that are kept or wait for another: soon its groups
-    /// would refuse callers.
+    /// Demand per group above which a model gets hosts that are reserved or wait for another model,
+    /// because its groups would soon refuse requests.
     pub crowded_load: f64,
-    /// How much higher a model's demand for each group must be than that of another whose group ends for
-    /// it: the change takes some seconds of both.
+    /// Margin by which a model's demand per group must exceed that of another model whose group is
+    /// preempted for it. The change costs some seconds of both groups.
     pub yield_margin: f64,
 }
 
--- a/crates/oliveworks-gateway-core/src/planner/outage.rs
+++ b/crates/oliveworks-gateway-core/src/planner/outage.rs
@@ -1,33 +1,38 @@
-//! Domains that fall silent as a whole.
+//! Detection of domains that stop answering as a whole.
 //!
-//! The load that this answers: a domain loses its power or its network. Gateways notice it where requests stand still,
-//! group by group as each gets some; spares and quiet groups seem to live on for seconds, and callers are sent to
-//! one group after the other. So once several hosts of a domain, of groups that gateways saw standing still, are
-//! silent within a heartbeat, all others there are asked at once, and one silence tells. Rejected: counting every
-//! silence (a leader that is cut off from a domain would take apart groups that serve its gateways well), and
-//! taking the rest as lost without asking (several may fail in a domain that lives).
+//! The case behind this: a domain loses its power or its network. Gateways notice that only where
+//! requests make no progress, group by group as each group gets some. Spares and groups without
+//! requests seem to be alive for seconds, and requests are sent to one group after the other.
+//! Therefore, once several hosts of a domain stop answering within a heartbeat and gateways
+//! observed no progress in their groups, all other hosts of the domain are probed at once, and one
+//! missed answer marks them as lost. Rejected: counting every host that does not answer, because a
+//! leader that is partitioned from a domain would dissolve groups that the gateways of that domain
+//! reach well. Rejected: taking the remaining hosts as lost without a probe, because several hosts
+//! may fail in a domain that is otherwise up.
 
 use std::collections::BTreeMap;
 
 use super::Planner;
 use crate::Millis;
 
-/// Silent hosts from which on a domain may be dark: a rack or a release takes fewer at once.
+/// Number of silent hosts from which on a domain may be down. A rack failure or a release affects
+/// fewer at once.
 const SILENT_HOSTS: usize = 3;
-/// The time within which they fall silent, in ms: a host's heartbeat.
+/// Time within which these hosts stop answering, in ms: the heartbeat interval of a host.
 const WITHIN_MS: u64 = 1_200;
 
-/// When hosts of each domain fell silent, of groups that gateways saw standing still.
+/// Times at which hosts of each domain stopped answering while gateways observed no progress in
+/// their groups.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Outages(BTreeMap<String, Vec<Millis>>);
 
 impl Outages {
-    /// One more host of a domain is silent.
+    /// Records that one more host of a domain does not answer.
     pub(super) fn add(&mut self, now: Millis, domain: &str) {
         self.0.entry(domain.to_owned()).or_default().push(now);
     }
 
-    /// Domains that may be dark, each with the time from which on.
+    /// Returns the domains that may be down, each with the time of its first silent host.
     fn dark(&mut self, now: Millis) -> BTreeMap<String, Millis> {
         self.0.retain(|_, silences| {
             silences.retain(|at| now < *at + WITHIN_MS);
@@ -39,7 +44,8 @@
 }
 
 impl Planner {
-    /// Asks the hosts of domains that may be dark which nobody heard of since.
+    /// Probes the hosts of domains that may be down, unless they were probed since the outage
+    /// began.
     pub(super) fn ask_dark_domains(&mut self, now: Millis) {
         let dark = self.outages.dark(now);
         if dark.is_empty() {
@@ -47,7 +53,8 @@
         }
         for host in self.hosts.values_mut().filter(|host| !host.is_lost()) {
             let since = dark.get(&host.server.domain);
-            // What it was heard to say may be an old record of the list.
+            // The last report may stem from an old record of the list, so the time of the last
+            // probe counts.
             if since.is_some_and(|since| host.probed_at < *since) {
                 host.suspect();
             }
--- a/crates/oliveworks-gateway-core/src/planner/parts.rs
+++ b/crates/oliveworks-gateway-core/src/planner/parts.rs
@@ -1,14 +1,15 @@
-//! Which part of the hosts each model should have, by what callers ask for.
+//! Target shares of the hosts for each model, by demand.
 //!
-//! Shares are configured before anyone knows the callers. Once these come, a model may refuse them
-//! beside hosts that another one does not need. Parts then follow demand, in both directions: in the
-//! simulated pool of 48 hosts, whose smaller model's callers fill 16 groups and the larger one's a single
-//! one, 20 and 2 groups serve after 50 s, by shares alone 14 and 5.
+//! Shares are configured before the demand is known. During traffic a model may refuse requests
+//! while another one has hosts that it does not need. Target shares then follow the demand, in both
+//! directions. In the simulated pool of 48 hosts, where the requests for the smaller model fill 16
+//! groups and those for the larger model a single one, 20 and 2 groups serve after 50 s. By
+//! configured shares alone it is 14 and 5.
 //!
-//! A host that changes over takes a load, so parts change only for what has lasted about as long as one: a
-//! model that was busy through all that time, and others that would not have been as busy at any time in
-//! it. Rejected: parts by the demand of the moment, and by its peaks alone (hosts load for 12 to 16 s
-//! what is wanted for one).
+//! A host that changes its model needs a load, so shares change only for demand that has lasted
+//! about as long as a load: a model was busy throughout that time, and others would not have been
+//! as busy at any time in it. Rejected: shares by the current demand, and shares by its peaks
+//! alone, because hosts then load for 12 to 16 s for a demand of one second.
 
 use std::collections::BTreeMap;
 
@@ -16,13 +17,14 @@
 use crate::Millis;
 use crate::quota::{self, Quotas, Room};
 
-/// The time between two looks for better parts, in ms: each works quotas out anew, 11 ms for 2,400 hosts.
+/// Time between two searches for better shares, in ms. Each search recomputes the quotas, which
+/// takes 11 ms for 2,400 hosts.
 const LOOK_EVERY_MS: u64 = 500;
-/// How many groups more than its callers fill a model is meant to have: one may be lost, and comes back
-/// after a load.
+/// Number of groups that a model should have beyond those that its requests fill. One group may be
+/// lost, and returns after a load.
 const GROUPS_BEYOND: f64 = 1.0;
 
-/// The demand for a model in the time of a load, in groups.
+/// Demand for a model during the last load time, in groups.
 #[derive(Clone, Copy, Debug)]
 struct Lately {
     lowest: f64,
@@ -30,7 +32,8 @@
     at: Millis,
 }
 
-/// What the parts of the hosts that models should have follow.
+/// Recent demand and the times of the last change and search, from which the target shares are
+/// computed.
 #[derive(Clone, Debug)]
 pub(super) struct Parts {
     lately: BTreeMap<String, Lately>,
@@ -43,7 +46,7 @@
         Parts { lately: BTreeMap::new(), changed_at: now, looked_at: now }
     }
 
-    /// Takes in the demand for a model, in groups; one that is over is forgotten by half in the time of a
+    /// Records the demand for a model, in groups. Past extremes decay by half within the time of a
     /// load.
     pub(super) fn asked(&mut self, now: Millis, model: &str, groups: f64, load_ms: u64) {
         let first = Lately { lowest: 0.0, highest: groups, at: now };
@@ -58,31 +61,31 @@
         };
     }
 
-    /// The highest demand for a model in the time of a load, in groups.
+    /// Returns the highest demand for a model during the last load time, in groups.
     fn highest(&self, model: &str) -> f64 {
         self.lately.get(model).map_or(0.0, |lately| lately.highest)
     }
 
-    /// The lowest one.
+    /// Returns the lowest demand for a model during the last load time, in groups.
     fn lowest(&self, model: &str) -> f64 {
         self.lately.get(model).map_or(0.0, |lately| lately.lowest)
     }
 }
 
-/// Groups of a model in all domains.
+/// Returns the number of groups of a model in all domains.
 fn count(quotas: &Quotas, model: &str) -> f64 {
     let counts = quotas.values().filter_map(|groups| groups.get(model));
     counts.sum::<usize>() as f64
 }
 
 impl Planner {
-    /// The longest that a host loads one of the models.
+    /// Returns the longest load time of all models, in ms.
     pub(super) fn load_ms(&self) -> u64 {
         self.engine.models.iter().map(|model| model.load_ms).max().unwrap_or_default()
     }
 
-    /// Lets the parts of the hosts follow callers, if that is worth a change. One is seen through, for the
-    /// time of a load, before the next.
+    /// Adjusts the target shares to the demand, if a change is worth its cost. The next change is
+    /// considered only after the time of a load.
     pub(super) fn follow_callers(&mut self, now: Millis) {
         let due = now >= self.parts.changed_at + self.load_ms()
             && now >= self.parts.looked_at + LOOK_EVERY_MS;
@@ -99,7 +102,7 @@
         self.parts.changed_at = now;
     }
 
-    /// Whether a model was busy through the time of a load.
+    /// Whether a model was busy throughout the time of a load.
     fn any_stays_busy(&self) -> bool {
         self.engine.models.iter().any(|model| {
             let groups = count(&self.quotas, &model.name);
@@ -107,8 +110,8 @@
         })
     }
 
-    /// The parts that callers ask for and the groups that come of them, if a model that stayed busy gets
-    /// more groups and none becomes as busy for it.
+    /// Returns the shares that match the demand and the quotas that result from them, if a model
+    /// that stayed busy gains groups and no model that loses groups becomes as busy.
     fn better_parts(&self, rooms: &BTreeMap<String, Room>) -> Option<(Vec<f64>, Quotas)> {
         let mut models = self.engine.models.clone();
         for model in &mut models {
@@ -117,12 +120,12 @@
         }
         let quotas = quota::spread_out(&models, rooms, &self.spread());
         let pressure = |demand: f64, quotas: &Quotas, name: &str| demand / count(quotas, name);
-        // What the busiest model that gets more groups had to bear all the time.
+        // Highest sustained demand per group among the models that gain groups.
         let bears = |name: &str| pressure(self.parts.lowest(name), &self.quotas, name);
         let names = || models.iter().map(|model| model.name.as_str());
         let gains = names().filter(|name| count(&quotas, name) > count(&self.quotas, name));
         let before = gains.map(bears).fold(0.0, f64::max);
-        // What any other one would have had to bear at the most.
+        // Highest demand per group that the models that lose groups would have had.
         let gives = names().filter(|name| count(&quotas, name) < count(&self.quotas, name));
         let would = |name: &str| pressure(self.parts.highest(name), &quotas, name);
         let after = gives.map(would).fold(0.0, f64::max);
--- a/crates/oliveworks-gateway-core/src/planner/pressure.rs
+++ b/crates/oliveworks-gateway-core/src/planner/pressure.rs
@@ -1,20 +1,21 @@
-//! How much each model's callers ask of its groups.
+//! Demand per group of each model.
 
 use super::group::Phase;
 use super::{ModelLoad, Planner};
 use crate::Millis;
 use crate::configuration::Model;
 
-/// The time in which half of a change in a model's demand is taken in, in ms: longer than a group's
-/// passes, and short beside the second in which a group is repaired.
+/// Half-life of a model's demand, in ms: longer than a pass of a group, and short compared with the
+/// second in which a group is repaired.
 const DEMAND_HALF_MS: f64 = 350.0;
-/// The largest part of refused requests that is believed: what comes back is counted again.
+/// Upper bound on the fraction of refused requests that is used. Retried requests are counted
+/// again.
 const REFUSED_MAX: f64 = 0.8;
 
-/// The demand for each group above which callers are refused.
+/// Demand per group above which requests are refused.
 pub(super) const FULL: f64 = 1.0;
 
-/// How many full groups a model's callers would fill.
+/// Demand for a model, as the number of groups that its requests would fill.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Demand {
     groups: f64,
@@ -22,7 +23,8 @@
 }
 
 impl Planner {
-    /// How busy a model's groups are now, of which so many serve. Nothing is learned while none does.
+    /// Records the load of a model's groups, of which `serving` serve. Callers leave out models without
+    /// a serving group, so that their demand keeps its last value.
     pub fn set_load(&mut self, now: Millis, model: &str, load: ModelLoad, serving: usize) {
         let found = 1.0 - load.refused_part.clamp(0.0, REFUSED_MAX);
         let groups = load.open_per_slot / found * serving as f64;
@@ -34,14 +36,15 @@
         self.parts.asked(now, model, groups, load_ms);
     }
 
-    /// How many full groups a model's callers would fill, those among them that are refused.
+    /// Returns the number of groups that a model's requests would fill, including the refused
+    /// requests.
     pub fn demand(&self, model: &str) -> f64 {
         self.demand.get(model).map_or(0.0, |demand| demand.groups)
     }
 
-    /// The demand for each of so many groups of a model. Above 1, callers are refused.
+    /// Returns the demand per group if a model has `groups` groups. Above 1, requests are refused.
     ///
-    /// The share of slots that is taken would not do: it is 1 for a model that refuses one caller of
+    /// The fraction of occupied slots would not do. It is 1 for a model that refuses one request of
     /// ten and for one that refuses nine, and it does not count groups that are being formed.
     pub(super) fn pressure(&self, model: &Model, groups: usize) -> f64 {
         match groups {
@@ -50,7 +53,7 @@
         }
     }
 
-    /// The same once the groups that are being formed serve.
+    /// Returns the demand per group once the groups that are being formed serve.
     fn pressure_now(&self, model: &Model) -> f64 {
         self.pressure(model, self.groups_of(model))
     }
@@ -60,13 +63,13 @@
         self.pressure_now(model) > self.config.busy_load
     }
 
-    /// Groups of a model that serve or will.
+    /// Returns the number of groups of a model that serve or are being formed.
     pub(super) fn groups_of(&self, model: &Model) -> usize {
         let of_model = self.groups.values().filter(|group| group.model == model.name);
         of_model.filter(|group| group.counts() && group.members.len() == model.size).count()
     }
 
-    /// Whether any model refuses callers, also once the groups that are being formed serve.
+    /// Whether any model refuses requests even once the groups that are being formed serve.
     pub(super) fn any_refuses(&self) -> bool {
         self.engine.models.iter().any(|model| self.pressure_now(model) > FULL)
     }
@@ -77,9 +80,9 @@
         of_model.any(|group| matches!(group.phase, Phase::Open { .. }))
     }
 
-    /// Whether ending so many groups of `giver` for one of `needy` serves more callers, beyond what
-    /// the quotas say: always for a model without any group, else for one that stays busier. The last
-    /// group of a model never ends for another's.
+    /// Whether preempting `ended` groups of `giver` for one group of `needy` serves more requests,
+    /// beyond what the quotas ask for. That holds for a model without any group, and for one that
+    /// stays busier. The last group of a model is never preempted.
     pub(super) fn is_worth(&self, needy: &Model, giver: &Model, ended: usize) -> bool {
         let groups = self.groups_of(giver);
         if !self.config.yields_by_load || !self.traffic || groups <= ended {
--- a/crates/oliveworks-gateway-core/src/planner/shortage.rs
+++ b/crates/oliveworks-gateway-core/src/planner/shortage.rs
@@ -1,4 +1,4 @@
-//! Which model lacks groups the most, and which hosts are kept for it.
+//! Determines which model lacks groups the most, and which hosts are reserved for it.
 
 use std::collections::BTreeMap;
 
@@ -9,16 +9,17 @@
 use super::pressure::FULL;
 use crate::configuration::Model;
 
-/// How many times the hosts for its share a larger model may have before its spares serve a smaller
-/// one. A small group that lost a member is a small part of its model; the next large one waits long.
+/// Ratio of hosts per share between a larger and a smaller model, below which the spares of the
+/// larger one are reserved for it. A small group that lost a member is a small fraction of its
+/// model, while the next large group takes long to form.
 pub(super) const SPARE_RATIO: f64 = 1.3;
 
-/// What each model lacks, counting the groups that are planned already.
+/// Shortage of each model, with the groups counted that are already planned.
 pub(super) struct Shortage<'a> {
     pub(super) planner: &'a Planner,
-    /// The demand for each group of a model.
+    /// Demand per group of each model.
     pressures: BTreeMap<&'a str, f64>,
-    /// The hosts that a model has for its share.
+    /// Hosts of each model relative to its share.
     needs: BTreeMap<&'a str, f64>,
 }
 
@@ -40,19 +41,20 @@
         self.pressures.get(model.name.as_str()).copied().unwrap_or(0.0)
     }
 
-    /// Whether a model refuses callers, also once the groups that are being formed serve.
+    /// Whether a model refuses requests even once the groups that are being formed serve.
     pub(super) fn refuses(&self, model: &Model) -> bool {
         self.pressure(model) > FULL
     }
 
-    /// Whether a model is about to refuse callers, and lacks groups more than another.
+    /// Whether a model is about to refuse requests and lacks groups more than another.
     fn outbids(&self, model: &Model, other: &Model) -> bool {
         let config = &self.planner.config;
         let pressure = self.pressure(model);
         pressure > config.crowded_load && pressure > self.pressure(other) + config.yield_margin
     }
 
-    /// Whether a model goes before all that a domain lacks, though it should have no more groups there.
+    /// Whether a model takes precedence over all models that are below their quota in the domain,
+    /// although its own quota there is filled.
     pub(super) fn comes_first(&self, domain: &Domain<'_>, model: &Model) -> bool {
         let others = self.planner.engine.models.iter().filter(|other| other.name != model.name);
         let mut lacking = others.filter(|other| domain.lacks(self.planner, other) > 0);
@@ -60,9 +62,9 @@
             && lacking.all(|other| self.outbids(model, other))
     }
 
-    /// Whether a host is kept from a group of a model, for a larger one that it could serve sooner or
-    /// repair: to join any other drops the larger model from its memory, and the next repair would
-    /// take a load.
+    /// Whether a host is withheld from a group of a model because it is reserved for a larger one
+    /// that it could serve sooner or repair. Joining any other group drops the larger model from
+    /// the host's memory, and the next repair would take a load.
     pub(super) fn is_kept(&self, domain: &Domain<'_>, host: &Host, model: &Model) -> bool {
         let models = self.planner.engine.models.iter();
         let mut larger = models.filter(|other| other.size > model.size && host.has(&other.name));
@@ -78,7 +80,7 @@
         extra || self.can_complete(domain, larger)
     }
 
-    /// Whether a domain lacks a group of a model and has the hosts for it, or is about to have them.
+    /// Whether a domain lacks a group of a model and has, or will soon have, the hosts for it.
     fn can_complete(&self, domain: &Domain<'_>, model: &Model) -> bool {
         let lacks = domain.lacks(self.planner, model) > 0;
         lacks && domain.warm(model) + self.planner.freed_soon(domain.name, model) >= model.size
--- a/crates/oliveworks-gateway-core/src/planner/sooner.rs
+++ b/crates/oliveworks-gateway-core/src/planner/sooner.rs
@@ -1,12 +1,13 @@
-//! What free hosts can serve sooner than what is wanted of them.
+//! Groups that free hosts can form sooner than those of their domain's quota.
 //!
-//! The load that this answers: hosts come back under twice the usual callers and keep one model in memory, while
-//! their domain should have groups of another. A load takes 12 s and more, longer if many run; a group
-//! of what they keep serves after 2 s. So hosts that can form a whole group of a model that refuses callers
-//! form it, whatever the domain should have, and a join that loads is given up for it while most of the
-//! load is still ahead. Of several groups that lack hosts, the one that lacks the fewest gets its loads
-//! first, and those that wait for it load nothing else. Rejected: shares first (thirteen hosts loaded for
-//! 20 s beside callers of the model that they kept).
+//! The case behind this: hosts return under twice the usual traffic and have one model in memory,
+//! while the quota of their domain asks for groups of another. A load takes 12 s and more, and
+//! longer if many run. A group of the model in memory serves after 2 s. Hosts that can form a whole
+//! group of a model that refuses requests therefore form it, whatever the quota, and a join that
+//! loads is abandoned for it while most of the load is still ahead. If several groups lack hosts,
+//! the one that lacks the fewest gets its loads first, and hosts that wait for it load nothing
+//! else. Rejected: quotas first, because thirteen hosts then loaded for 20 s although there were
+//! requests for the model that they had in memory.
 
 use std::collections::BTreeMap;
 
@@ -18,19 +19,20 @@
 use crate::Millis;
 use crate::configuration::Model;
 
-/// How much sooner than the end of a load a group must serve for the load to be given up, in ms: what was
-/// loaded is lost, so the gain has to be some times the 2 s that the change itself takes.
+/// Time by which a group must serve before the end of a load for the load to be abandoned, in ms.
+/// The loaded part is lost, so the gain has to be a multiple of the 2 s that the change itself
+/// takes.
 const SOONER_MS: u64 = 5_000;
 
-/// A host that loads a model for a group which does not serve yet.
+/// A host that loads a model for a group that does not serve yet.
 #[derive(Clone, Copy)]
 pub(super) struct Loader<'a> {
     pub(super) host: &'a Host,
-    /// How long the load still takes, in ms.
+    /// Remaining time of the load, in ms.
     left_ms: u64,
 }
 
-/// The hosts of each domain whose loads may be given up.
+/// Returns the hosts of each domain whose loads may be abandoned.
 pub(super) fn loaders(now: Millis, planner: &Planner) -> BTreeMap<&str, Vec<Loader<'_>>> {
     let mut found: BTreeMap<&str, Vec<Loader<'_>>> = BTreeMap::new();
     let mut joining = planner.groups.values().filter(|group| group.phase == Phase::Joining);
@@ -41,7 +43,7 @@
     let queue = (planner.loading() as f64 / at_once).max(1.0);
     for group in planner.groups.values().filter(|group| group.phase == Phase::Joining) {
         let Some(model) = planner.model(&group.model) else { continue };
-        // An earlier leader may have told the head of a whole group to open.
+        // An earlier leader may have ordered the head of a whole group to open.
         let may_open = group.adopted && group.members.len() == model.size;
         if may_open || !planner.serves_anywhere(model) {
             continue;
@@ -58,7 +60,8 @@
     found
 }
 
-/// Whether the free hosts of a domain serve a model before they could serve any that the domain lacks.
+/// Whether the free hosts of a domain can serve a model that refuses requests before they could
+/// serve any model that is below its quota in the domain.
 pub(super) fn serves_first(short: &Shortage<'_>, domain: &Domain<'_>, model: &Model) -> bool {
     let planner = short.planner;
     let others = planner.engine.models.iter().filter(|other| other.name != model.name);
@@ -66,8 +69,8 @@
     planner.traffic && short.refuses(model) && lacking.all(|other| domain.warm(other) < other.size)
 }
 
-/// The hosts that form a group of a model which refuses callers, if some of them give up their loads of
-/// another.
+/// Returns hosts that form a group of a model that refuses requests, if some of them abandon their
+/// loads of another model.
 pub(super) fn given_up<'a>(
     short: &Shortage<'a>,
     domain: &Domain<'a>,
@@ -90,17 +93,18 @@
     (hosts.len() == model.size).then_some(hosts)
 }
 
-/// A group of a model that refuses callers, of which most hosts are there.
+/// A possible group of a model that refuses requests and of whose hosts more than half are
+/// available.
 #[derive(Clone, Copy)]
 pub(super) struct Nearest<'a> {
     pub(super) model: &'a Model,
-    /// Hosts that must load the model, beside those that do already.
+    /// Number of hosts that must load the model, in addition to those that already do.
     pub(super) missing: usize,
 }
 
 impl<'a> Nearest<'a> {
-    /// The model, if a host that holds none takes it up for the group: it keeps the model, or one that loads
-    /// it is still missing.
+    /// Returns the model if a host that holds none takes it up: the host has the model, or a host
+    /// that loads it is still missing.
     pub(super) fn takes(&mut self, host: &Host) -> Option<&'a Model> {
         if host.has(&self.model.name) {
             return Some(self.model);
@@ -111,7 +115,7 @@
     }
 }
 
-/// The group that the free hosts of a domain come to form with the fewest loads.
+/// Returns the group that the free hosts of a domain can form with the fewest loads.
 pub(super) fn nearest<'a>(short: &Shortage<'a>, domain: &Domain<'_>) -> Option<Nearest<'a>> {
     let planner = short.planner;
     if !planner.traffic {
--- a/crates/oliveworks-gateway-core/src/planner/spares.rs
+++ b/crates/oliveworks-gateway-core/src/planner/spares.rs
@@ -1,11 +1,12 @@
-//! What free hosts load that no group needs now.
+//! Choice of the models that free hosts load while no group needs them.
 //!
-//! A part of each domain is kept as spares. Where there are many small groups, spares hold the largest
-//! model: a small group is not missed, and a large one comes back in the time of an order. Where there
-//! are few, the first spare of a domain holds the largest model, the others the smallest; they serve in
-//! pairs while it is busy, and keep the largest staged. Rejected: one rule for all (spares of the
-//! largest cost the pools of 30 hosts 0.14 and 0.2 of their score, spares of the smallest the pools of
-//! 54 and 72 hosts 0.03 of worth).
+//! A percentage of each domain is kept as spares. Where there are many small groups, spares hold
+//! the largest model, because the loss of a small group matters little and a large group is then
+//! repaired within the time of an order. Where there are few, the first spare of a domain holds the
+//! largest model and the others the smallest. These serve in pairs while the smallest model is
+//! busy, and have the largest one staged. Rejected: one rule for all pools. Spares of the largest
+//! model cost the pools of 30 hosts 0.14 and 0.2 of their score, and spares of the smallest cost
+//! the pools of 54 and 72 hosts 0.03 of worth.
 
 use std::collections::BTreeMap;
 
@@ -17,10 +18,10 @@
 use super::sooner::nearest;
 use crate::configuration::Model;
 
-/// Groups of the smallest model of which one is not missed.
+/// Number of groups of the smallest model from which on the loss of one matters little.
 const MANY_GROUPS: usize = 9;
 
-/// The model that spares hold.
+/// Returns the model that spares hold.
 fn model_of_spares<'a>(planner: &Planner, grouped: &[&'a Model]) -> Option<&'a Model> {
     let smallest = grouped.iter().copied().min_by_key(|model| model.size)?;
     let wanted = planner.quotas.values().filter_map(|groups| groups.get(&smallest.name));
@@ -30,13 +31,13 @@
     }
 }
 
-/// Models of which a domain may come to hold a group.
+/// Returns the models of which a domain can hold a group.
 fn of_domain<'a>(planner: &'a Planner, domain: &Domain<'_>) -> Vec<&'a Model> {
     let grouped = planner.engine.models.iter().filter(|model| model.size > 1);
     grouped.filter(|model| fits(planner, domain, model)).collect()
 }
 
-/// Free hosts that hold nothing load a model, and those that only keep one staged take it up.
+/// Makes free hosts without a model load one, and free hosts with only a staged model take it up.
 pub(super) fn load_spares(
     planner: &Planner,
     domains: &BTreeMap<&str, Domain<'_>>,
@@ -67,10 +68,12 @@
     }
 }
 
-/// The model that a free host without any takes up: one that its domain lacks, if the host keeps that in
-/// memory; then the spare that the domain should have, if it keeps that; then whatever is lacking. Only
-/// then what it keeps besides: seven of nine hosts that came back were spares of a model that their
-/// domain did not lack, for 19 s and more (in the simulated pool).
+/// Returns the model that a free host that holds none takes up. The order of preference is: a model
+/// that its domain lacks and that the host has in memory; the spare that the domain should have, if
+/// the host has its model in memory; any model that the domain lacks; any other model that the host
+/// has in memory; the spare that the domain should have. With the fourth choice made earlier, seven
+/// of nine returning hosts were spares of a model that their domain did not lack, for 19 s and more
+/// (in the simulated pool).
 fn to_load<'a>(
     planner: &'a Planner,
     domain: &Domain<'_>,
@@ -99,8 +102,8 @@
     !held && !comes
 }
 
-/// The model that a further spare of a domain loads: the first one holds the largest model, whose
-/// groups are missed most and load longest.
+/// Returns the model that the next spare of a domain loads. The first spare holds the largest
+/// model, whose groups are the greatest loss and take longest to load.
 fn first_spare<'a>(
     planner: &'a Planner,
     domain: &Domain<'_>,
--- a/crates/oliveworks-gateway-core/src/planner/spread.rs
+++ b/crates/oliveworks-gateway-core/src/planner/spread.rs
@@ -1,4 +1,4 @@
-//! Which failure domains the groups of a model are spread over.
+//! Spread of the groups of a model over failure domains.
 
 use std::collections::BTreeMap;
 
@@ -6,16 +6,16 @@
 use crate::quota::{Gap, Spread, gaps};
 
 impl Planner {
-    /// How many failure domains may be lost at once with every model still served.
+    /// Sets how many failure domains may be lost at once with every model still served.
     pub fn set_tolerance(&mut self, failure_domains: usize) {
         if self.tolerance != failure_domains {
             self.tolerance = failure_domains;
-            // With no rooms held, the next look works the quotas out anew.
+            // An empty capacity map makes the next tick recompute the quotas.
             self.rooms.clear();
         }
     }
 
-    /// What groups are spread over.
+    /// Returns the failure domains over which groups are spread.
     pub(super) fn spread(&self) -> Spread {
         if self.tolerance == 0 {
             return Spread::default();
@@ -26,7 +26,7 @@
         Spread { lost: self.tolerance, failure_domains }
     }
 
-    /// The models whose groups do not fit into enough failure domains.
+    /// Returns the models whose groups do not fit into enough failure domains.
     pub fn spread_gaps(&self) -> Vec<Gap> {
         gaps(&self.engine.models, &self.quotas, &self.spread())
     }
--- a/crates/oliveworks-gateway-core/src/planner/stage.rs
+++ b/crates/oliveworks-gateway-core/src/planner/stage.rs
@@ -1,13 +1,14 @@
-//! Which hosts load a second model to their memory, beside what they serve.
+//! Choice of the hosts that load a second model to their memory while they serve.
 //!
-//! A host that keeps the model it does not hold can repair a group of either within seconds. Loads are
-//! few once traffic has begun, so the order matters: first idle hosts for a group that their domain
-//! lacks, then the largest model, whose groups are hardest to repair, unless far more hosts can serve it
-//! already for the part that it should have; on spares and then on the hosts of one group after the
-//! other. Rejected: the largest model first whatever can serve it (on 60 hosts all loads of the first 12 s
-//! went to one that five times its demand could serve, and the other refused up to 83 of 100 callers),
-//! and always the model that the fewest hosts can serve (on 57 hosts the larger model earned 0.28 to 0.59
-//! of its worth in place of 0.71 to 0.80).
+//! A host that has in memory a model other than its own can repair a group of either within
+//! seconds. Loads are scarce once traffic has begun, so their order matters. Idle hosts for a group
+//! that their domain lacks come first. Then comes the largest model, whose groups are hardest to
+//! repair, unless far more hosts for its share can serve it already. Within a model, spares come
+//! first and then the hosts of one group after the other. Rejected: the largest model first,
+//! however many hosts can serve it; on 60 hosts all loads of the first 12 s went to a model for
+//! which hosts for five times its demand were available, and the other refused up to 83 of 100
+//! requests. Rejected: always the model that the fewest hosts can serve; on 57 hosts the larger
+//! model earned 0.28 to 0.59 of its worth instead of 0.71 to 0.80.
 
 use std::collections::BTreeMap;
 
@@ -26,25 +27,26 @@
 pub(super) struct Staging {
     pub(super) host: BackendServerId,
     pub(super) model: String,
-    /// Whether callers are refused who would be served once it is done, and not only after the next loss.
+    /// Whether requests are being refused that could be served once the load is done. Otherwise the
+    /// load helps only after the next failure.
     pub(super) urgent: bool,
 }
 
-/// A host that could stage a model, with what decides its turn.
+/// A host that could stage a model, with the criteria for its priority.
 struct Candidate<'a> {
     host: &'a Host,
     model: &'a Model,
-    /// The group that it serves in; none for an idle host.
+    /// Epoch of the group in which the host serves; `None` for an idle host.
     epoch: Option<u64>,
-    /// How many of its domain have the model staged or come before it.
+    /// Number of hosts of the domain that have the model staged or come before this host.
     turn: usize,
-    /// Whether it would complete a group that its domain lacks.
+    /// Whether the host would complete a group that its domain lacks.
     completes: bool,
-    /// Whether that group's model refuses callers.
+    /// Whether the model of that group refuses requests.
     urgent: bool,
 }
 
-/// Hosts that should stage a model that they do not hold, the most urgent first.
+/// Returns the hosts that should stage a model that they do not hold, the most urgent first.
 pub(super) fn stage(now: Millis, planner: &Planner) -> Vec<Staging> {
     let grouped = || planner.engine.models.iter().filter(|model| model.size > 1);
     let domains = domains(now, planner);
@@ -91,14 +93,16 @@
     still.then_some(Candidate { host, model, epoch, turn: 0, completes: false, urgent: false })
 }
 
-/// Hosts that can serve a model without a load, or will soon, for the part that it should have.
+/// Returns the number of hosts that can serve a model without a load, now or soon, relative to its
+/// share.
 fn able_for_part(planner: &Planner, model: &Model) -> f64 {
     let hosts = planner.hosts.values().filter(|host| host.is_fit());
     let able = hosts.filter(|host| host.has(&model.name) || host.is_staging(&model.name));
     per_weight(able.count(), model)
 }
 
-/// Idle hosts first, then hosts of one group after the other.
+/// Assigns the turns of the candidates: idle hosts first, then the hosts of one group after the
+/// other.
 fn take_turns<'a>(
     candidates: &mut [Candidate<'a>],
     mut staged: BTreeMap<(&'a str, &'a str), usize>,
@@ -121,8 +125,9 @@
     domain.is_some_and(|domain| domain.count(model) > quota(planner, domain.name, model))
 }
 
-/// Marks the hosts that complete groups which their domain lacks, as many as are missing: idle ones,
-/// and those of groups that end for it once all is there.
+/// Marks the candidates that complete groups which their domain lacks, as many as are missing.
+/// These are idle hosts, and hosts of groups that are preempted once all hosts for the new group
+/// are ready.
 fn mark_completing(
     planner: &Planner,
     domains: &BTreeMap<&str, Domain<'_>>,
--- a/crates/oliveworks-gateway-core/src/planner/waiting.rs
+++ b/crates/oliveworks-gateway-core/src/planner/waiting.rs
@@ -1,7 +1,8 @@
-//! Free hosts that wait beside a model which refuses callers.
+//! Free hosts that wait while a model that they could serve refuses requests.
 //!
-//! Most hosts of a group are free and hold or keep its model, callers of that model are refused, and no group comes
-//! of them: an operator should see it, and why. A repair takes 2 s, so what lasts longer is told, once.
+//! Most hosts of a group are free and have its model, requests for that model are refused, and yet
+//! no group is formed. Operators should see that and its reason. A repair takes 2 s, so a longer
+//! wait is reported, once.
 
 use std::collections::BTreeMap;
 
@@ -10,32 +11,33 @@
 use super::shortage::Shortage;
 use crate::Millis;
 
-/// How long hosts may wait before it is told, in ms: a group of hosts that keep its model forms in 2 s.
+/// Waiting time after which hosts are reported, in ms. A group of hosts with the model in memory
+/// forms in 2 s.
 const TOLD_AFTER_MS: u64 = 3_000;
 
 /// Free hosts that wait for a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WaitingHosts {
-    /// Their domain.
+    /// Domain of the hosts.
     pub domain: String,
-    /// The model that they could serve.
+    /// Model that the hosts could serve.
     pub model: String,
-    /// How many hold it, or keep it in memory.
+    /// Number of hosts that hold the model or have it in memory.
     pub hosts: usize,
-    /// How many more their group takes.
+    /// Number of hosts that the group lacks.
     pub missing: usize,
-    /// How many of these load the model.
+    /// Number of hosts that load the model.
     pub loading: usize,
-    /// How long they have waited, in ms.
+    /// Time that the hosts have waited, in ms.
     pub waited_ms: u64,
 }
 
-/// Since when hosts wait, by domain and model, and whether that was told.
+/// Time since which hosts wait, by domain and model, and whether that was reported.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Waits(BTreeMap<(String, String), (Millis, bool)>);
 
 impl Planner {
-    /// Free hosts that have waited for too long, each set once.
+    /// Returns the free hosts that have waited for too long. Each wait is returned once.
     pub fn waiting_hosts(&mut self, now: Millis) -> Vec<WaitingHosts> {
         let found = self.find_waiting(now);
         let key = |waiting: &WaitingHosts| (waiting.domain.clone(), waiting.model.clone());
--- a/crates/oliveworks-gateway-core/src/planner/yielding.rs
+++ b/crates/oliveworks-gateway-core/src/planner/yielding.rs
@@ -1,4 +1,4 @@
-//! Groups that end so that a model which lacks groups more gets their hosts.
+//! Preemption of groups so that a model that lacks groups more gets their hosts.
 
 use super::Planner;
 use super::domain::{Domain, Warmth, domains, quota, warmth};
@@ -7,14 +7,14 @@
 use crate::Millis;
 use crate::configuration::Model;
 
-/// Groups that end so that a needier model gets their hosts.
+/// Groups that are preempted so that a model with a greater shortage gets their hosts.
 pub(super) struct Yield {
     pub(super) epochs: Vec<u64>,
     pub(super) model: String,
 }
 
-/// Groups to be ended, where the domain should hold a larger one instead and has all that this one
-/// needs but for their hosts.
+/// Returns groups to preempt where the domain should hold a larger group instead and lacks only
+/// their hosts for it.
 pub(super) fn yielding(now: Millis, planner: &Planner) -> Option<Yield> {
     let domains = domains(now, planner);
     let mut models: Vec<&Model> = planner.engine.models.iter().filter(|m| m.size > 1).collect();
@@ -27,16 +27,17 @@
     })
 }
 
-/// The groups of smaller models whose hosts complete a group, if the domain keeps as many of them as
-/// it should hold: what is left over may form new ones at once.
+/// Returns the groups of smaller models whose hosts complete a group of `needy`, if the domain
+/// keeps as many of them as its quota asks for. Hosts that are left over may form new groups at
+/// once.
 fn givers(planner: &Planner, domain: &Domain<'_>, needy: &Model) -> Option<Vec<u64>> {
     let smaller = planner.engine.models.iter().filter(|m| m.size > 1 && m.size < needy.size);
     let found = smaller.filter_map(|model| givers_of(planner, domain, needy, model)).next();
     found.or_else(|| surplus_group(planner, domain, needy).map(|epoch| vec![epoch]))
 }
 
-/// A group of a larger model of which the domain has more than it should, if all its hosts keep the needy
-/// model in memory: until then it serves on.
+/// Returns a group of a larger model that exceeds the domain's quota, if all its hosts have the
+/// model of `needy` in memory. Until then the group continues to serve.
 fn surplus_group(planner: &Planner, domain: &Domain<'_>, needy: &Model) -> Option<u64> {
     let larger = |name: &str| planner.model(name).is_some_and(|model| model.size > needy.size);
     let mut groups = planner.groups.values().filter(|group| larger(&group.model));
--- a/crates/oliveworks-gateway-core/src/quota.rs
+++ b/crates/oliveworks-gateway-core/src/quota.rs
@@ -1,11 +1,12 @@
-//! How many replica groups of each model every failure domain should hold.
+//! Computes how many replica groups of each model every domain should hold.
 //!
-//! Counts come first, places second. The model with the fewest hosts for its weight gets the next
-//! group, as long as all groups still fit into the domains, the largest placed first. Rejected:
-//! forming whatever fits next, group by group, since small groups spread over all domains leave no
-//! domain with room for a large one.
+//! Counts are decided first, locations second. The model with the fewest hosts for its share gets
+//! the next group, as long as all groups still fit into the domains. Groups of the largest model
+//! are placed first. Rejected: forming whatever fits next, group by group, because small groups
+//! spread over all domains then leave no domain with room for a large one.
 //!
-//! Where failure domains may be lost, each model first gets its groups in more of them than that.
+//! If the loss of failure domains has to be tolerated, each model first gets groups in more failure
+//! domains than may be lost.
 
 mod packing;
 mod spread;
@@ -16,42 +17,45 @@
 use packing::Pool;
 pub use spread::{Gap, Spread, gaps};
 
-/// What a domain can hold, and holds.
+/// Capacity and current groups of a domain.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Room {
-    /// Hosts that may serve: those that live, less the spares.
+    /// Hosts that may serve: the eligible hosts less the spares.
     pub hosts: usize,
-    /// Hosts that are kept as spares beside them.
+    /// Hosts that are kept as spares, in addition to those that may serve.
     pub spares: usize,
     /// Groups that serve or are being formed, by model.
     pub groups: BTreeMap<String, usize>,
-    /// Free hosts that hold a model, by model: what is left of a group is completed where it is.
+    /// Free hosts that hold a model, by model. The rest of a group is completed where it is.
     pub hot: BTreeMap<String, usize>,
 }
 
-/// Groups by domain and model.
+/// Number of groups by domain and model.
 pub type Quotas = BTreeMap<String, BTreeMap<String, usize>>;
 
-/// The least share that a model is taken to have.
+/// Minimum share with which a model is counted.
 const SHARE_MIN: f64 = 0.001;
 
-/// Hosts of a model, measured by its weight: the least needs hosts the most.
+/// Returns the number of hosts of a model relative to its weight. The model with the smallest value
+/// needs hosts the most.
 ///
-/// The weight is the model's share. Rejected: the share times the root of the model's size, since of
-/// larger groups there are fewer. Once all groups are packed it leaves the smaller models too few.
+/// The weight is the model's share. Rejected: the share times the square root of the model's size,
+/// on the ground that there are fewer of larger groups. Once all groups are packed, that leaves too
+/// few groups to the smaller models.
 pub fn per_weight(hosts: usize, model: &Model) -> f64 {
     hosts as f64 / model.share.max(SHARE_MIN)
 }
 
-/// The groups that each domain should hold, where spares give way to a model that would have none.
+/// Returns the groups that each domain should hold, where spares are released for a model that
+/// would have no group otherwise.
 ///
-/// A domain may be no larger than one group: spares that no group is left for serve nobody.
+/// A domain may be no larger than one group, and spares without a group to repair serve nothing.
 pub fn serving_all(models: &[Model], rooms: &BTreeMap<String, Room>) -> Quotas {
     spread_out(models, rooms, &Spread::default())
 }
 
-/// Like [`serving_all`], with each model spread over failure domains as far as groups fit; spares give way to
-/// these, too.
+/// Like [`serving_all`], with each model spread over failure domains as far as its groups fit.
+/// Spares are released for these groups, too.
 pub fn spread_out(models: &[Model], rooms: &BTreeMap<String, Room>, spread: &Spread) -> Quotas {
     let mut rooms = rooms.clone();
     loop {
@@ -63,7 +67,8 @@
     }
 }
 
-/// The domain that should keep a spare less, since a model has no group and its hosts would do.
+/// Returns the domain that should keep one spare less, because a model has no group and the hosts
+/// of the domain would suffice for one.
 fn gives_way(models: &[Model], rooms: &BTreeMap<String, Room>, found: &Quotas) -> Option<String> {
     let has_group = |model: &Model| found.values().any(|groups| groups.contains_key(&model.name));
     let unserved = models.iter().filter(|model| model.size > 0 && !has_group(model));
@@ -75,10 +80,10 @@
     Some(largest.0.clone())
 }
 
-/// The groups that each domain should hold.
+/// Returns the groups that each domain should hold.
 ///
-/// Groups that exist are kept where that is possible; a domain that lost a large group may have to
-/// give up small ones for it.
+/// Existing groups are kept where possible. A domain that lost a large group may have to give up
+/// small ones for it.
 pub fn quotas(models: &[Model], rooms: &BTreeMap<String, Room>) -> Quotas {
     fill(models, rooms, &Spread::default())
 }
@@ -92,14 +97,14 @@
         let turns = turns(models, &open, &counts, most);
         let fitting = longest_fitting(&pool, &counts, &turns);
         turns[..fitting].iter().for_each(|model| counts[*model] += 1);
-        // The next one does not fit, and no later one of the same model does.
+        // The next group does not fit, and neither does any later one of the same model.
         let Some(full) = turns.get(fitting) else { break };
         open.retain(|model| model != full);
     }
     pool.pack(&counts).map_or_else(|| pool.empty(), |packed| pool.named(&packed))
 }
 
-/// Which model gets the next group, turn by turn, if none of the open ones ever fails to fit.
+/// Returns the order in which models get groups if no group of the `open` models fails to fit.
 fn turns(models: &[Model], open: &[usize], counts: &[usize], most: usize) -> Vec<usize> {
     let mut counts = counts.to_vec();
     let mut turns = Vec::new();
@@ -111,8 +116,9 @@
     turns
 }
 
-/// How many of these turns fit beside the groups of before, found by doubling and halving. Rejected: trying
-/// one after the other (342 ms for 1,000 hosts in 100 domains in place of 1.5, on a whole core).
+/// Returns how many of these turns fit in addition to the existing counts, found by exponential and
+/// binary search. Rejected: trying one after the other, which takes 342 ms on a whole core for
+/// 1,000 hosts in 100 domains instead of 1.5 ms.
 fn longest_fitting(pool: &Pool<'_>, counts: &[usize], turns: &[usize]) -> usize {
     let fits = |length: usize| {
         let mut counts = counts.to_vec();
@@ -136,7 +142,7 @@
 
 fn neediest(models: &[Model], open: &[usize], counts: &[usize]) -> usize {
     let need = |model: usize| per_weight(counts[model] * models[model].size, &models[model]);
-    // Where only one of two models fits, the one with the larger part of the work is served.
+    // If only one of two models without groups fits, the one with the larger share is served.
     let first = |model: usize| if need(model) > 0.0 { 0.0 } else { -models[model].share };
     let by_need = |a: &&usize, b: &&usize| {
         need(**a).total_cmp(&need(**b)).then(first(**a).total_cmp(&first(**b)))
--- a/crates/oliveworks-gateway-core/src/quota/packing.rs
+++ b/crates/oliveworks-gateway-core/src/quota/packing.rs
@@ -1,36 +1,37 @@
-//! Which domains hold how many groups of each model.
+//! Placement of groups in domains.
 //!
-//! The largest groups are placed first, since small ones fit into what is left. Before them come the groups
-//! that spread a model over failure domains, each in one that has none of it yet.
+//! The largest groups are placed first, because small ones fit into the remaining capacity. The
+//! groups that spread a model over failure domains are placed before all others, each in a failure
+//! domain without a group of the model.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{Quotas, Room, Spread};
 use crate::configuration::Model;
 
-/// Domains and models by number, since packing looks at each domain for each group.
+/// Domains and models by index, because packing visits each domain for each group.
 pub(super) struct Pool<'a> {
     models: &'a [Model],
     rooms: &'a BTreeMap<String, Room>,
     hosts: Vec<usize>,
     spares: Vec<usize>,
-    /// The failure domain of each domain.
+    /// Index of the failure domain of each domain.
     failure_domains: Vec<usize>,
-    /// How many groups of each model are placed in failure domains of their own; 0 for all where none may be
-    /// lost.
+    /// Number of groups of each model that are placed in separate failure domains; 0 for all models
+    /// if no loss of a failure domain has to be tolerated.
     apart: Vec<usize>,
-    /// Groups that exist, and free hosts that hold the model, by domain and model.
+    /// Existing groups by domain and model, and free hosts that hold the model.
     groups: Vec<Vec<usize>>,
     hot: Vec<Vec<usize>>,
-    /// Models, the largest first.
+    /// Indexes of the models, the largest first.
     largest_first: Vec<usize>,
 }
 
-/// Groups by domain and model, by number.
+/// Number of groups by domain and model, both by index.
 type Packed = Vec<Vec<usize>>;
 
 impl<'a> Pool<'a> {
-    /// Domains with what they can hold.
+    /// Creates a pool from the capacities of the domains.
     pub(super) fn new(
         models: &'a [Model],
         rooms: &'a BTreeMap<String, Room>,
@@ -58,13 +59,15 @@
         pool
     }
 
-    /// The groups of each model that are placed before all others, in failure domains of their own.
+    /// Returns the number of groups of each model that are placed before all others, in separate
+    /// failure domains.
     pub(super) fn spread_groups(&self) -> &[usize] {
         &self.apart
     }
 
-    /// In how many failure domains each model can have a group beside the other models, `wanted` at the most.
-    /// First every model gets one, then a second, the one with the larger part of the work before others.
+    /// Returns in how many failure domains each model can have a group along with the other models,
+    /// at most `wanted`. First every model gets one, then a second and so on, with models of a
+    /// larger share first.
     fn most_apart(&self, wanted: usize) -> Vec<usize> {
         let mut apart = vec![0; self.models.len()];
         let mut by_share: Vec<usize> = self.largest_first.clone();
@@ -81,18 +84,18 @@
         apart
     }
 
-    /// More groups than ever fit.
+    /// Returns an upper bound on the number of groups, which never fits.
     pub(super) fn most_groups(&self) -> usize {
         let smallest = self.models.iter().map(|model| model.size).filter(|size| *size > 0).min();
         self.hosts.iter().sum::<usize>() / smallest.unwrap_or(1) + 1
     }
 
-    /// No groups at all.
+    /// Returns quotas without groups.
     pub(super) fn empty(&self) -> Quotas {
         self.rooms.keys().map(|domain| (domain.clone(), BTreeMap::new())).collect()
     }
 
-    /// Groups by name.
+    /// Converts indexes to names.
     pub(super) fn named(&self, packed: &Packed) -> Quotas {
         let groups = |counts: &Vec<usize>| {
             let some = self.models.iter().zip(counts).filter(|(_, count)| **count > 0);
@@ -102,12 +105,12 @@
         domains.map(|(domain, counts)| (domain.clone(), groups(counts))).collect()
     }
 
-    /// Places so many groups of each model, the largest first; nothing if they do not fit.
+    /// Places `counts` groups of each model, the largest first. Returns `None` if they do not fit.
     pub(super) fn pack(&self, counts: &[usize]) -> Option<Packed> {
         self.pack_apart(counts, &self.apart)
     }
 
-    /// The same, with so many groups of each model in failure domains of their own.
+    /// Like [`pack`](Pool::pack), with `apart` groups of each model in separate failure domains.
     fn pack_apart(&self, counts: &[usize], apart: &[usize]) -> Option<Packed> {
         let needed: usize =
             self.models.iter().zip(counts).map(|(model, count)| model.size * count).sum();
@@ -137,7 +140,8 @@
     }
 }
 
-/// Numbers the failure domain of each domain; one that is not known is a failure domain by itself.
+/// Returns the index of the failure domain of each domain. A domain with an unknown failure domain
+/// counts as its own failure domain.
 fn numbered(rooms: &BTreeMap<String, Room>, spread: &Spread) -> Vec<usize> {
     let name = |domain| spread.failure_domains.get(domain).unwrap_or(domain);
     let names: BTreeSet<&String> = rooms.keys().map(name).collect();
@@ -146,21 +150,22 @@
     rooms.keys().map(|domain| numbers[name(domain)]).collect()
 }
 
-/// Groups that are placed so far.
+/// Groups placed so far.
 struct Packing<'a> {
     pool: &'a Pool<'a>,
-    /// Hosts of each domain that are left, without spares.
+    /// Remaining hosts of each domain, without spares.
     left: Vec<usize>,
-    /// Spares that have not given way.
+    /// Remaining spares of each domain.
     spares: Vec<usize>,
     packed: Packed,
-    /// Groups by failure domain and model.
+    /// Number of groups by failure domain and model.
     together: Packed,
 }
 
 impl Packing<'_> {
-    /// Places a group of a model in a failure domain without one, if there is room: where one exists, where
-    /// no spare gives way, where most hosts hold the model, where most hosts are left.
+    /// Places a group of a model in a failure domain without one, if there is room. The criteria
+    /// for the domain are, in this order: a group of the model exists, no spare is released, most
+    /// hosts hold the model, most hosts remain.
     fn place_apart(&mut self, model: usize) -> Option<()> {
         let size = self.pool.models[model].size;
         let fitting = (0..self.left.len()).filter(|domain| {
@@ -180,9 +185,10 @@
         Some(())
     }
 
-    /// Places a group of a model, if there is room: where one exists, where most hosts hold the model, where
-    /// there are fewest of it (for a model that is spread, in the whole failure domain), where most hosts are
-    /// left.
+    /// Places a group of a model, if there is room. The criteria for the domain are, in this order:
+    /// a group of the model exists, most hosts hold the model, the number of its groups is smallest
+    /// (in the whole failure domain for a model that is spread, then in the domain), most hosts
+    /// remain.
     fn place(&mut self, model: usize) -> Option<()> {
         let size = self.pool.models[model].size;
         let spreads = self.pool.apart[model] > 0;
@@ -202,7 +208,7 @@
         Some(())
     }
 
-    /// Groups in the failure domain of a domain, by model.
+    /// Returns the groups in the failure domain of a domain, by model.
     fn beside(&self, domain: usize) -> &[usize] {
         &self.together[self.pool.failure_domains[domain]]
     }
--- a/crates/oliveworks-gateway-core/src/quota/spread.rs
+++ b/crates/oliveworks-gateway-core/src/quota/spread.rs
@@ -1,35 +1,36 @@
-//! In how many failure domains each model has groups.
+//! Spread of each model over failure domains.
 //!
-//! Answers the loss of a whole failure domain: what is left goes on serving every model, while a model whose
-//! groups all stood there would refuse its callers for the time of a load. Only the first groups of a model
-//! are placed for that; the others stay where they are, since moving one costs a load, too.
+//! Guards against the loss of a whole failure domain: the remaining ones continue to serve every
+//! model. A model whose groups were all in the lost one would refuse requests for the time of a
+//! load. Only the first groups of a model are placed for that purpose. The others stay where they
+//! are, because moving a group also costs a load.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::Quotas;
 use crate::configuration::Model;
 
-/// What is to be borne.
+/// Tolerated losses of failure domains.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Spread {
-    /// How many failure domains may be lost at once; each model is spread over one more.
+    /// Number of failure domains that may be lost at once. Each model is spread over one more.
     pub lost: usize,
-    /// The failure domain of each domain.
+    /// Failure domain of each domain.
     pub failure_domains: BTreeMap<String, String>,
 }
 
 /// A model with groups in fewer failure domains than it should have.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Gap {
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// How many failure domains should hold groups of it.
+    /// Number of failure domains that should hold groups of the model.
     pub wanted: usize,
-    /// How many do.
+    /// Number of failure domains that do.
     pub found: usize,
 }
 
-/// The models whose groups do not fit into enough failure domains.
+/// Returns the models whose groups do not fit into enough failure domains.
 pub fn gaps(models: &[Model], quotas: &Quotas, spread: &Spread) -> Vec<Gap> {
     if spread.lost == 0 {
         return Vec::new();
--- a/crates/oliveworks-gateway-core/src/speed.rs
+++ b/crates/oliveworks-gateway-core/src/speed.rs
@@ -1,22 +1,22 @@
-//! Which replica groups run much slower than others of their model.
+//! Detects replica groups that run much slower than others of their model.
 //!
-//! A group runs at the pace of its slowest member, and one slow host makes all of it slow. Gateways
-//! see that from the pauses between the events of streams; the leader then asks the members for
-//! their pace. Rejected: asking all hosts now and then (each question is priced, and nearly all
-//! answers say nothing).
+//! A group runs at the pace of its slowest member, so one slow host slows the whole group. Gateways
+//! detect that from the pauses between the events of streams. The leader then probes the members
+//! for their pace. Rejected: probing all hosts at intervals, because each probe has a cost and
+//! nearly all answers contain nothing new.
 
 use std::collections::HashMap;
 
 use crate::Millis;
 use crate::balance::Target;
 
-/// The weight of a new pause.
+/// Weight of a new pause in the moving average.
 const WEIGHT: f64 = 0.15;
-/// Pauses that must have been seen.
+/// Minimum number of observed pauses.
 const SAMPLES: u32 = 8;
-/// How long ago the last one may be.
+/// Maximum age of the last pause, in ms.
 const YOUNG_MS: u64 = 1_000;
-/// How many times as long as at other groups of its model pauses must be.
+/// Ratio to the median pause of the other groups of the model above which a group is slow.
 const SLOW_RATIO: f64 = 2.0;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -31,7 +31,7 @@
 pub struct Speeds(HashMap<Target, Speed>);
 
 impl Speeds {
-    /// A stream at a target has paused for so long between two events.
+    /// Records a pause between two events of a stream at a target.
     pub fn paused(&mut self, now: Millis, target: Target, pause_ms: u64) {
         let speed = self.0.entry(target).or_default();
         if now > speed.at + YOUNG_MS {
@@ -42,8 +42,9 @@
         speed.at = now;
     }
 
-    /// Those of a model's groups that are slow. `longest_pass_ms` is what no group should need; it
-    /// tells where there is no other group to compare with.
+    /// Returns the slow groups among `targets`, the groups of one model. A pause longer than
+    /// `longest_pass_ms`, the maximum that any group should need, marks a group as slow even
+    /// without another group to compare with.
     pub fn slow(&self, now: Millis, targets: &[Target], longest_pass_ms: u64) -> Vec<Target> {
         let known = |target: &Target| {
             let speed = self.0.get(target)?;
@@ -61,7 +62,7 @@
         slow.map(|(target, _)| *target).collect()
     }
 
-    /// Forgets targets that are gone.
+    /// Removes targets that are gone.
     pub fn retain(&mut self, keep: impl Fn(Target) -> bool) {
         self.0.retain(|target, _| keep(*target));
     }
