--- a/crates/oliveworks-gateway-core/src/backend_servers.rs
+++ b/crates/oliveworks-gateway-core/src/backend_servers.rs
@@ -1,4 +1,4 @@
-//! What is known of backend servers.
+//! State of backend servers, as records and reports describe it.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -8,70 +8,72 @@
 
 use crate::balance::Target;
 
-/// The id of a backend server; one that starts again may have the one that it had.
+/// Id of a backend server; a restarted one may keep its id.
 pub type BackendServerId = Rc<str>;
 
-/// Where a member of a replica group stands.
+/// State of a member of a replica group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It loads the model.
+    /// The member loads the model.
     Joining,
-    /// It has the model.
+    /// The member has loaded the model.
     Ready,
-    /// It is the head and serves.
+    /// The member is the head and serves.
     Open,
-    /// It is the head and finishes its work.
+    /// The member is the head and finishes its outstanding requests.
     Closing,
-    /// A member is missing.
+    /// A member of the group is missing.
     Broken,
 }
 
-/// A backend server's place in a replica group.
+/// Membership of a backend server in a replica group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// The group's name.
+    /// Name of the group.
     pub name: String,
-    /// The group's epoch.
+    /// Epoch of the group.
     pub epoch: u64,
-    /// 0 for the head.
+    /// Rank in the group; 0 for the head.
     pub rank: usize,
-    /// Where it stands.
+    /// State of the member.
     pub state: MemberState,
 }
 
-/// When a life of a backend server began, in ms since the start of 1970 by its own clock: what one says of
-/// itself is told apart by it from what it said before it started again.
+/// Start of a backend server's incarnation, in ms since 1970-01-01 by its own clock. It
+/// distinguishes what the server reports from what it reported before a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Born(pub u64);
 
-/// A backend server as it describes itself.
+/// A backend server as its record describes it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BackendServer {
-    /// Its id.
+    /// Id of the backend server.
     pub id: BackendServerId,
-    /// Its service.
+    /// Service that the backend server belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Address on which the backend server listens.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the backend server.
     pub failure_domain: String,
-    /// Its fabric domain.
+    /// Fabric domain of the backend server.
     pub domain: String,
-    /// Requests that it works on at once.
+    /// Number of requests that the backend server works on concurrently.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether the backend server is leaving.
     pub draining: bool,
-    /// How much longer it was cold when its record was written, in ms; 0 if it was warm.
+    /// Remaining cold time when the record was written, in ms; 0 if the backend server was warm.
     pub cold_ms: u64,
-    /// Counts its records in this life, if they say so; not a part of what a record tells.
+    /// Counts the records of this incarnation, if they are numbered; not part of a record's
+    /// content.
     pub number: Option<u64>,
-    /// What it tells of its models.
+    /// State of the models on the backend server.
     pub holding: Holding,
 }
 
 impl BackendServer {
-    /// Whether this record may be younger than one that is known: a store that has lost its history, and a
-    /// gateway that was paused, tell records again that are seconds old. One that leaves never comes back.
+    /// Whether this record may be newer than a known one: a store that has lost its history, and a
+    /// gateway that was paused, return records that are seconds old. A backend server that leaves
+    /// never comes back in the same incarnation.
     pub fn may_follow(&self, known: &BackendServer) -> bool {
         if self.holding.is_of_later_life(known.holding.born) {
             return true;
@@ -82,38 +84,38 @@
             && (self.draining || !known.draining)
     }
 
-    /// Whether both records tell the same, whenever they were written.
+    /// Whether both records have the same content, whenever they were written.
     pub fn tells_the_same(&self, other: &BackendServer) -> bool {
         BackendServer { number: other.number, ..self.clone() } == *other
     }
 }
 
-/// What a backend server tells of its models; changes with every order.
+/// State of the models on a backend server; changes with every order.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Holding {
-    /// Models in its accelerators.
+    /// Models in the accelerators.
     pub models: Vec<String>,
-    /// Models in its host's memory.
+    /// Models in the memory of the host.
     pub staging: Vec<String>,
-    /// Its place in a group.
+    /// Membership in a replica group.
     pub group: Option<Membership>,
-    /// How much slower than usual it is, if it says so; 1 is usual.
+    /// Slowdown factor, if reported; 1 is the usual pace.
     pub pace: Option<f64>,
-    /// Whether it loads a model or joins a group, if it says so.
+    /// Whether the backend server loads a model or joins a group, if reported.
     pub loads: Option<bool>,
-    /// How many orders it has begun in this life, if it says so; records do not.
+    /// Number of orders begun in this incarnation, if reported; records do not hold it.
     pub orders: Option<u64>,
-    /// When its life began, if it says so.
+    /// Start of the incarnation, if reported.
     pub born: Option<Born>,
 }
 
 impl Holding {
-    /// Whether it is told in a later life than one that is known; not if either is not told.
+    /// Whether this state is of a later incarnation than `known`; `false` if either is unknown.
     pub fn is_of_later_life(&self, known: Option<Born>) -> bool {
         self.born.zip(known).is_some_and(|(own, known)| own > known)
     }
 
-    /// Whether both tell of the same models and the same place in a group.
+    /// Whether both states have the same models and the same group membership.
     pub fn says_the_same(&self, other: &Holding) -> bool {
         self.models == other.models && self.staging == other.staging && self.group == other.group
     }
@@ -124,14 +126,17 @@
 pub struct Directory {
     servers: BTreeMap<BackendServerId, BackendServer>,
     by_target: HashMap<Target, BackendServerId>,
-    /// Those that said in an answer that they leave, and in which life. Kept also while one is not listed.
+    /// Backend servers that reported in an answer that they leave, each with its incarnation. An
+    /// entry is kept also while the server is not listed.
     leaving: HashMap<BackendServerId, Option<Born>>,
 }
 
 impl Directory {
-    /// A backend server said in an answer that it leaves, in a life that began then; tells whether that is news.
+    /// Records that a backend server, in the incarnation `born`, reported in an answer that it
+    /// leaves. Returns whether that is new.
     ///
-    /// Its record may be older than that, and never tell: only a later life takes it back.
+    /// The server's record may be older than the answer, or never hold this state: only a later
+    /// incarnation cancels it.
     pub fn leaves(&mut self, id: &str, born: Option<Born>) -> bool {
         let Some(server) = self.servers.get_mut(id) else { return false };
         if server.draining || server.holding.born != born {
@@ -142,30 +147,31 @@
         true
     }
 
-    /// A record with what its backend server said beside it: that it leaves in this life.
+    /// Returns a record with `draining` set if its backend server reported, in this incarnation,
+    /// that it leaves.
     pub fn with_leaving(&self, mut server: BackendServer) -> BackendServer {
         server.draining |= self.leaving.get(&server.id) == Some(&server.holding.born);
         server
     }
 
-    /// Forgets that a backend server which is not listed any more said that it leaves.
+    /// Forgets that a backend server reported that it leaves, if the server is no longer listed.
     pub fn forget_leaving(&mut self, id: &str) {
         if !self.servers.contains_key(id) {
             self.leaving.remove(id);
         }
     }
 
-    /// When a backend server's life began, as its record says.
+    /// Returns the start of a backend server's incarnation, according to its record.
     pub fn born(&self, id: &str) -> Option<Born> {
         self.servers.get(id)?.holding.born
     }
 
-    /// The id of a target, if its backend server is listed.
+    /// Returns the id of a target, if its backend server is listed.
     pub fn id(&self, target: Target) -> Option<&BackendServerId> {
         self.by_target.get(&target)
     }
 
-    /// Takes a record in; tells whether it changed anything.
+    /// Adds or replaces a record and returns whether its content changed anything.
     pub fn put(&mut self, server: BackendServer) -> bool {
         let server = self.with_leaving(server);
         if !server.draining {
@@ -185,45 +191,45 @@
         true
     }
 
-    /// Takes out a backend server that is no longer listed.
+    /// Removes a backend server that is no longer listed.
     pub fn remove(&mut self, id: &str) -> Option<BackendServer> {
         self.by_target.remove(&Target::of(id));
         self.servers.remove(id)
     }
 
-    /// Keeps only backend servers that `keep` holds on to.
+    /// Removes all backend servers for which `keep` returns `false`.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
         self.servers.retain(|id, _| keep(id));
         self.by_target.retain(|_, id| self.servers.contains_key(id));
     }
 
-    /// A backend server.
+    /// Returns the record of a backend server.
     pub fn get(&self, id: &str) -> Option<&BackendServer> {
         self.servers.get(id)
     }
 
-    /// The failure domain of a target, if its backend server is listed.
+    /// Returns the failure domain of a target, if its backend server is listed.
     pub fn failure_domain(&self, target: Target) -> Option<&str> {
         let server = self.servers.get(self.by_target.get(&target)?)?;
         Some(&server.failure_domain)
     }
 
-    /// How many there are.
+    /// Returns the number of backend servers.
     pub fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// Whether there is none.
+    /// Whether the directory is empty.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
 
-    /// All of them, by id.
+    /// Iterates over all backend servers, sorted by id.
     pub fn iter(&self) -> impl Iterator<Item = &BackendServer> {
         self.servers.values()
     }
 
-    /// Those of a service.
+    /// Iterates over the backend servers of a service.
     pub fn of_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a BackendServer> {
         self.iter().filter(move |server| server.service == service)
     }
--- a/crates/oliveworks-gateway-core/src/changed_lines.rs
+++ b/crates/oliveworks-gateway-core/src/changed_lines.rs
@@ -1,31 +1,33 @@
-//! Lines that describe a state, told when it changes and now and then.
+//! Selection of state lines for the log: a line is logged when it changes, and all lines
+//! periodically.
 //!
-//! Rejected: all of them each second (the last hundred lines of a leader before ten failure domains held ten seconds, and
-//! none of its orders).
+//! Rejected alternative: logging all lines every second. With ten failure domains, the last hundred
+//! lines of a leader covered ten seconds and held none of its orders.
 
 use std::collections::HashSet;
 
 use crate::Millis;
 
-/// The time after which a line that has not changed is told again, in ms.
-const AGAIN_MS: u64 = 10_000;
+/// Interval after which unchanged lines are logged again, in ms.
+const REPEAT_MS: u64 = 10_000;
 
-/// Lines, as they were last told.
+/// The lines that were logged last.
 #[derive(Clone, Debug, Default)]
 pub struct ChangedLines {
-    told: HashSet<String>,
-    all_told_at: Option<Millis>,
+    logged: HashSet<String>,
+    all_logged_at: Option<Millis>,
 }
 
 impl ChangedLines {
-    /// Which of all lines are to be told now.
+    /// Returns the lines that are to be logged now.
     pub fn due(&mut self, now: Millis, lines: Vec<String>) -> Vec<String> {
-        let all = self.all_told_at.is_none_or(|at| now >= at + AGAIN_MS);
+        let all = self.all_logged_at.is_none_or(|at| now >= at + REPEAT_MS);
         if all {
-            self.all_told_at = Some(now);
+            self.all_logged_at = Some(now);
         }
-        let due = lines.iter().filter(|line| all || !self.told.contains(*line)).cloned().collect();
-        self.told = lines.into_iter().collect();
+        let due =
+            lines.iter().filter(|line| all || !self.logged.contains(*line)).cloned().collect();
+        self.logged = lines.into_iter().collect();
         due
     }
 }
--- a/crates/oliveworks-gateway-core/src/configuration.rs
+++ b/crates/oliveworks-gateway-core/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration: routes, services, workspaces, limits.
+//! The operators' configuration: routes, services, workspaces and limits.
 
 use std::collections::HashMap;
 
@@ -8,173 +8,174 @@
 /// How often a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Repeat {
-    /// It may run more than once.
+    /// The request may run more than once.
     Idempotent,
-    /// It runs once at the most.
+    /// The request runs at most once.
     Once,
 }
 
-/// A route: which requests it takes, and what may be done with them.
+/// A route: the requests that it matches, and how they are handled.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name, for logs.
+    /// Name of the route, for logs.
     pub name: String,
-    /// The host that it belongs to, in lower case.
+    /// Host name that the route belongs to, in lower case.
     pub host: String,
-    /// The beginning of the paths that it takes; begins and ends with a slash.
+    /// Prefix of the matching paths; begins and ends with a slash.
     pub path_prefix: String,
     /// Services and their weights.
     pub targets: Vec<(String, u32)>,
-    /// Whether its requests may be repeated.
+    /// Whether requests may be sent more than once.
     pub repeat: Repeat,
-    /// Whether answers are streams of events.
+    /// Whether answers are event streams.
     pub stream: bool,
-    /// Whether a stream may be taken up at another backend server.
+    /// Whether a stream may be resumed at another backend server.
     pub resumable: bool,
-    /// The longest that a request is held.
+    /// Maximum time for which a request is held, in ms.
     pub timeout_ms: u64,
-    /// The time within which an answer earns its full credit.
+    /// Time within which an answer earns its full credit, in ms.
     pub goal_ms: u64,
-    /// The longest pause between events at which a stream stays in time.
+    /// Maximum gap between events for which a stream counts as in time, in ms.
     pub gap_goal_ms: Option<u64>,
-    /// Its rank, 0 the highest.
+    /// Priority of the requests; 0 is the highest.
     pub priority: u8,
-    /// The most backend servers that one request is sent to.
+    /// Maximum number of backend servers that one request is sent to.
     pub max_attempts: u32,
     /// Whether requests need no key.
     pub public: bool,
-    /// Regions that its requests may be served in; empty if any may serve them.
+    /// Regions in which requests may be served; empty if any region may serve them.
     pub regions: Vec<String>,
 }
 
-/// A model as its service offers it.
+/// A model that a service offers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Model {
-    /// Its name.
+    /// Name of the model.
     pub name: String,
-    /// How many hosts make a replica group.
+    /// Number of hosts in a replica group.
     pub size: usize,
-    /// Its part of the work at the start.
+    /// Share of the work at the start.
     pub share: f64,
-    /// A factor on all times of the engine.
+    /// Factor that applies to all times of the engine.
     pub pace: f64,
-    /// The time in which a host loads it from the weight store.
+    /// Time that a host takes to load the model from the weight store, in ms.
     pub load_ms: u64,
-    /// The time in which a host loads it from its own memory.
+    /// Time that a host takes to load the model from its own memory, in ms.
     pub warm_ms: u64,
 }
 
-/// The engine of a service.
+/// Engine of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Engine {
-    /// Models that replica groups serve; empty if each backend server stands alone.
+    /// Models that replica groups serve; empty if backend servers serve individually.
     pub models: Vec<Model>,
-    /// Requests that a replica group works on at once.
+    /// Number of requests that a replica group works on concurrently.
     pub slots: u32,
-    /// Tokens of memory of a replica group.
+    /// Memory of a replica group, in tokens.
     pub memory_tokens: u64,
-    /// A token step, in ms.
+    /// Duration of a token step, in ms.
     pub step_ms: f64,
-    /// What each writing request adds to a step, in ms.
+    /// Additional duration of a step for each decoding request, in ms.
     pub per_sequence_ms: f64,
-    /// Prompt tokens that are read in a ms.
+    /// Prompt tokens that are read per ms.
     pub read_per_ms: f64,
-    /// The most prompt tokens read in a step.
+    /// Maximum number of prompt tokens that are read in a step.
     pub chunk: u32,
-    /// Steps of a pass.
+    /// Number of steps in a pass.
     pub stride: u32,
     /// Loads that may begin each second.
     pub loads_per_s: f64,
-    /// Loads that run at once at full speed.
+    /// Number of concurrent loads that run at full speed.
     pub loads_at_once: u32,
-    /// Time from an order to open until a group serves.
+    /// Time from an order to open until a group serves, in ms.
     pub form_ms: u64,
-    /// How much older what a backend server answers of itself is than its answer, in ms.
+    /// Age of the state in a backend server's report when it is sent, in ms.
     pub report_lag_ms: u64,
 }
 
-/// How backend servers of a service begin: each bears few requests for some time after its start.
+/// Slow start of the backend servers of a service: each can handle only few requests for some time
+/// after its start.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SlowStart {
-    /// How long after its start a backend server is cold, in ms.
+    /// Time after its start for which a backend server is cold, in ms.
     pub lasts_ms: u64,
-    /// The requests a second that a cold backend server bears.
+    /// Requests per second that a cold backend server can handle.
     pub requests_per_s: f64,
 }
 
-/// A service: a set of alike backend servers.
+/// A service: a set of interchangeable backend servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// The most connections that one of its backend servers accepts.
+    /// Maximum number of connections that a backend server of the service accepts.
     pub max_connections: u32,
-    /// Its engine, if it serves models.
+    /// Engine of the service, if it serves models.
     pub engine: Option<Engine>,
-    /// How its backend servers begin; none if they bear any load from the start.
+    /// Slow start of the backend servers; `None` if they can handle any load from the start.
     pub slow_start: Option<SlowStart>,
 }
 
-/// What callers may send.
+/// Limits on the requests of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// The largest head of a request.
+    /// Maximum size of a request head, in bytes.
     pub max_header_bytes: usize,
-    /// The largest body of a request.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// The longest that a head may take.
+    /// Maximum time to receive a request head, in ms.
     pub header_timeout_ms: u64,
-    /// The longest that a connection may rest.
+    /// Maximum time for which a connection may be idle, in ms.
     pub idle_timeout_ms: u64,
 }
 
 /// A workspace and its keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Workspace {
-    /// Its name.
+    /// Name of the workspace.
     pub name: String,
-    /// Its keys.
+    /// API keys of the workspace.
     pub keys: Vec<String>,
-    /// Its rank, 0 the highest; goes before that of the route.
+    /// Priority of its requests, 0 the highest; overrides the priority of the route.
     pub priority: Option<u8>,
-    /// Regions that its requests may be served in; empty if any may serve them.
+    /// Regions in which its requests may be served; empty if any region may serve them.
     pub regions: Vec<String>,
 }
 
 /// A version of the configuration, as published.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Its version; later ones are higher.
+    /// Version number; later versions have higher numbers.
     pub version: u64,
-    /// All routes.
+    /// All routes of this version.
     pub routes: Vec<Route>,
-    /// All services.
+    /// All services of this version.
     pub services: Vec<Service>,
-    /// What callers may send.
+    /// Limits on the requests of callers.
     pub limits: Limits,
-    /// Workspaces, where requests need keys.
+    /// Workspaces; `None` if requests need no keys.
     pub workspaces: Option<Vec<Workspace>>,
 }
 
-/// Why a request has no place in the configuration.
+/// Reason for which the configuration has no match for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unmatched {
-    /// No route takes it.
+    /// No route matches the request.
     NoRoute,
-    /// It carries no key, or one that nobody holds.
+    /// The request carries no key, or a key of no workspace.
     NoKey,
 }
 
-/// What the configuration says of a request.
+/// Match of a request in the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Match<'a> {
-    /// Its route.
+    /// Route of the request.
     pub route: &'a Route,
-    /// The workspace whose key it carries.
+    /// Workspace whose key the request carries.
     pub workspace: Option<&'a Workspace>,
 }
 
-/// A configuration with what is needed to look requests up.
+/// A configuration with indexes for looking up requests.
 #[derive(Clone, Debug)]
 pub struct Lookup {
     /// The configuration itself.
@@ -185,14 +186,14 @@
 }
 
 impl Lookup {
-    /// Prepares a configuration.
+    /// Builds the indexes for a configuration.
     pub fn new(configuration: Configuration) -> Lookup {
         let mut routes_of_host: HashMap<String, Vec<usize>> = HashMap::new();
         for (index, route) in configuration.routes.iter().enumerate() {
             routes_of_host.entry(route.host.to_ascii_lowercase()).or_default().push(index);
         }
         for routes in routes_of_host.values_mut() {
-            // The longest prefix first, so that the first that fits is the one.
+            // Longest prefix first, so that the first match is the most specific one.
             routes.sort_by_key(|&i| std::cmp::Reverse(configuration.routes[i].path_prefix.len()));
         }
         let mut workspace_of_key = HashMap::new();
@@ -206,10 +207,11 @@
         Lookup { configuration, routes_of_host, workspace_of_key, service_of_name }
     }
 
-    /// Finds a request's route and the workspace of its key.
+    /// Finds the route of a request and the workspace of its key.
     ///
     /// # Errors
-    /// If no route takes it, or its key is missing or nobody's.
+    ///
+    /// If no route matches, or the key is missing or unknown.
     pub fn find(&self, host: &str, path: &str, key: Option<&str>) -> Result<Match<'_>, Unmatched> {
         let host = host.split(':').next().unwrap_or(host).to_ascii_lowercase();
         let routes = self.routes_of_host.get(&host).ok_or(Unmatched::NoRoute)?;
@@ -224,14 +226,14 @@
         Ok(Match { route, workspace: Some(&workspaces[*index]) })
     }
 
-    /// A service by its name.
+    /// Returns a service by its name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.service_of_name.get(name).map(|&index| &self.configuration.services[index])
     }
 }
 
 impl Route {
-    /// The service that a request goes to; the same for the same request.
+    /// Returns the service that a request goes to; always the same one for the same request id.
     pub fn service_for(&self, request: &str) -> Option<&str> {
         let total: u64 = self.targets.iter().map(|(_, weight)| u64::from(*weight)).sum();
         if total == 0 {
@@ -249,15 +251,15 @@
 }
 
 impl Engine {
-    /// The longest that a model's replica group may take from one event of a stream to the next:
-    /// a pass in which every step reads as much as it may.
+    /// Returns the maximum gap between two events of a stream of a model's replica group, in ms:
+    /// the duration of a pass in which every step reads as many prompt tokens as it may.
     pub fn longest_pass_ms(&self, model: &Model) -> f64 {
         let writing = self.step_ms + self.per_sequence_ms * f64::from(self.slots);
         let reading = f64::from(self.chunk) / self.read_per_ms.max(0.001);
         f64::from(self.stride) * (writing + reading) * model.pace
     }
 
-    /// The model of a name.
+    /// Returns a model by its name.
     pub fn model(&self, name: &str) -> Option<&Model> {
         self.models.iter().find(|model| model.name == name)
     }
--- a/crates/oliveworks-gateway-core/src/election.rs
+++ b/crates/oliveworks-gateway-core/src/election.rs
@@ -1,38 +1,42 @@
-//! Which gateway gives orders.
+//! Leader election among gateways.
 //!
-//! The leader is whoever wrote the newest record of a topic of the store; the record's place is its
-//! fence. A gateway writes one, on the condition that nobody wrote meanwhile, when the leader has
-//! been silent for a while. Backend servers refuse orders with a fence below the highest they have
-//! seen, so a leader that was paused and comes back can do no harm. Rejected: a lease renewed in
-//! the store, a priced call each second that would say no more than the leader's heartbeats do.
+//! The leader is the gateway that wrote the newest record of a topic of the store. The place of
+//! that record is the leader's fencing token. A gateway writes such a record, on the condition that
+//! the topic has not grown meanwhile, after the leader has been silent for some time. Backend
+//! servers refuse orders with a fence below the highest one they have seen, so a leader that was
+//! paused and then resumes does no harm. Rejected alternative: a lease that is renewed in the
+//! store. It costs a priced call per second and proves no more than the leader's heartbeats do.
 //!
-//! Heartbeats are numbered and passed on by every gateway, so that a leader counts as heard by all
-//! whom it reaches over others. Rejected: counting only what the leader itself sent (with 53 gateways,
-//! of which each heartbeat goes to some, leaders that lived were replaced up to five times in 16 s).
+//! Heartbeats are numbered and forwarded by every gateway, so a leader counts as alive for all
+//! gateways that it reaches through others. Rejected alternative: counting only the heartbeats that
+//! the leader itself sent. With 53 gateways, where each heartbeat goes to a few of them, live
+//! leaders were replaced up to five times in 16 s.
 //!
-//! A store that comes back from an older copy may have lost the leader's record. The leader leads on: backend servers know its
-//! fence, and the fences of a later era are all higher. Rejected: that it claims anew (every host would be asked for its state
-//! and every group looked at again, although nothing of that is in the store).
+//! A store that is restored from an older copy may have lost the leader's record. The leader
+//! continues: backend servers know its fence, and all fences of a later era are higher. Rejected
+//! alternative: a new claim by the leader. Every host would be asked for its state and every group
+//! examined again, although none of that state is in the store.
 //!
-//! A leader that does not reach the store is replaced only by a gateway that does: while nobody
-//! reaches it, the leader goes on, since backend servers check its fence without the store.
+//! A leader that cannot reach the store is replaced only by a gateway that can. While no gateway
+//! reaches the store, the leader continues, since backend servers check its fence without the
+//! store.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Millis;
 use crate::place::Place;
 
-/// Times of an election.
+/// Timeouts of an election.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ElectionConfig {
-    /// Silence of a leader after which another may take its place.
+    /// Silence of a leader after which another gateway may replace it, in ms.
     pub silence_ms: u64,
-    /// What a candidate waits longer for each candidate before it.
+    /// Additional delay of a candidate for each candidate ranked before it, in ms.
     pub step_ms: u64,
-    /// The time after which an unanswered claim may be made anew.
+    /// Time after which an unanswered claim may be retried, in ms.
     pub claim_ms: u64,
-    /// How long a leader may be without the store, while the candidate reaches it, before the
-    /// candidate takes its place.
+    /// How long a leader may be without the store, while the candidate reaches the store, before
+    /// the candidate replaces the leader, in ms.
     pub cut_off_ms: u64,
 }
 
@@ -45,33 +49,34 @@
 /// A record of the leaders' topic.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Where it stands, in the era in which it was written.
+    /// Place of the record, in the era in which it was written.
     pub place: Place,
-    /// Who wrote it: drawn anew in each life of a process.
+    /// Random id of the process that wrote the record; each incarnation of a process draws a new
+    /// one.
     pub claimant: u64,
 }
 
 impl Claim {
-    /// The fence that it gives.
+    /// Returns the fence of this claim.
     pub fn fence(&self) -> u64 {
         self.place.fence()
     }
 }
 
-/// A leader's heartbeat, as gateways pass it on.
+/// A leader's heartbeat, as gateways forward it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The fence under which it leads.
+    /// Fence of the leader.
     pub fence: u64,
-    /// Counts its heartbeats under this fence: one that was delayed on its way is no news.
+    /// Sequence number of the heartbeat under this fence; a delayed heartbeat is ignored.
     pub number: u64,
-    /// The number of its table of groups.
+    /// Number of the leader's table of groups.
     pub table: u64,
-    /// Whether it reaches the store.
+    /// Whether the leader reaches the store.
     pub reaches_store: bool,
 }
 
-/// One gateway's view of who leads.
+/// One gateway's view of the leadership.
 #[derive(Clone, Debug)]
 pub struct Election {
     config: ElectionConfig,
@@ -79,18 +84,21 @@
     newest: Option<Claim>,
     read_to: Option<Place>,
     heartbeat: Option<Heartbeat>,
-    /// When the leader was last heard, by whatever way.
-    heard_at: Millis,
-    /// When a heartbeat last said that the leader reaches the store.
-    reached_at: Millis,
-    /// Since when the store has answered this gateway without a failure; none after a failure.
+    /// Time at which a heartbeat of the leader was last received, directly or through other
+    /// gateways.
+    last_heartbeat_at: Millis,
+    /// Time at which a heartbeat last reported that the leader reaches the store.
+    store_reached_at: Millis,
+    /// Time since which the store has answered this gateway without a failure; `None` after a
+    /// failure.
     answers_since: Option<Millis>,
     claimed_at: Option<Millis>,
-    deposed: u64,
+    deposed_fence: u64,
 }
 
 impl Election {
-    /// A gateway that knows of no leader. `claimant` tells this life of this process from others.
+    /// Creates the view of a gateway that knows of no leader. `claimant` distinguishes this
+    /// incarnation of the process from others.
     pub fn new(config: ElectionConfig, claimant: u64, now: Millis) -> Election {
         Election {
             config,
@@ -98,35 +106,38 @@
             newest: None,
             read_to: None,
             heartbeat: None,
-            heard_at: now,
-            reached_at: now,
+            last_heartbeat_at: now,
+            store_reached_at: now,
             answers_since: Some(now),
             claimed_at: None,
-            deposed: 0,
+            deposed_fence: 0,
         }
     }
 
-    /// The topic was read up to `end`; `newest` is its last record, if this part held one.
+    /// Records that the topic was read up to `end`; `newest` is the last record of the part that
+    /// was read, if it held one.
     pub fn read(&mut self, now: Millis, newest: Option<Claim>, end: Place) {
         self.read_to = Some(match self.read_to {
             Some(old) if old.era == end.era => old.max(end),
             _ => end,
         });
         let Some(claim) = newest else { return };
-        // One of its own that it reads in another era may have arrived there late, at a place that the store had given to
-        // another before: both would lead under one fence.
+        // A claim of this gateway that appears in another era may have arrived there late, at a
+        // place that the store had given to another claimant before: both would lead under one
+        // fence.
         if claim.claimant == self.claimant && claim.place.era != end.era {
             return;
         }
         if self.newest.as_ref().is_none_or(|old| claim.fence() > old.fence()) {
-            self.heard_at = now;
-            self.reached_at = now;
+            self.last_heartbeat_at = now;
+            self.store_reached_at = now;
             self.claimed_at = None;
             self.newest = Some(claim);
         }
     }
 
-    /// A heartbeat has come, from the leader or passed on; tells whether it is news.
+    /// Handles a heartbeat, from the leader itself or forwarded. Returns whether the heartbeat is
+    /// new.
     pub fn heard(&mut self, now: Millis, heartbeat: Heartbeat) -> bool {
         let Heartbeat { fence, number, .. } = heartbeat;
         let older_leader = self.newest.as_ref().is_some_and(|newest| fence < newest.fence());
@@ -135,22 +146,22 @@
             return false;
         }
         self.heartbeat = Some(heartbeat);
-        self.heard_at = now;
+        self.last_heartbeat_at = now;
         if heartbeat.reaches_store {
-            self.reached_at = now;
+            self.store_reached_at = now;
         }
-        if fence > self.deposed && self.leads().is_some_and(|own| own < fence) {
-            self.deposed = fence;
+        if fence > self.deposed_fence && self.leads().is_some_and(|own| own < fence) {
+            self.deposed_fence = fence;
         }
         true
     }
 
-    /// The newest heartbeat, to be passed on.
+    /// Returns the newest heartbeat, which is to be forwarded.
     pub fn heartbeat(&self) -> Option<Heartbeat> {
         self.heartbeat
     }
 
-    /// This gateway's next heartbeat, if it leads.
+    /// Creates the next heartbeat of this gateway, if it leads.
     pub fn beat(&mut self, table: u64, reaches_store: bool) -> Option<Heartbeat> {
         let fence = self.leads()?;
         let last = self.heartbeat.filter(|last| last.fence == fence);
@@ -159,12 +170,12 @@
         self.heartbeat
     }
 
-    /// The store has answered this gateway.
+    /// Records that the store has answered this gateway.
     pub fn store_answered(&mut self, now: Millis) {
         self.answers_since.get_or_insert(now);
     }
 
-    /// A call of this gateway's to the store failed.
+    /// Records that a call of this gateway to the store has failed.
     pub fn store_failed(&mut self) {
         self.answers_since = None;
     }
@@ -174,49 +185,50 @@
         self.answers_since.is_some()
     }
 
-    /// This process has run without a pause since `at`: silence before that proves nothing.
+    /// Records that this process has run without a pause since `at`: silence before that time
+    /// proves nothing.
     pub fn awake_since(&mut self, at: Millis) {
-        self.heard_at = self.heard_at.max(at);
-        self.reached_at = self.reached_at.max(at);
+        self.last_heartbeat_at = self.last_heartbeat_at.max(at);
+        self.store_reached_at = self.store_reached_at.max(at);
     }
 
-    /// A backend server has seen a higher fence than ours: this leadership is over.
+    /// Records that a backend server has seen a fence higher than `own`: this leadership has ended.
     pub fn fenced(&mut self, own: u64) {
-        self.deposed = self.deposed.max(own);
+        self.deposed_fence = self.deposed_fence.max(own);
     }
 
-    /// The fence under which this gateway leads.
+    /// Returns the fence under which this gateway leads, if it leads.
     pub fn leads(&self) -> Option<u64> {
         let newest = self.newest.as_ref()?;
         let fence = newest.fence();
-        (newest.claimant == self.claimant && fence > self.deposed).then_some(fence)
+        (newest.claimant == self.claimant && fence > self.deposed_fence).then_some(fence)
     }
 
-    /// The newest leader's claim.
+    /// Returns the claim of the newest leader.
     pub fn newest(&self) -> Option<Claim> {
         self.newest.clone()
     }
 
-    /// The fence of the newest leader.
+    /// Returns the fence of the newest leader.
     pub fn fence(&self) -> Option<u64> {
         self.newest.as_ref().map(Claim::fence)
     }
 
-    /// Whether to write a claim now, and the end of the topic that it depends on. `rank` is how many
-    /// gateways come before this one.
+    /// Decides whether to write a claim now, and returns the end of the topic that the write is
+    /// conditional on. `rank` is the number of gateways ranked before this one.
     pub fn claim(&mut self, now: Millis, rank: u64) -> Option<Place> {
         let end = self.read_to?;
         if self.leads().is_some() {
             return None;
         }
-        // A claim that the store does not answer is a priced call that helps nobody.
+        // A claim that the store does not answer is a priced call without a benefit.
         let answers_since = self.answers_since?;
-        // Records go after a while, so an empty end of a topic that was written to is no first start. One that the store has
-        // lost is none either.
+        // Records expire after some time, so the empty end of a topic that was written to does not
+        // indicate a first start. Neither does a record that the store has lost.
         let is_first = end.offset == 0 && self.newest.is_none() && self.heartbeat.is_none();
         let silence_ms = if is_first { 0 } else { self.config.silence_ms };
-        let silent = self.heard_at + silence_ms;
-        let cut_off = self.reached_at.max(answers_since) + self.config.cut_off_ms;
+        let silent = self.last_heartbeat_at + silence_ms;
+        let cut_off = self.store_reached_at.max(answers_since) + self.config.cut_off_ms;
         let due = silent.min(cut_off) + self.config.step_ms * rank;
         let waiting = self.claimed_at.is_some_and(|at| now < at + self.config.claim_ms);
         if waiting || now < due {
@@ -226,10 +238,11 @@
         Some(end)
     }
 
-    /// A claim was refused because the topic had grown; the next one follows a new read.
+    /// Records that a claim was refused because the topic had grown; the next claim follows a new
+    /// read.
     pub fn refused(&mut self, now: Millis) {
         self.claimed_at = None;
-        self.heard_at = now;
-        self.reached_at = now;
+        self.last_heartbeat_at = now;
+        self.store_reached_at = now;
     }
 }
--- a/crates/oliveworks-gateway-core/src/era.rs
+++ b/crates/oliveworks-gateway-core/src/era.rs
@@ -1,7 +1,8 @@
-//! Eras of the store: which copy of itself it answers from.
+//! Eras of the store: each era stands for one copy of the store.
 //!
-//! A store that comes back from an older copy has lost what was written since, and gives the offsets of what it lost out
-//! again. It says so by an era, which rises with each such return. A store that names none is in one era for good.
+//! A store that is restored from an older copy has lost the records written since that copy, and
+//! reuses their offsets. The store reports each such restore by a higher era. A store that reports
+//! no era stays in one era forever.
 
 use std::fmt;
 
@@ -9,11 +10,11 @@
 
 use crate::Millis;
 
-/// How long after its return those who write to the store may take to write again what its copy lacks, in ms. What is
-/// still missing then has gone.
+/// Time after a restore of the store in which its writers may rewrite the records that the copy
+/// lacks, in ms. Records that are still missing after that time have gone.
 pub const REWRITE_MS: u64 = 2_300;
 
-/// An era of the store; later ones are higher.
+/// An era of the store; later eras are higher.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -25,21 +26,22 @@
     }
 }
 
-/// What an answer's era tells.
+/// Result of comparing the era of an answer with the known era.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Told {
-    /// The era that is known.
+    /// The era is the known one.
     Known,
-    /// Another one, which is known from here on.
+    /// The era differs from the known one and replaces it.
     New {
-        /// The one that was known before.
+        /// Era that was known before.
         before: Option<Era>,
     },
-    /// An earlier one, of a call that was made before the known one was: the answer was long on its way.
+    /// The era is an earlier one, and the call was made before the known era was observed: the
+    /// answer was delayed.
     Late,
 }
 
-/// The era of the store as one gateway knows it.
+/// Era of the store as one gateway observes it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreEra {
     era: Option<Era>,
@@ -47,37 +49,38 @@
 }
 
 impl StoreEra {
-    /// The era; the first one before any was told.
+    /// Returns the era; the first one before the store has reported any.
     pub fn era(&self) -> Era {
         self.era.unwrap_or_default()
     }
 
-    /// Since when it is known, if the store told any.
+    /// Returns the time since which the era is known, if the store has reported any.
     pub fn known_since(&self) -> Option<Millis> {
         self.era.map(|_| self.known_since)
     }
 
-    /// Whether what the store lacks may still be written again: it came back so lately, or this gateway has just started and
-    /// cannot tell.
+    /// Whether records that the store lacks may still be rewritten: the store was restored
+    /// recently, or this gateway has just started and cannot tell.
     pub fn may_lack_records(&self, now: Millis) -> bool {
         now < self.lacks_records_until()
     }
 
-    /// Until when the store may lack what is written again; 0 if it does not.
+    /// Returns the time until which the store may lack records that are still to be rewritten; 0 if
+    /// no era is known.
     pub fn lacks_records_until(&self) -> Millis {
         self.known_since().map_or(0, |since| since + REWRITE_MS)
     }
 
-    /// The same as other gateways know it, which may have heard of the era later: until then they may hold on to what the store
-    /// lacks, or lack it themselves.
+    /// Returns the time until which other gateways may lack records. They may have learned of the
+    /// era later: until then they may keep records that the store lacks, or lack them themselves.
     pub fn others_lack_records_until(&self) -> Millis {
         self.known_since().map_or(0, |since| since + 2 * REWRITE_MS)
     }
 
-    /// The store answered a call that was made at `sent` in an era.
+    /// Records that the store answered a call, made at `sent`, in an era.
     ///
-    /// A lower one counts as well if the call was made since the known one is: a store that told one by mistake would
-    /// otherwise never be read again.
+    /// A lower era is accepted if the call was made after the known era was observed: otherwise a
+    /// store that once reported a wrong era would never be read again.
     pub fn told(&mut self, now: Millis, sent: Millis, era: Era) -> Told {
         match self.era {
             Some(known) if known == era => Told::Known,
--- a/crates/oliveworks-gateway-core/src/lib.rs
+++ b/crates/oliveworks-gateway-core/src/lib.rs
@@ -1,50 +1,50 @@
-//! The decisions of a gateway, apart from everything that does them.
+//! The decisions of a gateway, separate from the code that carries them out.
 //!
-//! A gateway is an entry that calls backend servers directly. Gateways form the replica groups
-//! themselves: one of them, the leader, gives the orders, and every order carries a fence that
-//! backend servers check. Events and the time go in, commands come out; nothing here reads a
+//! A gateway is an entry point that calls backend servers directly. The gateways also form the replica
+//! groups: one of them, the leader, issues the orders, and every order carries a fence that backend
+//! servers check. Events and the time are inputs, commands are outputs; no code in this crate reads a
 //! clock, opens a socket or draws a random number.
 //!
-//! | module | decides |
+//! | module | responsibility |
 //! |---|---|
-//! | [`configuration`] | which service a request belongs to, and whose key it carries |
-//! | [`sources`] | which gateways read the store, and whom the others ask |
-//! | [`following`] | from where on a topic of the store is read, and through whom |
-//! | [`passing`] | what one gateway tells another of the store's records |
-//! | [`repeats`] | which records tell other gateways nothing new |
-//! | [`era`] | which copy of itself the store answers from |
-//! | [`place`] | what a place in a topic of the store means, and the fence of a claim there |
-//! | [`drains`] | which failure domains get no requests, by the operators' word |
-//! | [`residency`] | which regions may serve a request |
-//! | [`freshness`] | whether the configuration is young enough to honour keys |
-//! | [`versions`] | whether the store, or this gateway, lacks a version that others know |
-//! | [`backend_servers`] | what the platform's records say of backend servers |
-//! | [`missing`] | when backend servers that are missing from the list are gone |
-//! | [`listing`] | how soon the list of backend servers is read again |
-//! | [`planner`] | which hosts form each replica group, and every order |
-//! | [`demand`] | how many requests for a model find a place |
-//! | [`quota`] | how many groups of each model every domain should hold |
-//! | [`members`] | how many gateways share a bound, and which part of it is this one's |
-//! | [`slow_start`] | how much of what a cold backend server bears this gateway may send it |
-//! | [`speed`] | which replica groups run much slower than others |
-//! | [`election`] | which gateway gives orders |
-//! | [`table`] | which groups serve, and how gateways hear of changes |
-//! | [`fan_out`] | which gateways a heartbeat goes to |
-//! | [`telling`] | what a heartbeat tells of open requests |
-//! | [`backoff`] | which backend servers are left alone, since they asked for it |
-//! | [`rate_limits`] | what all gateways together send a backend server that names a limit |
-//! | [`obstacles`] | what keeps a request from a place, and what follows if it has none |
-//! | [`suspensions`] | which places get nothing, since they stand still |
-//! | [`balance`] | where a request goes |
+//! | [`configuration`] | the service of a request, and the workspace of its key |
+//! | [`sources`] | which gateways read the store, and which gateway the others ask |
+//! | [`following`] | the read position in a topic of the store, and the source of the next read |
+//! | [`passing`] | replay of the store's recent records to other gateways |
+//! | [`repeats`] | detection of records that are not new to other gateways |
+//! | [`era`] | the copy of itself that the store answers from |
+//! | [`place`] | places in a topic of the store, and the fence of a claim at a place |
+//! | [`drains`] | failure domains that the operators drain |
+//! | [`residency`] | regions that may serve a request |
+//! | [`freshness`] | whether the configuration is recent enough to accept keys |
+//! | [`versions`] | whether the store or this gateway lacks a version that others hold |
+//! | [`backend_servers`] | state of backend servers according to the platform's records |
+//! | [`missing`] | when backend servers that are missing from the list count as gone |
+//! | [`listing`] | interval between reads of the list of backend servers |
+//! | [`planner`] | which hosts form each replica group, and all orders |
+//! | [`demand`] | share of the requests for each model that find a place |
+//! | [`quota`] | number of groups of each model that every domain should hold |
+//! | [`members`] | number of gateways that share a bound, and the share of this one |
+//! | [`slow_start`] | share of a cold backend server's capacity that this gateway may use |
+//! | [`speed`] | replica groups that run much slower than others |
+//! | [`election`] | the gateway that issues orders |
+//! | [`table`] | the groups that serve, and the propagation of changes to gateways |
+//! | [`fan_out`] | the gateways that a heartbeat is sent to |
+//! | [`telling`] | the outstanding requests that a heartbeat reports |
+//! | [`backoff`] | backend servers that requested a backoff |
+//! | [`rate_limits`] | total rate of all gateways to a backend server that announces a limit |
+//! | [`obstacles`] | what excludes a request from a place, and the result if no place is left |
+//! | [`suspensions`] | places that are suspended because they make no progress |
+//! | [`balance`] | the backend server or group that a request is sent to |
 //! | [`locality`] | whether a request stays in its failure domain |
-//! | [`returning`] | whether a caller has come back after a refusal |
-//! | [`admission`] | how much of what a group has free this gateway may take |
-//! | [`budget`] | whether a request may be sent once more |
-//! | [`crashers`] | which requests crash their backend servers, and are sent nowhere |
-//! | [`attempts`] | what follows a failed attempt, and what the caller is told |
-//! | [`changed_lines`] | which lines on a state are told |
-//! | [`timeliness`] | whether an answer came in time, and if not, why |
-//! | [`events`] | which bytes of a stream may be passed on |
+//! | [`returning`] | whether a caller has returned after a rejection |
+//! | [`admission`] | share of a group's free capacity that this gateway may use |
+//! | [`budget`] | whether a request may be retried |
+//! | [`crashers`] | requests that crash their backend servers and are no longer sent |
+//! | [`attempts`] | what follows a failed attempt, and the answer to the caller |
+//! | [`changed_lines`] | the state lines that are logged |
+//! | [`timeliness`] | whether an answer was in time, and otherwise the cause of the delay |
+//! | [`events`] | bytes of a stream that may be forwarded |
 
 pub mod admission;
 pub mod attempts;
--- a/crates/oliveworks-gateway-core/src/missing.rs
+++ b/crates/oliveworks-gateway-core/src/missing.rs
@@ -1,7 +1,10 @@
-//! Backend servers that are missing from the list, when they count as gone, and which of those are listed again.
+//! Backend servers that are missing from the list: when they count as gone, and which of them have
+//! been listed again.
 //!
-//! One that goes alone has left. Many that go together, soon after the store was in trouble, have their records lapsed, and
-//! write again. One that is only not among all newest records may be missing in the copy that the store came back from.
+//! A backend server that goes missing alone has left. When many go missing together soon after a
+//! failure of the store, their records have expired, and the servers write them again. A backend
+//! server that is merely absent from a read of all newest records may be missing only in the copy
+//! that the store was restored from.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,26 +12,28 @@
 use crate::backend_servers::{BackendServer, BackendServerId, Born, Directory};
 use crate::era::{REWRITE_MS, StoreEra};
 
-/// How many entries that are missing together mean that the store let them go.
-const MANY: usize = 3;
-const MANY_PERCENT: usize = 15;
-/// How long a backend server that is gone is remembered.
-const GONE_MS: u64 = 60_000;
+/// Minimum number of entries, and minimum percentage of the list, whose joint absence indicates
+/// that the store let them expire.
+const MIN_JOINT_LOSSES: usize = 3;
+const MIN_JOINT_LOSS_PERCENT: usize = 15;
+/// How long a gone backend server is remembered, in ms.
+const REMEMBER_GONE_MS: u64 = 60_000;
 
-/// What is known of the store when the list is looked over.
+/// State of the store at the time of a sweep.
 #[derive(Clone, Copy, Debug)]
 pub struct Look {
-    /// When a call to the store last failed.
+    /// Time at which a call to the store last failed.
     pub store_failed_at: Option<Millis>,
-    /// Up to when it is known what the store told in the list.
+    /// Time up to which the store's list is known.
     pub read_at: Millis,
 }
 
-/// Since when a backend server is missing, and how that is known.
+/// Time since which a backend server is missing, and the evidence for that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Loss {
     since: Millis,
-    /// Until when it may only be missing in the copy that the store came back from; none if a record dropped it.
+    /// Time until which the entry may be missing only in the copy that the store was restored from;
+    /// `None` if a record removed it.
     may_return_until: Option<Millis>,
 }
 
@@ -36,11 +41,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Gone {
     at: Millis,
-    /// The last that it wrote, if that is known.
+    /// Last record that the backend server wrote, if known.
     last: Option<Last>,
 }
 
-/// The last record that a backend server wrote before it went.
+/// Identity of the last record that a backend server wrote before it went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Last {
     born: Option<Born>,
@@ -56,13 +61,13 @@
 /// A backend server that counts as gone from now on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Left {
-    /// Its id.
+    /// Id of the backend server.
     pub id: BackendServerId,
-    /// How long it was missing.
+    /// How long the backend server was missing, in ms.
     pub missing_ms: u64,
 }
 
-/// Backend servers that are missing from the list or gone.
+/// Backend servers that are missing from the list, or gone.
 #[derive(Clone, Debug, Default)]
 pub struct Missing {
     lost: BTreeMap<BackendServerId, Loss>,
@@ -75,37 +80,40 @@
         self.lost.contains_key(id)
     }
 
-    /// How many are missing.
+    /// Returns the number of missing backend servers.
     pub fn len(&self) -> usize {
         self.lost.len()
     }
 
-    /// Whether none is missing.
+    /// Whether no backend server is missing.
     pub fn is_empty(&self) -> bool {
         self.lost.is_empty()
     }
 
-    /// Whether a backend server is gone, and remembered.
+    /// Whether a backend server is gone and still remembered.
     pub fn has_gone(&self, id: &str) -> bool {
         self.gone.contains_key(id)
     }
 
-    /// A backend server is listed; tells whether it had been lost or gone, so that it may have started again meanwhile.
+    /// Records that a backend server is listed, and returns whether it had been lost or gone, in
+    /// which case it may have restarted meanwhile.
     ///
-    /// One that the store lacked after it came back from an older copy was not lost.
+    /// A backend server that the store lacked after it was restored from an older copy does not
+    /// count as lost.
     pub fn found(&mut self, now: Millis, id: &str) -> bool {
         let was_gone = self.gone.remove(id).is_some();
         let lost = self.lost.remove(id);
         was_gone || lost.is_some_and(|loss| loss.may_return_until.is_none_or(|until| now >= until))
     }
 
-    /// A record says that a backend server is no longer listed, or not to be used.
+    /// Records that a record removes a backend server from the list or declares it unusable.
     pub fn dropped(&mut self, now: Millis, id: BackendServerId) {
         let loss = self.lost.entry(id).or_insert(Loss { since: now, may_return_until: None });
         loss.may_return_until = None;
     }
 
-    /// A backend server is not among all newest records, as the store holds them or another gateway knows them.
+    /// Records that a backend server is absent from a read of all newest records, as held by the
+    /// store (`by_store`) or by another gateway.
     pub fn absent(
         &mut self,
         now: Millis,
@@ -122,33 +130,38 @@
         known.may_return_until = known.may_return_until.map(|known| known.max(until));
     }
 
-    /// Whether a record is no younger than the last one of a backend server that is gone, and so does not bring it back. `newest`
-    /// is whether it stands among all newest records.
+    /// Whether a record is no newer than the last one of a gone backend server, and so does not
+    /// bring the server back. `newest` is whether the record stands among all newest records.
     ///
-    /// One that went before the store came back from an older copy may stand among all newest records since then, also with one
-    /// that was not read before. If it lives, it writes again.
+    /// A backend server that went before the store was restored from an older copy may reappear
+    /// among all newest records, also with a record that was not read before. If the server lives,
+    /// it writes another record.
     pub fn is_old(&self, server: &BackendServer, newest: bool, store_era: StoreEra) -> bool {
         let Some(gone) = self.gone.get(&server.id) else { return false };
         let (born, number) = gone.last.map_or((None, None), |last| (last.born, last.number));
-        let lives = server.holding.born.zip(born);
-        if let Some((life, last_life)) = lives.filter(|(life, last_life)| life != last_life) {
-            return life < last_life;
+        let incarnations = server.holding.born.zip(born);
+        if let Some((incarnation, last_incarnation)) =
+            incarnations.filter(|(incarnation, last_incarnation)| incarnation != last_incarnation)
+        {
+            return incarnation < last_incarnation;
         }
         let is_counted_before = server.number.zip(number).is_some_and(|(own, last)| own <= last);
-        let by_copy = newest && store_era.known_since().is_some_and(|since| gone.at <= since);
-        is_counted_before || by_copy
+        let is_from_copy = newest && store_era.known_since().is_some_and(|since| gone.at <= since);
+        is_counted_before || is_from_copy
     }
 
-    /// Takes out those that are missing for long.
+    /// Removes the backend servers that have been missing for long and returns them; they count as
+    /// gone.
     pub fn sweep(&mut self, now: Millis, look: Look, directory: &Directory) -> Vec<Left> {
-        if now < self.patient_until(look, directory.len()) {
+        if now < self.rewrite_deadline(look, directory.len()) {
             return Vec::new();
         }
-        // One that wrote again may not have been read yet, by a gateway that was paused or cut off.
-        let is_over = |loss: &Loss| loss.may_return_until.is_none_or(|until| look.read_at >= until);
-        let over = self.lost.extract_if(.., |_, loss| is_over(loss));
+        // A gateway that was paused or cut off may not have read the rewritten record yet.
+        let is_final =
+            |loss: &Loss| loss.may_return_until.is_none_or(|until| look.read_at >= until);
+        let removed = self.lost.extract_if(.., |_, loss| is_final(loss));
         let left: Vec<Left> =
-            over.map(|(id, loss)| Left { id, missing_ms: now - loss.since }).collect();
+            removed.map(|(id, loss)| Left { id, missing_ms: now - loss.since }).collect();
         for Left { id, .. } in &left {
             let before = self.gone.get(id).and_then(|gone| gone.last);
             let last = directory.get(id).map(Last::of).or(before);
@@ -157,15 +170,16 @@
         left
     }
 
-    /// Forgets those that are gone for long, and tells which.
+    /// Forgets backend servers that have been gone for long, and returns their ids.
     pub fn forget_gone(&mut self, now: Millis) -> Vec<BackendServerId> {
-        let over = self.gone.extract_if(|_, gone| now >= gone.at + GONE_MS);
-        over.map(|(id, _)| id).collect()
+        let removed = self.gone.extract_if(|_, gone| now >= gone.at + REMEMBER_GONE_MS);
+        removed.map(|(id, _)| id).collect()
     }
 
-    /// Until when entries that went together may come back.
-    fn patient_until(&self, look: Look, listed: usize) -> Millis {
-        let many = self.lost.len() >= MANY && self.lost.len() * 100 >= listed * MANY_PERCENT;
+    /// Returns the time until which entries that went missing together may come back.
+    fn rewrite_deadline(&self, look: Look, listed: usize) -> Millis {
+        let many = self.lost.len() >= MIN_JOINT_LOSSES
+            && self.lost.len() * 100 >= listed * MIN_JOINT_LOSS_PERCENT;
         match look.store_failed_at {
             Some(failed_at) if many => failed_at + REWRITE_MS,
             _ => 0,
--- a/crates/oliveworks-gateway-core/src/passing.rs
+++ b/crates/oliveworks-gateway-core/src/passing.rs
@@ -1,33 +1,36 @@
-//! What one gateway tells another of a topic of the store.
+//! Replay of a topic's recent records to other gateways.
 //!
-//! A gateway that follows a topic keeps its last records, so that others can follow the topic through
-//! it: they ask from a place on, as they would ask the store, and places are the store's. Whoever is
-//! ahead of it, or so far behind that records are gone, is told so; a place of an earlier era is far behind, and one of a
-//! later era ahead.
+//! A gateway that follows a topic of the store keeps the last records, so that other gateways can
+//! follow the topic through it: they ask from a place on, as they would ask the store, and places
+//! are the store's. A gateway that asks from a place ahead of this one, or so far behind that
+//! records are no longer kept, gets a corresponding answer. A place of an earlier era counts as far
+//! behind, a place of a later era as ahead.
 //!
-//! Backend servers write their records anew every second or so, mostly as they were. Such a repeat tells
-//! nothing to a gateway that holds the record; only the leader goes by how young records are.
-//! So repeats are told to those who ask for them and to nobody else: before 3,000 backend servers they were most of what a
-//! reader passed on.
+//! Backend servers rewrite their records every second or so, mostly unchanged. Such a repeat is of
+//! no use to a gateway that holds the record; only the leader depends on the age of records. So
+//! repeats are sent only to gateways that request them: with 3,000 backend servers, most of the
+//! records that a reader forwarded were repeats.
 
 use std::collections::VecDeque;
 
 use crate::era::Era;
 use crate::place::Place;
 
-/// Steps that are kept: at two or three a second, what a gateway misses that was away for ten seconds.
+/// Number of steps that are kept: at two or three a second, enough for a gateway that was away for
+/// ten seconds.
 const STEPS_MAX: usize = 32;
-/// Records that are kept beyond the newest step.
+/// Number of records that are kept beyond the newest step.
 const RECORDS_MAX: usize = 2_048;
-/// The newest steps whose repeats are kept: whoever asks again within half a second misses none.
-const REPEATS_STEPS: usize = 4;
+/// Number of newest steps whose repeats are kept: a gateway that asks again within half a second
+/// misses none.
+const STEPS_WITH_REPEATS: usize = 4;
 
-/// A record, and whether it says what the one of its key before it said.
+/// A record, and whether it has the same content as the previous record of its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Kept<R> {
     /// The record.
     pub record: R,
-    /// Whether it is a repeat.
+    /// Whether the record is a repeat.
     pub is_repeat: bool,
 }
 
@@ -40,9 +43,9 @@
 /// The last records of a topic.
 #[derive(Clone, Debug)]
 pub struct Passing<R> {
-    /// From where on all records are kept.
+    /// Place from which on all records are kept.
     start: Place,
-    /// Where the next one will be; none before the topic was read.
+    /// Place of the next record; `None` before the topic was read.
     next: Option<Place>,
     steps: VecDeque<Step<R>>,
 }
@@ -53,35 +56,35 @@
     }
 }
 
-/// What is told to whoever asks from a place on.
+/// Answer to a gateway that asks from a place on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Told<R> {
-    /// The records from there on, perhaps none, and the next place.
+    /// The records from that place on, possibly none, and the next place.
     Records(Vec<R>, Place),
-    /// That is no longer kept, or nothing was held: the newest record of each key is to be told, as of
-    /// this place.
+    /// The records from that place on are no longer kept, or the asker holds nothing: the answer is
+    /// the newest record of each key, as of this place.
     Newest(Place),
-    /// The asker is ahead: nothing that is told here proves anything to it.
+    /// The asker is ahead of this gateway: an answer would prove nothing.
     Behind,
     /// The topic was not read yet.
     Unread,
 }
 
 impl<R: Clone> Passing<R> {
-    /// Records that follow what was read before, and the place after them.
+    /// Appends records that follow the ones read before; `next` is the place after them.
     pub fn followed(&mut self, records: Vec<R>, next: Place) {
         let new = |record| Kept { record, is_repeat: false };
         self.followed_with_repeats(records.into_iter().map(new).collect(), next);
     }
 
-    /// The same, of records that may be repeats.
+    /// Appends records that may be repeats; otherwise like [`Passing::followed`].
     pub fn followed_with_repeats(&mut self, records: Vec<Kept<R>>, next: Place) {
         self.next = Some(next);
         if records.is_empty() {
             return;
         }
         self.steps.push_back(Step { end: next, records });
-        if let Some(old) = self.steps.iter_mut().rev().nth(REPEATS_STEPS) {
+        if let Some(old) = self.steps.iter_mut().rev().nth(STEPS_WITH_REPEATS) {
             old.records.retain(|kept| !kept.is_repeat);
         }
         let count =
@@ -94,48 +97,50 @@
         }
     }
 
-    /// The newest records of all keys were read, as of a place.
+    /// Restarts after a read of the newest records of all keys, as of a place.
     pub fn read_anew(&mut self, next: Place) {
         self.steps.clear();
         self.start = next;
         self.next = Some(next);
     }
 
-    /// What was read is told no more: the store has come back from a copy, and the topic is read anew.
+    /// Discards all records: the store was restored from a copy, and the topic is read from the
+    /// beginning.
     pub fn forget(&mut self) {
         *self = Passing::default();
     }
 
-    /// The place after the last record.
+    /// Returns the place after the last record.
     pub fn next(&self) -> Option<Place> {
         self.next
     }
 
-    /// Whether more was read before than the newest records as of a place: they may lack what is known
-    /// here, and so do not tell what has ended.
+    /// Whether the records read so far extend beyond the newest records as of a place. Those may
+    /// lack records known here, so they do not prove that anything has ended.
     pub fn is_ahead_of(&self, place: Place) -> bool {
         self.next.is_some_and(|next| next > place)
     }
 
-    /// What is told to whoever holds everything before a place: all but repeats.
+    /// Returns the answer to a gateway that holds everything before a place, without repeats.
     pub fn since(&self, from: Option<Place>) -> Told<R> {
-        self.told_since(from, false)
+        self.answer_since(from, false)
     }
 
-    /// The same, and also the repeats that are still kept.
+    /// Returns the answer to a gateway that holds everything before a place, with the repeats that
+    /// are still kept.
     pub fn since_with_repeats(&self, from: Option<Place>) -> Told<R> {
-        self.told_since(from, true)
+        self.answer_since(from, true)
     }
 
-    fn told_since(&self, from: Option<Place>, repeats: bool) -> Told<R> {
+    fn answer_since(&self, from: Option<Place>, repeats: bool) -> Told<R> {
         let Some(next) = self.next else { return Told::Unread };
         match from {
             Some(from) if from > next => Told::Behind,
             Some(from) if from >= self.start => {
                 let later = self.steps.iter().filter(|step| step.end > from);
                 let records = later.flat_map(|step| &step.records);
-                let told = records.filter(|kept| repeats || !kept.is_repeat);
-                Told::Records(told.map(|kept| kept.record.clone()).collect(), next)
+                let selected = records.filter(|kept| repeats || !kept.is_repeat);
+                Told::Records(selected.map(|kept| kept.record.clone()).collect(), next)
             }
             _ => Told::Newest(next),
         }
--- a/crates/oliveworks-gateway-core/src/place.rs
+++ b/crates/oliveworks-gateway-core/src/place.rs
@@ -1,36 +1,39 @@
-//! Places in a topic of the store, and the fences that claims to lead take from them.
+//! Places in a topic of the store, and the fences of claims to lead, which are derived from places.
 
 use serde::{Deserialize, Serialize};
 
 use crate::era::Era;
 
-/// A place in a topic: an offset, and the era in which the store gave it out. Places of different eras have nothing in
-/// common but their order: all of a later era come after all of an earlier one.
+/// A place in a topic: an offset, and the era in which the store assigned it. Places of different
+/// eras are comparable only by era: all places of a later era come after all places of an earlier
+/// one.
 ///
-/// Rejected: offsets alone. A store that comes back from an older copy gives them out again, so that whoever reads on from
-/// one misses what was written below it since, without any sign of that.
+/// Rejected alternative: offsets alone. A store that is restored from an older copy reuses offsets,
+/// so a reader that continues from an offset silently misses the records written below it since the
+/// restore.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Place {
-    /// The era.
+    /// Era in which the store assigned the offset.
     pub era: Era,
     /// Counts the topic's records in this era.
     pub offset: u64,
 }
 
-/// Bits of a fence that count claims within an era; the era stands above them.
+/// Number of bits of a fence that count claims within an era; the era takes the bits above them.
 const CLAIM_BITS: u32 = 21;
-/// The highest era that a fence tells apart: epochs of groups are a million times a fence, and are whole numbers of JSON, which
-/// are exact up to 2^53.
-const ERA_MAX: u64 = (1 << 12) - 1;
+/// Highest era that fences distinguish. The epoch of a group is a million times a fence and is
+/// encoded as an integer in JSON, which is exact up to 2^53.
+const MAX_ERA: u64 = (1 << 12) - 1;
 
 impl Place {
-    /// A place.
+    /// Creates a place.
     pub fn new(era: Era, offset: u64) -> Place {
         Place { era, offset }
     }
 
-    /// The fence of a claim that stands here: above all of earlier eras, also those that the store has lost.
+    /// Returns the fence of a claim at this place. It is higher than all fences of earlier eras,
+    /// including those of claims that the store has lost.
     pub fn fence(self) -> u64 {
-        (self.era.0.min(ERA_MAX) << CLAIM_BITS) + self.offset + 1
+        (self.era.0.min(MAX_ERA) << CLAIM_BITS) + self.offset + 1
     }
 }
--- a/crates/oliveworks-gateway-core/src/sources.rs
+++ b/crates/oliveworks-gateway-core/src/sources.rs
@@ -1,59 +1,63 @@
-//! Which gateways read the store, and whom the others ask.
+//! Selection of the gateways that read the store, and of the gateway that each other one asks.
 //!
-//! Calls to the store are priced and limited, so one gateway of each failure domain reads it and the
-//! others ask that one. Nobody elects it: it is the first by name among those that say that the
-//! store answers them, and when it falls silent or is turned away, the next takes over as soon as it
-//! hears so. One that comes before it by name takes over once it has read the store itself, and not when it is first heard:
-//! until then nobody would read. A store that is silent shows late, so who asks goes by the age of proofs: a reader whose
-//! own is old is not asked while another gateway, of whatever failure domain, has a young one. Whoever
-//! finds none reads the store itself. Rejected: every gateway reads it (with 53
-//! gateways 7,717 calls in 48 s, of the day's worth 0.077), two readers of a failure domain (15 gateways:
-//! 1,235 calls in 48 s, of the day's worth 0.101), and one reader for all (all would depend on what it
+//! Calls to the store are priced and limited, so one gateway of each failure domain reads it and
+//! the others ask that reader. The reader is not elected: it is the first by name among the
+//! gateways that report that the store answers them. When the reader falls silent or the store
+//! refuses it, the next one takes over as soon as it learns of that. A gateway that precedes the
+//! reader by name takes over once it has read the store itself, not when it is first observed:
+//! until then no gateway would read. A silent store is detected late, so the choice of whom to ask
+//! depends on the age of proofs: a reader whose own proof is old is not asked while another
+//! gateway, of any failure domain, has a recent one. A gateway that finds no such gateway reads the
+//! store itself.
+//!
+//! Rejected alternatives: every gateway reads the store (with 53 gateways 7,717 calls in 48 s,
+//! which cost 0.077 of the day's worth); two readers per failure domain (15 gateways: 1,235 calls
+//! in 48 s, 0.101 of the day's worth); one reader for all gateways (all would depend on what it
 //! reaches).
 
 use std::net::SocketAddr;
 
 use crate::era::Era;
 
-/// Another gateway, as this one knows it.
+/// Another gateway, as this one observes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Known<'a> {
-    /// Its name.
+    /// Name of the gateway.
     pub name: &'a str,
-    /// Where it can be asked.
+    /// Address for questions.
     pub address: SocketAddr,
-    /// Whether it is of this gateway's failure domain.
+    /// Whether the gateway belongs to the local failure domain.
     pub near: bool,
-    /// Whether the store answers it.
+    /// Whether the store answers the gateway.
     pub store_answers: bool,
-    /// Whether it reads the store itself.
+    /// Whether the gateway reads the store itself.
     pub reads: bool,
-    /// Whether its proof that nothing is newer is young.
+    /// Whether the gateway has a recent proof that the store holds nothing newer.
     pub informed: bool,
-    /// Whether it did not answer lately.
+    /// Whether the gateway recently failed to answer.
     pub avoided: bool,
-    /// Which copy of itself the store answers it from, as far as it has heard.
+    /// Era of the store as the gateway observes it, according to its last report.
     pub era: Era,
-    /// The newest version of the configuration that it holds.
+    /// Newest version of the configuration that the gateway holds.
     pub version: Option<u64>,
 }
 
-/// This gateway.
+/// State of this gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Own<'a> {
-    /// Its name.
+    /// Name of this gateway.
     pub name: &'a str,
-    /// Whether the store answers it.
+    /// Whether the store answers this gateway.
     pub store_answers: bool,
-    /// Whether it reads the store itself.
+    /// Whether this gateway reads the store itself.
     pub reads: bool,
-    /// Whether it is time to see if the store answers again.
+    /// Whether a retry is due, to find out if the store answers again.
     pub retry_due: bool,
-    /// Which copy of itself the store answers from.
+    /// Era of the store as this gateway observes it.
     pub era: Era,
 }
 
-/// Where to read.
+/// Source of the next read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadFrom {
     /// The store itself.
@@ -62,10 +66,12 @@
     Gateway(SocketAddr),
 }
 
-/// Questions in turn without an answer after which a gateway whom the store answers asks that.
+/// Number of consecutive unanswered questions after which a gateway that the store answers reads
+/// the store.
 const UNANSWERED_MAX: u32 = 2;
 
-/// Where this gateway reads next, after so many questions in turn without an answer; `draw` is a random number.
+/// Returns the source of the next read, after `unanswered` consecutive questions without an answer;
+/// `draw` is a random number.
 pub fn read_from(own: Own<'_>, others: &[Known<'_>], unanswered: u32, draw: u64) -> ReadFrom {
     if !own.store_answers && own.retry_due {
         return ReadFrom::Store;
@@ -73,35 +79,40 @@
     if own.store_answers && unanswered >= UNANSWERED_MAX {
         return ReadFrom::Store;
     }
-    let near = || others.iter().filter(|other| other.near);
-    let able = || near().filter(|other| other.store_answers);
-    let reads = able().filter(|other| other.reads).min_by_key(|other| other.name);
+    let local = || others.iter().filter(|other| other.near);
+    let candidates = || local().filter(|other| other.store_answers);
+    let current = candidates().filter(|other| other.reads).min_by_key(|other| other.name);
     let reader = match own.reads {
-        true => reads,
-        false => reads.or_else(|| able().min_by_key(|other| other.name)),
+        true => current,
+        false => current.or_else(|| candidates().min_by_key(|other| other.name)),
     };
     if own.store_answers && reader.is_none_or(|reader| own.name < reader.name) {
         return ReadFrom::Store;
     }
-    // One that has not heard that the store came back from a copy has nothing to tell to one that has.
+    // A gateway that does not know that the store was restored from a copy has no news for one that
+    // does.
     let answers = |other: &&Known<'_>| other.informed && !other.avoided && other.era >= own.era;
     let asked = reader
         .filter(answers)
-        .or_else(|| drawn(near().filter(answers), draw))
-        .or_else(|| drawn(others.iter().filter(answers), draw));
+        .or_else(|| pick_random(local().filter(answers), draw))
+        .or_else(|| pick_random(others.iter().filter(answers), draw));
     asked.map_or(ReadFrom::Store, |other| ReadFrom::Gateway(other.address))
 }
 
-/// Whom a gateway asks that knows nothing yet: one that holds a newest version. The store may have come back from a copy that
-/// lacks what others know to be in force.
+/// Returns the gateway to ask for a gateway that has not read anything yet: one that holds the
+/// newest version. The store may have been restored from a copy that lacks versions known to be in
+/// force.
 pub fn first_asked(others: &[Known<'_>], draw: u64) -> Option<SocketAddr> {
-    let able = || others.iter().filter(|other| !other.avoided && other.version.is_some());
-    let newest = able().map(|other| (other.version, other.era)).max()?;
-    let holds_newest = able().filter(|other| (other.version, other.era) == newest);
-    drawn(holds_newest, draw).map(|other| other.address)
+    let candidates = || others.iter().filter(|other| !other.avoided && other.version.is_some());
+    let newest = candidates().map(|other| (other.version, other.era)).max()?;
+    let holds_newest = candidates().filter(|other| (other.version, other.era) == newest);
+    pick_random(holds_newest, draw).map(|other| other.address)
 }
 
-fn drawn<'a, 'b: 'a>(all: impl Iterator<Item = &'a Known<'b>>, draw: u64) -> Option<&'a Known<'b>> {
+fn pick_random<'a, 'b: 'a>(
+    all: impl Iterator<Item = &'a Known<'b>>,
+    draw: u64,
+) -> Option<&'a Known<'b>> {
     let all: Vec<&Known<'_>> = all.collect();
     let count = all.len() as u64;
     (count > 0).then(|| all[(draw % count) as usize])
--- a/crates/oliveworks-gateway-core/src/table.rs
+++ b/crates/oliveworks-gateway-core/src/table.rs
@@ -1,12 +1,15 @@
-//! The replica groups that serve, as the leader publishes them, and how gateways hear of changes.
+//! The table of replica groups that serve, as the leader publishes it, and the propagation of its
+//! changes to gateways.
 //!
-//! A table grows with groups, and with hundreds of groups every second brings a change. So the leader
-//! sends what has changed, and a gateway that missed a step asks for what came since. Each change says
-//! which table it follows, so that a lost or repeated datagram does no harm: it does not fit, and the
-//! next heartbeat shows that something is missing. Whoever is too far behind gets the whole in parts.
+//! The table grows with the number of groups, and with hundreds of groups there is a change every
+//! second. So the leader sends deltas, and a gateway that missed one requests the deltas since its
+//! version. Each delta names the version that it applies to, so a lost or repeated datagram does no
+//! harm: the delta does not apply, and the next heartbeat shows that a delta is missing. A gateway
+//! that is too far behind receives the whole table in parts.
 //!
-//! Rejected: the whole table with each change. At 150 bytes a group, tables of more than 400 groups did
-//! not fit in a datagram, so that gateways went by the records of backend servers, which are older.
+//! Rejected alternative: sending the whole table with each change. At 150 bytes a group, tables of
+//! more than 400 groups did not fit in a datagram, so gateways fell back to the records of backend
+//! servers, which are older.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -15,40 +18,42 @@
 
 use crate::backend_servers::Born;
 
-/// What one change or part may hold, in bytes as reckoned by [`TableGroup::bytes`]: below the largest
-/// datagram, with room for what is not reckoned.
-const STEP_BYTES: usize = 40_000;
-/// Changes that are kept for those who missed some: at ten a second, what a gateway missed that was
-/// frozen for six seconds.
-const KEPT_CHANGES: usize = 64;
-/// What a group takes beside its words, in bytes: numbers, the address, and lengths.
+/// Maximum size of one delta or part, in bytes as estimated by [`TableGroup::bytes`]: below the
+/// largest datagram, with room for the fields that the estimate leaves out.
+const MAX_DELTA_BYTES: usize = 40_000;
+/// Number of deltas that are kept for gateways that missed some: at ten a second, enough for a
+/// gateway that was paused for six seconds.
+const MAX_KEPT_CHANGES: usize = 64;
+/// Encoded size of a group besides its strings, in bytes: numbers, the address and length fields.
 const GROUP_BYTES: usize = 48;
 
 /// A replica group as the leader publishes it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableGroup {
-    /// Its service.
+    /// Service of the group.
     pub service: String,
-    /// Its model.
+    /// Model of the group.
     pub model: String,
-    /// Its epoch.
+    /// Epoch of the group.
     pub epoch: u64,
-    /// Its members, the head first.
+    /// Ids of the members, the head first.
     pub members: Vec<String>,
-    /// Where its head listens.
+    /// Address on which the head listens.
     pub address: SocketAddr,
-    /// Requests that it works on at once.
+    /// Number of requests that the group serves concurrently.
     pub slots: u32,
-    /// The failure domain of its head.
+    /// Failure domain of the head.
     pub failure_domain: String,
-    /// How much slower than usual it runs, in hundredths; 100 is usual.
+    /// Duration of the group's work as a percentage of the usual one; 100 is usual, 200 is half as
+    /// fast.
     pub pace_percent: u32,
-    /// When its head's life began, as the leader heard from it: its record may tell later, or never.
+    /// Start of the head's incarnation, as the head reported it to the leader: the record of the
+    /// head in the store may hold it later, or never.
     pub head_born: Option<Born>,
 }
 
 impl TableGroup {
-    /// How much slower than usual it runs.
+    /// Returns the slowdown factor of the group; 1 is the usual pace.
     pub fn pace(&self) -> f64 {
         f64::from(self.pace_percent.max(100)) / 100.0
     }
@@ -57,19 +62,19 @@
         (&self.service, self.epoch)
     }
 
-    /// What it takes in a datagram, roughly, in bytes.
+    /// Estimates the size of the group in a datagram, in bytes.
     fn bytes(&self) -> usize {
         let members: usize = self.members.iter().map(|id| id.len() + 1).sum();
         GROUP_BYTES + self.service.len() + self.model.len() + self.failure_domain.len() + members
     }
 }
 
-/// A group of a service.
+/// Identifies a group of a service.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct GroupKey {
-    /// The service.
+    /// Service of the group.
     pub service: String,
-    /// The group's epoch.
+    /// Epoch of the group.
     pub epoch: u64,
 }
 
@@ -83,81 +88,83 @@
     }
 }
 
-/// Which table: a later leader's is newer, and of one leader's the one with the higher number.
+/// Version of a table. The table of a later leader is newer; among tables of one leader, the one
+/// with the higher number is newer.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Version {
-    /// The fence of the leader.
+    /// Fence of the leader.
     pub fence: u64,
     /// Counts the changes.
     pub number: u64,
 }
 
-/// The most hosts that each domain of each service had.
+/// Largest number of hosts seen in each domain of each service.
 pub type MostHosts = BTreeMap<String, BTreeMap<String, usize>>;
 
 /// All groups that serve, as the leader published them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Table {
-    /// The fence of the leader.
+    /// Fence of the leader.
     pub fence: u64,
     /// Counts the leader's changes.
     pub number: u64,
-    /// The groups.
+    /// Groups that serve.
     pub groups: Vec<TableGroup>,
-    /// Epochs of groups that have ended for certain, for the next leader.
+    /// Epochs of groups that have certainly ended, for the next leader.
     pub ended: Vec<u64>,
-    /// The most hosts that each domain of each service had, for the next leader.
+    /// Largest number of hosts seen in each domain of each service, for the next leader.
     pub most_hosts: MostHosts,
 }
 
-/// What makes one table of another.
+/// A delta between two versions of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The table that it changes.
+    /// Version that the delta applies to.
     pub from: Version,
-    /// The table that it makes.
+    /// Version that results from the delta.
     pub to: Version,
-    /// Groups that serve no more.
+    /// Groups that no longer serve.
     gone: Vec<GroupKey>,
-    /// Groups that are new, or no longer as they were.
+    /// Groups that are new or have changed.
     groups: Vec<TableGroup>,
-    /// Epochs that are no longer kept as ended.
+    /// Epochs that are no longer listed as ended.
     forgotten: Vec<u64>,
-    /// Epochs that have ended.
+    /// Epochs that have ended since.
     ended: Vec<u64>,
-    /// The most hosts of all domains, if they have changed.
+    /// Largest numbers of hosts of all domains, if any of them has changed.
     most_hosts: Option<MostHosts>,
 }
 
-/// Part of a whole table.
+/// A part of a whole table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// Which table.
+    /// Version of the table.
     version: Version,
-    /// Which part of how many.
+    /// Index of this part, and number of parts.
     index: usize,
     count: usize,
     groups: Vec<TableGroup>,
-    /// Ended epochs and the most hosts; with the first part only.
+    /// Ended epochs and largest numbers of hosts; in the first part only.
     ended: Vec<u64>,
     most_hosts: MostHosts,
 }
 
 impl Table {
-    /// Which table it is.
+    /// Returns the version of the table.
     pub fn version(&self) -> Version {
         Version { fence: self.fence, number: self.number }
     }
 
-    /// The changes that make this table into `new`, each small enough for a datagram; none if nothing
-    /// differs. They count on from this table's number, whatever that of `new` is.
+    /// Returns the deltas that turn this table into `new`, each small enough for a datagram; empty
+    /// if the tables are equal. Their numbers continue from the number of this table, whatever the
+    /// number of `new` is.
     pub fn changes_to(&self, new: &Table) -> Vec<Change> {
         let old_groups: BTreeMap<_, _> = self.groups.iter().map(|g| (g.key(), g)).collect();
         let kept: BTreeSet<_> = new.groups.iter().map(TableGroup::key).collect();
         let changed = new.groups.iter().filter(|group| old_groups.get(&group.key()) != Some(group));
-        let mut steps = in_steps(changed).into_iter();
+        let mut runs = split_for_datagrams(changed).into_iter();
         let first = Change {
             from: self.version(),
             to: Version { fence: new.fence, number: self.number + 1 },
@@ -166,24 +173,25 @@
                 .filter(|key| !kept.contains(key))
                 .map(GroupKey::of)
                 .collect(),
-            groups: steps.next().unwrap_or_default(),
-            forgotten: without(&self.ended, &new.ended),
-            ended: without(&new.ended, &self.ended),
+            groups: runs.next().unwrap_or_default(),
+            forgotten: difference(&self.ended, &new.ended),
+            ended: difference(&new.ended, &self.ended),
             most_hosts: (self.most_hosts != new.most_hosts).then(|| new.most_hosts.clone()),
         };
         if self.fence == new.fence && first.is_empty() {
             return Vec::new();
         }
         let mut changes = vec![first];
-        for groups in steps {
+        for groups in runs {
             let from = changes[changes.len() - 1].to;
             changes.push(Change::of_groups(from, groups));
         }
         changes
     }
 
-    /// Makes a change; tells whether it fits this table, which stays as it is if not. A leader that was
-    /// replaced may not know yet, and no table goes back to its fence.
+    /// Applies a delta and returns whether it applies to this version; otherwise the table stays
+    /// unchanged. A replaced leader may not yet know of its successor, so a table never returns to
+    /// a lower fence.
     pub fn apply(&mut self, change: &Change) -> bool {
         if change.from != self.version() || change.to <= change.from {
             return false;
@@ -191,8 +199,8 @@
         self.fence = change.to.fence;
         self.number = change.to.number;
         let replaced = change.groups.iter().map(TableGroup::key);
-        let over: BTreeSet<_> = replaced.chain(change.gone.iter().map(GroupKey::key)).collect();
-        self.groups.retain(|group| !over.contains(&group.key()));
+        let removed: BTreeSet<_> = replaced.chain(change.gone.iter().map(GroupKey::key)).collect();
+        self.groups.retain(|group| !removed.contains(&group.key()));
         self.groups.extend(change.groups.iter().cloned());
         self.ended.retain(|epoch| !change.forgotten.contains(epoch));
         self.ended.extend(&change.ended);
@@ -202,16 +210,16 @@
         true
     }
 
-    /// The whole table, each part small enough for a datagram. All gateways that hold the same table cut
-    /// it up alike, in whatever order they heard of its groups.
+    /// Returns the whole table in parts, each small enough for a datagram. All gateways that hold
+    /// the same table split it alike, whatever the order in which they received its groups.
     pub fn parts(&self) -> Vec<Part> {
         let mut groups: Vec<_> = self.groups.iter().collect();
         groups.sort_by(|one, other| one.key().cmp(&other.key()));
-        let mut steps = in_steps(groups.into_iter());
-        if steps.is_empty() {
-            steps.push(Vec::new());
+        let mut runs = split_for_datagrams(groups.into_iter());
+        if runs.is_empty() {
+            runs.push(Vec::new());
         }
-        let count = steps.len();
+        let count = runs.len();
         let part = |(index, groups)| Part {
             version: self.version(),
             index,
@@ -220,7 +228,7 @@
             ended: if index == 0 { self.ended.clone() } else { Vec::new() },
             most_hosts: if index == 0 { self.most_hosts.clone() } else { MostHosts::new() },
         };
-        steps.into_iter().enumerate().map(part).collect()
+        runs.into_iter().enumerate().map(part).collect()
     }
 }
 
@@ -237,73 +245,75 @@
         groups && ended && self.most_hosts.is_none()
     }
 
-    /// Whether other groups serve after it than before.
+    /// Whether the delta adds, changes or removes groups.
     pub fn regroups(&self) -> bool {
         !self.gone.is_empty() || !self.groups.is_empty()
     }
 }
 
-/// What is in the first list and not in the second.
-fn without(all: &[u64], others: &[u64]) -> Vec<u64> {
+/// Returns the epochs of the first list that are not in the second.
+fn difference(all: &[u64], others: &[u64]) -> Vec<u64> {
     all.iter().filter(|epoch| !others.contains(epoch)).copied().collect()
 }
 
-/// Groups in runs that each fit a datagram.
-fn in_steps<'a>(groups: impl Iterator<Item = &'a TableGroup>) -> Vec<Vec<TableGroup>> {
-    let mut steps: Vec<Vec<TableGroup>> = Vec::new();
+/// Splits groups into runs that each fit in a datagram.
+fn split_for_datagrams<'a>(groups: impl Iterator<Item = &'a TableGroup>) -> Vec<Vec<TableGroup>> {
+    let mut runs: Vec<Vec<TableGroup>> = Vec::new();
     let mut room = 0;
     for group in groups {
         let bytes = group.bytes();
-        match steps.last_mut() {
-            Some(step) if bytes <= room => step.push(group.clone()),
+        match runs.last_mut() {
+            Some(run) if bytes <= room => run.push(group.clone()),
             _ => {
-                room = STEP_BYTES;
-                steps.push(vec![group.clone()]);
+                room = MAX_DELTA_BYTES;
+                runs.push(vec![group.clone()]);
             }
         }
         room = room.saturating_sub(bytes);
     }
-    steps
+    runs
 }
 
-/// The last changes, for those who missed some.
+/// The most recent deltas, for gateways that missed some.
 #[derive(Clone, Debug, Default)]
 pub struct Changes(VecDeque<Change>);
 
 impl Changes {
-    /// Keeps a change that was made. One that does not follow the last one begins anew.
+    /// Adds a delta that was applied. A delta that does not follow the last one discards all
+    /// earlier ones.
     pub fn keep(&mut self, change: Change) {
         if self.0.back().is_some_and(|last| last.to != change.from) {
             self.0.clear();
         }
         self.0.push_back(change);
-        if self.0.len() > KEPT_CHANGES {
+        if self.0.len() > MAX_KEPT_CHANGES {
             self.0.pop_front();
         }
     }
 
-    /// What came after a table, in order; none if not all of it is kept.
+    /// Returns the deltas since version `held`, in order; `None` if some of them are no longer
+    /// kept.
     pub fn since(&self, held: Version) -> Option<Vec<Change>> {
         let first = self.0.iter().position(|change| change.from == held)?;
         Some(self.0.iter().skip(first).cloned().collect())
     }
 }
 
-/// Parts of a table that are put together as they come.
+/// Assembles the parts of a table as they arrive.
 #[derive(Clone, Debug, Default)]
 pub struct Assembly {
     parts: BTreeMap<usize, Part>,
 }
 
 impl Assembly {
-    /// Takes a part in; the table if it is whole now. Parts of an older table than the one that is
-    /// being put together are left out.
+    /// Adds a part and returns the table once it is complete. Parts of a version older than the one
+    /// being assembled are ignored.
     pub fn take(&mut self, part: Part) -> Option<Table> {
-        let begun = self.parts.values().next().map(|part| part.version);
-        if begun.is_some_and(|begun| part.version < begun) {
+        let assembling = self.parts.values().next().map(|part| part.version);
+        if assembling.is_some_and(|assembling| part.version < assembling) {
             return None;
         }
-        if begun.is_some_and(|begun| begun < part.version) {
+        if assembling.is_some_and(|assembling| assembling < part.version) {
             self.parts.clear();
         }
         let count = part.count;
