--- a/crates/oliveworks-gateway-core/src/admission.rs
+++ b/crates/oliveworks-gateway-core/src/admission.rs
@@ -1,17 +1,19 @@
-//! How much of what a replica group has free this gateway may take.
+//! Admission control: limits how much of a replica group's free capacity this gateway uses.
 //!
-//! Every gateway sees the same places come free, by counts that are some 100 to 280 ms old. If each
-//! fills them, a group gets many times what it can take: 30 requests within 60 ms for two places, whose
-//! first events came 300 to 700 ms later. So a gateway takes only its part of what is free, in
-//! proportion to its part of the callers, in each window as long as the counts are old. What is left
-//! of a place after rounding goes to gateways by lot, another one in each window.
+//! Every gateway sees the same slots come free, through counts that are 100 to 280 ms old. If each
+//! gateway fills those slots, a group receives many times its capacity: in one case 30 requests
+//! within 60 ms for two slots, with first events 300 to 700 ms later. Each gateway therefore uses
+//! only its share of the free capacity, in proportion to its share of the callers, in each window
+//! that is as long as the counts are old. The fraction of a slot that remains after rounding is
+//! assigned to gateways by a pseudo-random draw that changes with each window.
 //!
-//! Two things are shared out so: slots, and the time in which a group reads prompts, since a pass that
-//! reads holds up all streams of its group. Long prompts fill the second long before the first.
+//! Two resources are shared in this way: slots, and the time that a group spends on reading
+//! prompts, because a pass that reads prompts delays all streams of its group. Long prompts exhaust
+//! the second resource long before the first.
 //!
-//! Rejected: fixed parts of the slots (a gateway whose callers come in bursts refuses them beside places
-//! that others do not need), and one gateway that counts for each group (another hop for each request,
-//! and nobody counts while it is lost).
+//! Rejected: fixed shares of the slots (a gateway with bursty callers rejects them while slots are
+//! free that the others do not need), and one gateway that counts for each group (one more hop for
+//! each request, and no count while that gateway is lost).
 
 use std::collections::HashMap;
 
@@ -22,27 +24,30 @@
 use crate::balance::{Balance, Candidate, Target};
 use crate::locality::Parts;
 
-/// The weights of admission, each measured by replayed loads with 13 gateways: *many* has more than twice
-/// the callers that twelve groups serve, *long* has one and a half times the callers with
-/// long prompts that three groups serve. Without any bound 42 in 100 callers of *many* and 15 of *long* are served in time, with
-/// all 75 and 49.
+/// Parameters of admission control. The effect of each one was measured by replaying two loads with
+/// 13 gateways. In *many*, there are more than twice as many callers as twelve groups can serve. In
+/// *long*, there are one and a half times as many callers with long prompts as three groups can
+/// serve. The figures below are the shares of callers that are served in time: 42 % of *many* and
+/// 15 % of *long* without any limit, 75 % and 49 % with all limits.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AdmissionConfig {
-    /// The part of its slots, in hundredths, that a group must have free for gateways to send there at
-    /// will; 0 sets no bound on slots. Below it a herd can fill the group before anyone hears of it:
-    /// without the bound 65 in 100 of *many* are in time.
+    /// Share of its slots, in percent, that a group must have free for gateways to send there
+    /// without a limit; 0 disables the limit on slots. Below this share, a burst can fill the group
+    /// before any gateway receives the new counts. Without the limit, 65 % of *many* are served in
+    /// time.
     pub plenty_percent: u32,
-    /// The time in which a gateway takes its part once, in ms: that between two heartbeats, which bring
-    /// the counts. With 250 ms 72 in 100 of *many* are in time.
+    /// Length of the window in which a gateway uses its share once, in ms. This is the time between
+    /// two heartbeats, which carry the counts. With 250 ms, 72 % of *many* are served in time.
     pub window_ms: u64,
-    /// What reading the unread prompts of all gateways at a group may take, in hundredths of the goal.
-    /// Without the bound 30 in 100 of *long* are in time. With 50 in place of 75 more of *long* are, but 5 in 100 of
-    /// as many as the groups can just serve are refused, which cost pools of 30 hosts 0.04 of their worth.
+    /// Maximum time for reading the unread prompts of all gateways at a group, in percent of the
+    /// goal. Without this limit, 30 % of *long* are served in time. With 50 instead of 75, more of
+    /// *long* are served in time, but 5 % of the callers are rejected when the load is just what
+    /// the groups can serve, which reduced the value of pools of 30 hosts by 0.04.
     pub reading_percent: u32,
-    /// The part of the slots, in hundredths, that callers who have come back may fill. They are late
-    /// whatever is done, and the rest is kept for those who can still be in time: with 100, 65 in 100
-    /// of *many* are.
+    /// Share of the slots, in percent, that returning callers may fill. Returning callers are late
+    /// in any case, so the rest is kept for callers that can still be served in time. With 100, 65
+    /// % of *many* are served in time.
     pub returning_percent: u32,
 }
 
@@ -57,54 +62,55 @@
     }
 }
 
-/// The time in which half of a change in what is unread is taken in, in ms: some passes, since between
-/// the end of one and the next herd nothing is unread.
-const UNREAD_HALF_MS: f64 = 300.0;
+/// Half-life of the moving average of unread prompts, in ms. The average spans several passes
+/// because no prompt is unread between the end of a pass and the next burst.
+const UNREAD_HALF_LIFE_MS: f64 = 300.0;
 
-/// A request that looks for a replica group.
+/// A request that is looking for a replica group.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Asking {
-    /// Tokens of its prompt.
+    /// Number of tokens of the prompt.
     pub tokens: u32,
-    /// The load, in slots, up to which it may fill a group.
+    /// Load, as a multiple of the slots, up to which the request may fill a group.
     pub full_at: f64,
-    /// The time in which it should begin to be answered, in ms.
+    /// Time within which the answer should begin, in ms.
     pub goal_ms: u64,
-    /// This gateway's parts of what groups have free.
+    /// This gateway's shares of the free capacity of groups.
     pub parts: Parts,
 }
 
 impl Asking {
-    fn part(&self, candidate: &Candidate) -> f64 {
+    fn share(&self, candidate: &Candidate) -> f64 {
         if candidate.near { self.parts.near } else { self.parts.far }
     }
 }
 
-/// What this gateway knows of a group beside the counts.
+/// This gateway's state for a group, besides the counts.
 #[derive(Clone, Copy, Debug, Default)]
 struct Group {
-    /// The window in which it last sent there, and how many requests.
+    /// Window in which this gateway last sent a request to the group, and the number of requests
+    /// sent in that window.
     window: u64,
     sent: u32,
-    /// What reading all that is unread there takes, in the mean, in ms.
+    /// Moving average of the time needed to read all unread prompts at the group, in ms.
     unread_ms: f64,
-    noted_at: Millis,
+    updated_at: Millis,
 }
 
 impl Group {
-    fn note_unread(&mut self, now: Millis, unread_ms: f64) {
-        let age_ms = now.saturating_sub(self.noted_at) as f64;
-        let old = 0.5f64.powf(age_ms / UNREAD_HALF_MS);
-        self.unread_ms = self.unread_ms * old + unread_ms * (1.0 - old);
-        self.noted_at = now;
+    fn update_unread(&mut self, now: Millis, unread_ms: f64) {
+        let age_ms = now.saturating_sub(self.updated_at) as f64;
+        let old_weight = 0.5f64.powf(age_ms / UNREAD_HALF_LIFE_MS);
+        self.unread_ms = self.unread_ms * old_weight + unread_ms * (1.0 - old_weight);
+        self.updated_at = now;
     }
 
-    fn sent_in(&self, window: u64) -> f64 {
+    fn sent_in_window(&self, window: u64) -> f64 {
         if self.window == window { f64::from(self.sent) } else { 0.0 }
     }
 }
 
-/// What this gateway took of each group lately.
+/// Admission state: the requests that this gateway recently sent to each group.
 #[derive(Clone, Debug)]
 pub struct Admission {
     config: AdmissionConfig,
@@ -113,12 +119,13 @@
 }
 
 impl Admission {
-    /// Nothing was taken yet; `salt` differs from gateway to gateway.
+    /// Creates the state of a gateway that has sent nothing. `salt` differs between gateways.
     pub fn new(config: AdmissionConfig, salt: u64) -> Admission {
         Admission { config, groups: HashMap::new(), salt }
     }
 
-    /// The load, in slots, up to which a caller may fill what others may fill up to `full_at`.
+    /// Returns the load, as a multiple of the slots, up to which a caller may fill a group.
+    /// `full_at` is the limit for first-time callers.
     pub fn full_at(&self, full_at: f64, came_back: bool) -> f64 {
         match came_back {
             true => full_at * f64::from(self.config.returning_percent) / 100.0,
@@ -126,7 +133,7 @@
         }
     }
 
-    /// Leaves out the groups of which this gateway has taken its part.
+    /// Removes the groups of which this gateway has used its share.
     pub fn admit(
         &mut self,
         now: Millis,
@@ -137,13 +144,13 @@
         candidates.retain(|candidate| {
             let unread = balance.load(now, candidate.target).tokens;
             let unread_ms = f64::from(unread) * candidate.token_ms;
-            self.groups.entry(candidate.target).or_default().note_unread(now, unread_ms);
-            self.may_take_slot(now, balance, asking, candidate)
-                && self.may_read(now, balance, asking, candidate, unread_ms)
+            self.groups.entry(candidate.target).or_default().update_unread(now, unread_ms);
+            self.has_slot_share(now, balance, asking, candidate)
+                && self.has_reading_share(now, balance, asking, candidate, unread_ms)
         });
     }
 
-    fn may_take_slot(
+    fn has_slot_share(
         &self,
         now: Millis,
         balance: &Balance,
@@ -156,11 +163,12 @@
             return true;
         }
         let group = self.groups.get(&candidate.target).copied().unwrap_or_default();
-        let sent = group.sent_in(self.window(now));
-        sent + 1.0 <= (free + sent) * asking.part(candidate) + self.lot(now, candidate.target)
+        let sent = group.sent_in_window(self.window(now));
+        sent + 1.0
+            <= (free + sent) * asking.share(candidate) + self.window_draw(now, candidate.target)
     }
 
-    fn may_read(
+    fn has_reading_share(
         &self,
         now: Millis,
         balance: &Balance,
@@ -168,31 +176,32 @@
         candidate: &Candidate,
         unread_ms: f64,
     ) -> bool {
-        let all_ms = asking.goal_ms as f64 * f64::from(self.config.reading_percent) / 100.0;
+        let limit_ms = asking.goal_ms as f64 * f64::from(self.config.reading_percent) / 100.0;
         let own_ms = f64::from(balance.own_unread(candidate.target)) * candidate.token_ms;
         let prompt_ms = f64::from(asking.tokens) * candidate.token_ms;
         let group = self.groups.get(&candidate.target).copied().unwrap_or_default();
-        // Kept to already where half of that time was taken, 5 in 100 callers were refused that the groups
-        // could all serve in time.
-        if group.unread_ms < all_ms {
-            return own_ms == 0.0 || own_ms + prompt_ms <= all_ms * asking.part(candidate);
+        // Enforcing the share from half of that time on rejected 5 % of the callers although the
+        // groups could serve all of them in time.
+        if group.unread_ms < limit_ms {
+            return own_ms == 0.0 || own_ms + prompt_ms <= limit_ms * asking.share(candidate);
         }
-        let part_ms = (all_ms - unread_ms + own_ms).max(0.0) * asking.part(candidate);
-        let lot = if own_ms > 0.0 { 0.0 } else { self.lot(now, candidate.target) };
-        own_ms + prompt_ms <= part_ms + prompt_ms * lot
+        let share_ms = (limit_ms - unread_ms + own_ms).max(0.0) * asking.share(candidate);
+        let window_draw = if own_ms > 0.0 { 0.0 } else { self.window_draw(now, candidate.target) };
+        own_ms + prompt_ms <= share_ms + prompt_ms * window_draw
     }
 
     fn window(&self, now: Millis) -> u64 {
         now / self.config.window_ms.max(1)
     }
 
-    /// A number from 0 to 1, another one for each gateway, group and window.
-    fn lot(&self, now: Millis, target: Target) -> f64 {
+    /// Returns a pseudo-random number from 0 to 1 that depends on the gateway, the group and the
+    /// window.
+    fn window_draw(&self, now: Millis, target: Target) -> f64 {
         let bytes = (target.0 ^ self.window(now).rotate_left(32)).to_le_bytes();
         xxh3_64_with_seed(&bytes, self.salt) as f64 / u64::MAX as f64
     }
 
-    /// A request goes to a group.
+    /// Records that a request is sent to a group.
     pub fn started(&mut self, now: Millis, target: Target) {
         let window = self.window(now);
         let group = self.groups.entry(target).or_default();
@@ -203,7 +212,7 @@
         group.sent += 1;
     }
 
-    /// Forgets groups that are gone.
+    /// Drops the groups for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(Target) -> bool) {
         self.groups.retain(|target, _| keep(*target));
     }
--- a/crates/oliveworks-gateway-core/src/attempts.rs
+++ b/crates/oliveworks-gateway-core/src/attempts.rs
@@ -1,72 +1,72 @@
-//! What follows a failed attempt, and what the caller is told.
+//! Retry decisions after a failed attempt, and the error that the caller receives.
 //!
-//! "Not run" is said only when nothing was sent or a backend server itself said that it did not
-//! run the request. Whatever was sent and not answered may have run.
+//! The verdict "not run" is used only when nothing was sent, or when a backend server itself
+//! reported that it did not run the request. A request that was sent and not answered may have run.
 
 use crate::Millis;
 
-/// How an attempt at a backend server ended without an answer to pass on.
+/// The way in which an attempt at a backend server ended without an answer to relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Failure {
-    /// No connection came up, so nothing was sent.
+    /// No connection was established, so nothing was sent.
     NotSent,
-    /// The backend server says that it did not run the request.
+    /// The backend server reported that it did not run the request.
     Refused,
-    /// The request was sent; no whole answer came.
+    /// The request was sent, but no complete answer arrived.
     Lost,
-    /// The backend server's own failure of a request that may be repeated.
+    /// The backend server itself failed on a request that may be repeated.
     Failed,
-    /// The replica group stands still.
+    /// The replica group is stalled.
     Stalled,
 }
 
-/// What may be done with a request.
+/// The conditions under which a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Terms {
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// The most backend servers that it is sent to.
+    /// Maximum number of backend servers that the request is sent to.
     pub max_attempts: u32,
-    /// When it must have its final answer.
+    /// Time by which the final answer is due.
     pub deadline: Millis,
 }
 
-/// What a caller is told when there is no answer to pass on.
+/// The error reported to a caller when there is no answer to relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Verdict {
-    /// No route takes the request.
+    /// No route matches the request.
     NoRoute,
-    /// It carries no key that somebody holds.
+    /// The request carries no valid key.
     NoKey,
-    /// It is not a proper request.
+    /// The request is malformed.
     BadRequest,
-    /// Its head is too large.
+    /// The request's head is too large.
     HeadTooLarge,
-    /// Its body is too large.
+    /// The request's body is too large.
     BodyTooLarge,
-    /// It did not come in time; it has not run.
+    /// The request was not received in time and has not run.
     TooSlow,
-    /// It has not run and will not; it may come back.
+    /// The request has not run and will not run. The caller may retry.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     MayHaveRun,
-    /// Its time is over, and it may have run.
+    /// The deadline has passed, and the request may have run.
     TimedOut,
 }
 
-/// A row of the table from verdicts to answers.
+/// The HTTP answer for a verdict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// The status.
+    /// HTTP status code.
     pub status: u16,
-    /// A word for logs and bodies.
+    /// Error code for logs and bodies.
     pub code: &'static str,
-    /// Whether the caller is told when to come back.
+    /// Whether the answer names a time for a retry.
     pub come_back: bool,
 }
 
 impl Verdict {
-    /// The answer to a verdict.
+    /// Returns the HTTP answer for this verdict.
     pub fn answer(self) -> Answer {
         let (status, code, come_back) = match self {
             Verdict::NoRoute => (404, "no_route", false),
@@ -83,12 +83,13 @@
     }
 }
 
-/// What to do next.
+/// The next step after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Send it to another backend server, if the budget has a repeat left where it is needed.
+    /// Send the request to another backend server, if the retry budget allows it where a retry is
+    /// charged.
     Again,
-    /// Tell the caller.
+    /// Report the verdict to the caller.
     GiveUp(Verdict),
 }
 
@@ -98,46 +99,46 @@
     terms: Terms,
     sent: u32,
     connected: u32,
-    excused: u32,
+    excused_ends: u32,
     may_have_run: bool,
 }
 
-/// The most connections that are tried for one request.
+/// Maximum number of connections opened for one request.
 const CONNECTIONS_MAX: u32 = 4;
 
 impl Attempts {
-    /// A request that was sent nowhere yet.
+    /// Creates the state of a request that has not been sent.
     pub fn new(terms: Terms) -> Attempts {
-        Attempts { terms, sent: 0, connected: 0, excused: 0, may_have_run: false }
+        Attempts { terms, sent: 0, connected: 0, excused_ends: 0, may_have_run: false }
     }
 
-    /// A connection for the request is being opened.
+    /// Records that a connection for the request is being opened.
     pub fn connecting(&mut self) {
         self.connected += 1;
     }
 
-    /// The request goes out; tells whether that is a repeat.
+    /// Records that the request is being sent, and returns whether this send is a repeat.
     pub fn sending(&mut self) -> bool {
         self.sent += 1;
         self.sent > 1
     }
 
-    /// How often it was sent.
+    /// Returns how often the request was sent.
     pub fn sent(&self) -> u32 {
         self.sent
     }
 
-    /// Whether the next send is a repeat.
+    /// Returns whether the next send is a repeat.
     pub fn next_is_repeat(&self) -> bool {
         self.sent > 0
     }
 
-    /// Whether it may have run.
+    /// Returns whether the request may have run.
     pub fn may_have_run(&self) -> bool {
         self.may_have_run
     }
 
-    /// What to tell if it goes nowhere any more.
+    /// Returns the verdict for a request that is not sent again.
     pub fn verdict(&self, now: Millis) -> Verdict {
         match (self.may_have_run, now >= self.terms.deadline) {
             (false, _) => Verdict::NotRun,
@@ -146,20 +147,21 @@
         }
     }
 
-    /// An attempt has failed. `gone` is whether its backend server is known to have ended.
+    /// Records a failed attempt and returns the next step. `gone` is whether the backend server is
+    /// known to have ended; one such attempt per request does not count towards the maximum.
     pub fn failed(&mut self, now: Millis, failure: Failure, gone: bool) -> Next {
         if matches!(failure, Failure::Lost | Failure::Failed | Failure::Stalled) {
             self.may_have_run = true;
         }
         if gone && failure != Failure::NotSent {
-            self.excused += 1;
+            self.excused_ends += 1;
         }
-        let sends_left = self.sent < self.terms.max_attempts + self.excused.min(1);
-        let again = now < self.terms.deadline
+        let sends_left = self.sent < self.terms.max_attempts + self.excused_ends.min(1);
+        let may_retry = now < self.terms.deadline
             && self.connected < CONNECTIONS_MAX
             && sends_left
             && (self.terms.repeatable || !self.may_have_run);
-        match again {
+        match may_retry {
             true => Next::Again,
             false => Next::GiveUp(self.verdict(now)),
         }
--- a/crates/oliveworks-gateway-core/src/balance.rs
+++ b/crates/oliveworks-gateway-core/src/balance.rs
@@ -1,8 +1,8 @@
-//! Where a request goes: to the backend server or replica group that is least busy.
+//! Load balancing: chooses the least busy backend server or replica group for a request.
 //!
-//! Each gateway counts what it has sent itself at once, and hears from the others every fraction
-//! of a second what they have sent. Rejected: asking backend servers for their load, which is
-//! priced and lags more than the gateways' own counts.
+//! Each gateway counts its own requests as it sends them, and receives the other gateways' counts
+//! several times a second. Rejected: polling backend servers for their load, because those calls
+//! are charged for and the answers lag more than the gateways' own counts.
 
 use std::collections::HashMap;
 
@@ -13,37 +13,38 @@
 use crate::fan_out::Source;
 use crate::locality::Sides;
 
-/// A backend server, or a replica group by its head.
+/// A backend server, or a replica group identified by its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Target(pub u64);
 
 impl Target {
-    /// The target of a backend server's id: 40 bits, which heartbeats carry in six bytes in place of
-    /// ten. Among 4,100 backend servers two are alike once in 130,000 deployments, and then only
-    /// seem busier than they are.
+    /// Returns the target for a backend server's id: a 40-bit hash, which takes six bytes instead
+    /// of ten in a heartbeat. Among 4,100 backend servers a collision occurs in one of 130,000
+    /// deployments, and its only effect is that the two targets seem busier than they are.
     pub fn of(id: &str) -> Target {
         Target(xxh3_64(id.as_bytes()) >> 24)
     }
 }
 
-/// A target that a request may go to.
+/// A target that is eligible for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
-    /// The target.
+    /// The target itself.
     pub target: Target,
-    /// Requests that it works on at once.
+    /// Number of requests that the target processes concurrently.
     pub slots: u32,
-    /// Whether it is in this gateway's failure domain.
+    /// Whether the target is in this gateway's failure domain.
     pub near: bool,
-    /// What each request that is open there costs the next one, in ms.
+    /// Delay that each outstanding request at the target adds to the next one, in ms.
     pub open_ms: f64,
-    /// What each token of a prompt that is not read yet costs the next request, in ms.
+    /// Delay that each unprocessed prompt token at the target adds to the next request, in ms.
     pub token_ms: f64,
 }
 
 impl Candidate {
-    /// How it is compared with others if it takes so many requests a second: its load counts as if it had as many slots
-    /// as that, which is about as long as answers take. What it may have open stays: its rate alone is bound.
+    /// Returns this candidate with its cost adjusted for a limit of `requests_per_s`: the load is
+    /// weighted as if the target had that many slots, since an answer takes about a second. The
+    /// number of slots itself is unchanged, because only the rate is limited.
     pub fn taking(self, requests_per_s: f64) -> Candidate {
         let slots = f64::from(self.slots.max(1));
         let taken = requests_per_s.clamp(1.0, slots);
@@ -51,12 +52,12 @@
     }
 }
 
-/// What is open at a target.
+/// The requests in flight at a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests.
+    /// Number of outstanding requests.
     pub requests: u32,
-    /// Tokens of prompts that have not begun to be answered.
+    /// Number of prompt tokens of requests whose answer has not begun.
     pub tokens: u32,
 }
 
@@ -67,127 +68,134 @@
     }
 }
 
-/// The most that other gateways' counts are believed for.
-const PEER_COUNT_MS: u64 = 1_500;
-/// Targets that are compared for a request, from a random one on. What others have sent in the last
-/// moments is not known yet. Rejected: comparing all of them (every gateway sends to the same one
-/// until it hears of the others) and four (half as bad).
+/// Maximum age at which other gateways' counts are still used, in ms.
+const PEER_COUNT_MAX_AGE_MS: u64 = 1_500;
+/// Number of targets compared for a request, starting from a random one. Requests that other
+/// gateways sent in the last moments are not known yet. Rejected: comparing all targets (every
+/// gateway sends to the same one until it receives the others' counts) and comparing four (half as
+/// bad).
 const COMPARED: usize = 2;
-/// So few targets are all compared: few requests go to each of them in such a moment.
-const FEW: usize = 4;
-/// What being in another failure domain costs, in ms: the way there and back.
-const FAR_MS: f64 = 3.0;
-/// What a recent failure costs, in ms; fades with time.
-const FAILURE_MS: f64 = 120.0;
-/// The time in which the weight of failures halves.
-const FAILURE_HALF_MS: f64 = 1_500.0;
-
-/// What a replica group may be silent beyond its longest pass, while a stream of ours runs there.
-const WRITING_SLACK_MS: u64 = 50;
-/// Passes until a first event, one that reads and one that writes, and what may come on top.
+/// Maximum number of targets up to which all are compared: with so few, each target receives few
+/// requests before the next counts arrive.
+const COMPARE_ALL_MAX: usize = 4;
+/// Cost of sending to another failure domain, in ms: the network round trip.
+const REMOTE_COST_MS: f64 = 3.0;
+/// Cost of a recent failure, in ms. The cost decays over time.
+const FAILURE_COST_MS: f64 = 120.0;
+/// Half-life of the cost of failures, in ms.
+const FAILURE_HALF_LIFE_MS: f64 = 1_500.0;
+
+/// Allowed silence of a replica group beyond its longest pass while a stream of this gateway is
+/// running there, in ms.
+const STREAM_SLACK_MS: u64 = 50;
+/// Number of passes until the first event: one to read the prompt and one to generate.
 const FIRST_PASSES: u64 = 2;
+/// Slack added to the passes until the first event, in ms.
 const FIRST_SLACK_MS: u64 = 100;
 
-/// How many targets are compared for a request.
-fn compared(candidates: &[Candidate]) -> usize {
-    if candidates.len() <= FEW { FEW } else { COMPARED }
+/// Returns the maximum number of targets to compare for a request.
+fn compare_limit(candidates: &[Candidate]) -> usize {
+    if candidates.len() <= COMPARE_ALL_MAX { COMPARE_ALL_MAX } else { COMPARED }
 }
 
 #[derive(Clone, Debug, Default)]
-struct Own {
+struct OwnLoad {
     open: u32,
-    /// Tokens of prompts of requests that have not begun.
+    /// Prompt tokens of the requests whose answer has not begun.
     tokens: u32,
-    /// Streams among them that have begun.
-    writing: u32,
+    /// Number of the outstanding streams that have begun.
+    active_streams: u32,
     last_progress: Millis,
-    /// When something last came, whether requests were open before or not.
-    heard_at: Millis,
+    /// Time at which data was last received from the target. Unlike `last_progress`, sending a
+    /// request does not reset this time.
+    last_received_at: Millis,
     failures: f64,
     failures_at: Millis,
 }
 
-impl Own {
+impl OwnLoad {
     fn failures(&self, now: Millis) -> f64 {
         let age = now.saturating_sub(self.failures_at) as f64;
-        self.failures * 0.5f64.powf(age / FAILURE_HALF_MS)
+        self.failures * 0.5f64.powf(age / FAILURE_HALF_LIFE_MS)
     }
 }
 
-/// What others have open, and when they told so.
+/// Outstanding requests reported by another gateway or failure domain, and the time of that report.
 #[derive(Clone, Debug, Default)]
-struct Told {
+struct PeerLoad {
     at: Millis,
     open: HashMap<Target, Load>,
 }
 
-impl Told {
-    fn is_believed(&self, now: Millis) -> bool {
-        now < self.at + PEER_COUNT_MS
+impl PeerLoad {
+    fn is_fresh(&self, now: Millis) -> bool {
+        now < self.at + PEER_COUNT_MAX_AGE_MS
     }
 }
 
-/// What is known of how busy targets are.
+/// This gateway's view of the load of all targets.
 #[derive(Clone, Debug, Default)]
 pub struct Balance {
-    own: HashMap<Target, Own>,
-    /// What others told: of other failure domains, with each heartbeat, what they have open at targets of
-    /// this one.
-    peers: HashMap<Source, Told>,
-    /// What other failure domains told now and then of what they have open elsewhere.
-    peers_elsewhere: HashMap<Source, Told>,
-    /// When other gateways last heard from targets, as far as they told.
+    own: HashMap<Target, OwnLoad>,
+    /// Reported load by source. Another failure domain reports with each heartbeat the load that it
+    /// puts on targets of this domain.
+    peers: HashMap<Source, PeerLoad>,
+    /// Load that other failure domains put on targets outside this domain, reported less often.
+    peers_elsewhere: HashMap<Source, PeerLoad>,
+    /// Time at which other gateways last received data from each target, as far as reported.
     heard_elsewhere: HashMap<Target, Millis>,
-    /// The same of the gateways of this failure domain alone.
+    /// The same, restricted to gateways of this failure domain.
     heard_near: HashMap<Target, Millis>,
 }
 
-/// Why no target was chosen.
+/// The reason why no target was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoTarget {
-    /// There is none.
+    /// No target exists.
     None,
-    /// All are full.
+    /// All targets are full.
     Full,
-    /// All are in drained failure domains.
+    /// All targets are in drained failure domains.
     Drained,
-    /// All are cold, and this gateway has taken its part of them.
+    /// All targets are cold, and this gateway has used its share of their ramp-up limit.
     Cold,
-    /// All that are not cold asked to be left alone.
+    /// All targets that are not cold asked for a backoff.
     Backoff,
-    /// All name a rate limit, and no permit is left.
+    /// All targets have a rate limit, and no permit is left.
     Limited,
 }
 
 impl Balance {
-    /// What another gateway, or those of another failure domain, have open, by target.
+    /// Records the outstanding requests by target that another gateway, or another failure domain,
+    /// reported.
     pub fn peer(&mut self, now: Millis, source: Source, open: HashMap<Target, Load>) {
-        self.peers.insert(source, Told { at: now, open });
+        self.peers.insert(source, PeerLoad { at: now, open });
     }
 
-    /// What another failure domain has open outside of this one, by target: told less often than what
-    /// it has open here.
+    /// Records the outstanding requests by target that another failure domain has outside this one.
+    /// These reports arrive less often than those about targets of this domain.
     pub fn peer_elsewhere(&mut self, now: Millis, source: Source, open: HashMap<Target, Load>) {
-        self.peers_elsewhere.insert(source, Told { at: now, open });
+        self.peers_elsewhere.insert(source, PeerLoad { at: now, open });
     }
 
-    /// Whether another gateway or failure domain told that it has something open at a target.
+    /// Returns whether another gateway or failure domain reported an outstanding request at a
+    /// target.
     pub fn is_open_at(&self, now: Millis, source: Source, target: Target) -> bool {
-        let told = [self.peers.get(&source), self.peers_elsewhere.get(&source)];
-        let mut believed = told.into_iter().flatten().filter(|told| told.is_believed(now));
-        believed.any(|told| told.open.contains_key(&target))
+        let reports = [self.peers.get(&source), self.peers_elsewhere.get(&source)];
+        let mut fresh = reports.into_iter().flatten().filter(|report| report.is_fresh(now));
+        fresh.any(|report| report.open.contains_key(&target))
     }
 
-    fn believed(&self, now: Millis) -> impl Iterator<Item = (Source, &HashMap<Target, Load>)> {
+    fn fresh_reports(&self, now: Millis) -> impl Iterator<Item = (Source, &HashMap<Target, Load>)> {
         let all = self.peers.iter().chain(&self.peers_elsewhere);
-        let believed = all.filter(move |(_, told)| told.is_believed(now));
-        believed.map(|(source, told)| (*source, &told.open))
+        let fresh = all.filter(move |(_, report)| report.is_fresh(now));
+        fresh.map(|(source, report)| (*source, &report.open))
     }
 
-    /// What the gateways of this failure domain have open, by target.
+    /// Returns the outstanding requests of this failure domain's gateways, by target.
     pub fn domain_open(&self, now: Millis) -> HashMap<Target, Load> {
         let mut sum: HashMap<Target, Load> = self.own_open().collect();
-        for (_, open) in self.believed(now).filter(|(source, _)| source.is_near()) {
+        for (_, open) in self.fresh_reports(now).filter(|(source, _)| source.is_near()) {
             for (target, load) in open {
                 sum.entry(*target).or_default().add(*load);
             }
@@ -195,32 +203,33 @@
         sum
     }
 
-    /// What this gateway has open, by target.
+    /// Returns this gateway's outstanding requests, by target.
     pub fn own_open(&self) -> impl Iterator<Item = (Target, Load)> {
         let busy = self.own.iter().filter(|(_, own)| own.open > 0);
         busy.map(|(target, own)| (*target, Load { requests: own.open, tokens: own.tokens }))
     }
 
-    /// Tokens of this gateway's prompts at a target that are not read yet.
+    /// Returns the number of unprocessed prompt tokens of this gateway's requests at a target.
     pub fn own_unread(&self, target: Target) -> u32 {
         self.own.get(&target).map_or(0, |own| own.tokens)
     }
 
-    /// What all gateways have open at a target.
+    /// Returns the outstanding requests of all gateways at a target.
     pub fn load(&self, now: Millis, target: Target) -> Load {
         let own = self.own.get(&target);
         let mut load =
             own.map(|own| Load { requests: own.open, tokens: own.tokens }).unwrap_or_default();
-        for (_, open) in self.believed(now) {
+        for (_, open) in self.fresh_reports(now) {
             load.add(open.get(&target).copied().unwrap_or_default());
         }
         load
     }
 
-    /// Chooses among targets; `full_at` is the load, in slots, at which a target takes no more.
+    /// Chooses a target among the candidates. A target is full once its load reaches `full_at`
+    /// times its slots.
     ///
     /// # Errors
-    /// If there is none, or all are full.
+    /// Returns an error if there is no untried candidate, or if all are full.
     pub fn choose(
         &self,
         now: Millis,
@@ -234,14 +243,15 @@
         if open.is_empty() {
             return Err(NoTarget::None);
         }
-        let most = compared(candidates);
-        self.least_busy(now, &open, most, full_at, draw).ok_or(NoTarget::Full)
+        let limit = compare_limit(candidates);
+        self.least_busy(now, &open, limit, full_at, draw).ok_or(NoTarget::Full)
     }
 
-    /// The same, but among the near targets alone as long as one of them takes one more.
+    /// Chooses like [`Balance::choose`], but only among the local candidates as long as one of them
+    /// is not full.
     ///
     /// # Errors
-    /// If there is none, or all are full.
+    /// Returns an error if there is no untried candidate, or if all are full.
     pub fn choose_near(
         &self,
         now: Millis,
@@ -252,11 +262,11 @@
     ) -> Result<Target, NoTarget> {
         let untried = candidates.iter().filter(|candidate| !tried.contains(&candidate.target));
         let near: Vec<&Candidate> = untried.filter(|candidate| candidate.near).collect();
-        let found = self.least_busy(now, &near, compared(candidates), full_at, draw);
+        let found = self.least_busy(now, &near, compare_limit(candidates), full_at, draw);
         found.map_or_else(|| self.choose(now, candidates, tried, full_at, draw), Ok)
     }
 
-    /// How busy targets are, near and elsewhere.
+    /// Returns the usage of the local and of the remote candidates.
     pub fn sides(&self, now: Millis, candidates: &[Candidate]) -> Sides {
         let mut sides = Sides::default();
         for candidate in candidates {
@@ -268,39 +278,40 @@
         sides
     }
 
-    /// The least busy of up to `most` targets that take one more.
+    /// Returns the least busy of the first `limit` candidates that are not full.
     fn least_busy(
         &self,
         now: Millis,
         candidates: &[&Candidate],
-        most: usize,
+        limit: usize,
         full_at: f64,
         draw: u64,
     ) -> Option<Target> {
         let count = candidates.len().max(1);
-        // Starting anywhere spreads gateways that know the same over equal targets.
-        let first = (draw % count as u64) as usize;
-        let turns = candidates.iter().cycle().skip(first).take(candidates.len());
-        let takes_one = |candidate: &&&Candidate| {
+        // A random start spreads gateways with the same counts over equally loaded targets.
+        let start = (draw % count as u64) as usize;
+        let rotated = candidates.iter().cycle().skip(start).take(candidates.len());
+        let has_free_slot = |candidate: &&&Candidate| {
             let slots = f64::from(candidate.slots.max(1));
             f64::from(self.load(now, candidate.target).requests) < slots * full_at
         };
-        let compared = turns.filter(takes_one).take(most);
+        let compared = rotated.filter(has_free_slot).take(limit);
         let costs = compared.map(|candidate| (self.cost(now, candidate), candidate.target));
         costs.min_by(|one, other| one.0.total_cmp(&other.0)).map(|(_, target)| target)
     }
 
-    /// What one more request would wait at a target, in ms.
+    /// Returns the expected delay of one more request at a target, in ms.
     fn cost(&self, now: Millis, candidate: &Candidate) -> f64 {
         let load = self.load(now, candidate.target);
         let failures = self.own.get(&candidate.target).map_or(0.0, |own| own.failures(now));
-        let far = if candidate.near { 0.0 } else { FAR_MS };
-        far + failures * FAILURE_MS
+        let remote_ms = if candidate.near { 0.0 } else { REMOTE_COST_MS };
+        remote_ms
+            + failures * FAILURE_COST_MS
             + f64::from(load.requests) * candidate.open_ms
             + f64::from(load.tokens) * candidate.token_ms
     }
 
-    /// A request with a prompt of `tokens` goes to a target.
+    /// Records that a request with a prompt of `tokens` tokens is sent to a target.
     pub fn started(&mut self, now: Millis, target: Target, tokens: u32) {
         let own = self.own.entry(target).or_default();
         if own.open == 0 {
@@ -310,33 +321,36 @@
         own.tokens += tokens;
     }
 
-    /// Something came from a target.
+    /// Records that data was received from a target.
     pub fn progress(&mut self, now: Millis, target: Target) {
         if let Some(own) = self.own.get_mut(&target) {
             own.last_progress = now;
-            own.heard_at = now;
+            own.last_received_at = now;
         }
     }
 
-    /// A stream at a target has begun.
+    /// Records that a stream at a target has begun.
     pub fn began(&mut self, target: Target, tokens: u32) {
         if let Some(own) = self.own.get_mut(&target) {
-            own.writing += 1;
+            own.active_streams += 1;
             own.tokens = own.tokens.saturating_sub(tokens);
         }
     }
 
-    /// Whether a stream of this gateway's has begun at a target, so that events must keep coming.
+    /// Returns whether a stream of this gateway has begun at a target, in which case events must
+    /// keep arriving.
     pub fn is_writing(&self, target: Target) -> bool {
-        self.own.get(&target).is_some_and(|own| own.writing > 0)
+        self.own.get(&target).is_some_and(|own| own.active_streams > 0)
     }
 
-    /// When something last came from a target, or its first request of now went there.
+    /// Returns the time at which data was last received from a target, or at which the earliest of
+    /// its outstanding requests was sent; `None` without outstanding requests.
     pub fn last_progress(&self, target: Target) -> Option<Millis> {
         self.own.get(&target).filter(|own| own.open > 0).map(|own| own.last_progress)
     }
 
-    /// Another gateway, or one of another failure domain, has just heard from a target.
+    /// Records that another gateway, or a gateway of another failure domain, has just received data
+    /// from a target.
     pub fn heard_elsewhere(&mut self, now: Millis, source: Source, target: Target) {
         self.heard_elsewhere.insert(target, now);
         if source.is_near() {
@@ -344,45 +358,48 @@
         }
     }
 
-    /// When a replica group counts as standing still, if nothing comes from it and requests of this
-    /// gateway wait there since `since`; `pass_ms` is its longest pass.
+    /// Returns the time at which a replica group counts as stalled, if no data arrives until then
+    /// and requests of this gateway have been waiting there since `since`. `pass_ms` is the group's
+    /// longest pass.
     ///
-    /// Where a stream of ours has begun, an event must come with every pass. Where all of ours wait
-    /// for their first event, a pass may read prompts only, and whether others hear from it tells
-    /// more. Rejected: to judge by our own requests alone (half of all suspicions were false).
+    /// If a stream of this gateway has begun, an event must arrive with every pass. If all of its
+    /// requests wait for their first event, a pass may consist of prompts only, so data received by
+    /// other gateways counts as well. Rejected: judging by this gateway's own requests alone (half
+    /// of all suspicions were false).
     pub fn silent_at(&self, target: Target, since: Millis, pass_ms: u64) -> Millis {
         let own = self.last_progress(target).unwrap_or(0).max(since);
         if self.is_writing(target) {
-            return own + pass_ms + WRITING_SLACK_MS;
+            return own + pass_ms + STREAM_SLACK_MS;
         }
         let elsewhere = self.heard_elsewhere.get(&target).copied().unwrap_or(0);
         own.max(elsewhere) + pass_ms * FIRST_PASSES + FIRST_SLACK_MS
     }
 
-    /// Targets from which something has come since a time.
+    /// Returns the targets from which this gateway has received data since a given time.
     pub fn heard_since(&self, since: Millis) -> impl Iterator<Item = Target> {
-        let heard = self.own.iter().filter(move |(_, own)| own.heard_at >= since);
+        let heard = self.own.iter().filter(move |(_, own)| own.last_received_at >= since);
         heard.map(|(target, _)| *target)
     }
 
-    /// Whether something has come from a target since a time.
+    /// Returns whether this gateway has received data from a target since a given time.
     pub fn is_heard_since(&self, target: Target, since: Millis) -> bool {
-        self.own.get(&target).is_some_and(|own| own.heard_at >= since)
+        self.own.get(&target).is_some_and(|own| own.last_received_at >= since)
     }
 
-    /// The same as [`Balance::heard_since`], of other gateways of this failure domain.
+    /// Returns the targets from which other gateways of this failure domain have received data
+    /// since a given time. See also [`Balance::heard_since`].
     pub fn heard_near_since(&self, since: Millis) -> impl Iterator<Item = Target> {
         let heard = self.heard_near.iter().filter(move |(_, at)| **at >= since);
         heard.map(|(target, _)| *target)
     }
 
-    /// A request at a target has ended; `began` if its stream had begun, `failed` if the target is
-    /// to blame.
+    /// Records that a request at a target has ended. `began` is whether its stream had begun,
+    /// `failed` whether the target caused a failure.
     pub fn ended(&mut self, now: Millis, target: Target, tokens: u32, began: bool, failed: bool) {
         let Some(own) = self.own.get_mut(&target) else { return };
         own.open = own.open.saturating_sub(1);
         match began {
-            true => own.writing = own.writing.saturating_sub(1),
+            true => own.active_streams = own.active_streams.saturating_sub(1),
             false => own.tokens = own.tokens.saturating_sub(tokens),
         }
         if failed {
@@ -391,7 +408,7 @@
         }
     }
 
-    /// Forgets targets that are gone and hold nothing open.
+    /// Drops targets for which `keep` returns false and which have no outstanding requests.
     pub fn retain(&mut self, keep: impl Fn(Target) -> bool) {
         self.own.retain(|target, own| own.open > 0 || keep(*target));
         self.heard_elsewhere.retain(|target, _| keep(*target));
--- a/crates/oliveworks-gateway-core/src/budget.rs
+++ b/crates/oliveworks-gateway-core/src/budget.rs
@@ -1,36 +1,40 @@
-//! How often this gateway may send requests again.
+//! Retry budget: limits how often this gateway may send requests again.
 //!
-//! All gateways share one bound for each service: within any window, arrivals beyond the first of
-//! each request stay under a ratio of the requests plus a constant. Each gateway keeps to its part
-//! of it, so that no call is needed to ask the others: the ratio holds for its own requests, and
-//! the constant is divided by the number of gateways (see [`members`](crate::members)).
+//! All gateways share one limit for each service: within any window, the sends beyond the first one
+//! of each request stay below a ratio of the requests plus a constant. Each gateway uses only its
+//! share of that limit, so no communication is needed: the ratio applies to the gateway's own
+//! requests, and the constant is divided by the number of gateways (see
+//! [`members`](crate::members)).
 //!
-//! A process that starts has forgotten what it took in the window before, so it has little of its part of the
-//! constant until that window is over. The ratio it has at once: it rests on requests that come after the
-//! start. Rejected: nothing of the constant (the first callers of a process whose backend server fails are few, so
-//! that the ratio gives them no repeat), and a part that grows with the time since the start (what was taken
-//! just before a restart comes on top).
+//! A process that has just started does not know how many repeats it used in the window before, so
+//! only a small part of its share of the constant is available until that window has passed. The
+//! ratio applies at once because it depends on requests that arrive after the start. Rejected:
+//! making nothing of the constant available (the first callers of a process whose backend server
+//! fails are few, so the ratio allows them no repeat), and a part that grows with the time since
+//! the start (the repeats used just before a restart are added to it).
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::Millis;
 
-/// The part of the bound that is used, in hundredths: the windows of the rule slide differently.
+/// Part of the limit that is used, in percent. The rest covers the difference between the sliding
+/// windows of the rule and of this implementation.
 const USED_PERCENT: u64 = 75;
-/// The part of its constant that a process has which has just started, in hundredths: with what is left of the
-/// bound above, all gateways may start again three times in a window.
-const STARTING_PERCENT: f64 = 10.0;
-/// Buckets of a window.
+/// Part of its share of the constant that is available to a process that has just started, in
+/// percent. Together with the unused rest of the limit, this allows all gateways to restart three
+/// times in a window.
+const STARTUP_PERCENT: f64 = 10.0;
+/// Number of buckets per window.
 const BUCKETS: u64 = 10;
 
-/// The bound that all gateways share.
+/// The limit shared by all gateways.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetConfig {
-    /// Repeats for each request.
+    /// Allowed repeats per request.
     pub ratio: f64,
-    /// Repeats beyond that in a window, over all gateways.
+    /// Allowed repeats per window in addition to the ratio, for all gateways together.
     pub extra: f64,
-    /// The window.
+    /// Length of the window, in ms.
     pub window_ms: u64,
 }
 
@@ -41,21 +45,21 @@
     repeats: u64,
 }
 
-/// This gateway's part of the budget, by service.
+/// This gateway's share of the retry budget, by service.
 #[derive(Clone, Debug)]
 pub struct Budget {
     config: BudgetConfig,
-    /// From when on nothing that was taken before this process started counts any more.
-    whole_from: Millis,
+    /// Time from which repeats before the start of this process no longer count.
+    history_complete_at: Millis,
     buckets: HashMap<String, VecDeque<Bucket>>,
 }
 
 impl Budget {
-    /// The budget of a process that starts now.
+    /// Creates the budget of a process that starts at `now`.
     pub fn new(config: BudgetConfig, now: Millis) -> Budget {
-        // The oldest bucket of a window is a whole one.
-        let forgotten_ms = config.window_ms + config.window_ms / BUCKETS;
-        Budget { config, whole_from: now + forgotten_ms, buckets: HashMap::new() }
+        // The oldest bucket counts in full, so the counts reach back one bucket beyond the window.
+        let unknown_ms = config.window_ms + config.window_ms / BUCKETS;
+        Budget { config, history_complete_at: now + unknown_ms, buckets: HashMap::new() }
     }
 
     fn bucket(&mut self, now: Millis, service: &str) -> &mut VecDeque<Bucket> {
@@ -80,12 +84,13 @@
         }
     }
 
-    /// Takes a repeat, if one is left. `sharers` is how many gateways share the bound; none if this one has no
-    /// part of the constant.
+    /// Uses one repeat if the budget allows it, and returns whether it does. `sharers` is the
+    /// number of gateways that share the limit; `None` if this gateway has no share of the
+    /// constant.
     pub fn take(&mut self, now: Millis, service: &str, sharers: Option<usize>) -> bool {
         let config = self.config;
-        let known = if now < self.whole_from { STARTING_PERCENT / 100.0 } else { 1.0 };
-        let extra = sharers.map_or(0.0, |sharers| known * config.extra / sharers.max(1) as f64);
+        let available = if now < self.history_complete_at { STARTUP_PERCENT / 100.0 } else { 1.0 };
+        let extra = sharers.map_or(0.0, |sharers| available * config.extra / sharers.max(1) as f64);
         let buckets = self.bucket(now, service);
         let requests: u64 = buckets.iter().map(|b| b.requests).sum();
         let repeats: u64 = buckets.iter().map(|b| b.repeats).sum();
--- a/crates/oliveworks-gateway-core/src/crashers.rs
+++ b/crates/oliveworks-gateway-core/src/crashers.rs
@@ -1,21 +1,26 @@
-//! Requests that crash the backend servers they run at.
+//! Crashers: detection of requests that crash the backend servers on which they run.
 //!
-//! A caller whose request ended its backend server sends it again, to any gateway and under another id, and each time it
-//! ends one or two more, with all that runs beside it. So requests are told apart by what is sent: under a request
-//! whose runs ended one backend server after the other, and never one to its end, no more are risked.
+//! If a request crashes its backend server, the caller retries through any gateway and under
+//! another id. Each retry crashes one or two more backend servers, along with everything else that
+//! runs there. Requests are therefore identified by their content. A request is *convicted* if the
+//! backend servers of its runs ended one after the other and none of its runs ever completed; a
+//! convicted request is not sent any more.
 //!
-//! Evidence is a chain of ends, the same at all gateways, since they tell each other of each end. An end counts only if
-//! it comes some time after the one before it, so that a lost failure domain, which ends hundreds at once, counts once
-//! for whatever ran there, and it says little of a run that had delivered for a while. A run that comes to its end
-//! clears the request everywhere. Those that ran beside the guilty one share its first ends; they are sent on apart
-//! from each other, come to their end elsewhere, and what a convicted request explains says little against the others.
-//! Where backend servers also end for other reasons, a chain must be longer, by one for each moment at which some did,
-//! up to a bound: a request that comes again and again must not go on for ever. A conviction lasts, whatever ends
-//! afterwards.
+//! The evidence is a chain of ends. An *end* is the end of a backend server while the request was
+//! running there. The chain is the same at all gateways because they report each end to each other.
+//! An end counts only if some time has passed since the previous one, so a lost failure domain,
+//! which ends hundreds of backend servers at once, counts once for each request that ran there. An
+//! end has less weight if the run had already been delivering for a while. A completed run clears
+//! the request at all gateways. Requests that run beside a crasher share its first ends. They are
+//! retried in separate places and complete there, and an end that a convicted request explains has
+//! less weight against the others. If backend servers also end for other reasons, a longer chain is
+//! required: one more end for each moment with such ends, up to a maximum, because a request that
+//! keeps returning must be stopped eventually. Later ends do not revoke a conviction.
 //!
-//! Rejected: to convict at the second end (those that ran beside a guilty one are sent on to a few places, some of them
-//! to its next one); to count ends however close they are (one lost failure domain convicts what many callers ask); and
-//! to reckon a conviction anew at each question (each later end of another request sets the first one free).
+//! Rejected: convicting at the second end (requests that ran beside a crasher are retried in a few
+//! places, some of them beside its next run); counting ends regardless of the time between them (a
+//! single lost failure domain would convict requests that many callers send); and re-evaluating a
+//! conviction at each query (each later end of another request would clear the first one).
 
 mod chain;
 mod running;
@@ -31,106 +36,117 @@
 use chain::{End, Evidence, Record};
 use running::Running;
 
-/// Ends in a row after which a request is sent nowhere. Whoever runs beside a guilty one twice is as likely as not to be found
-/// beside it; three times, and never to its end, is not chance.
+/// Number of consecutive ends that convict a request. For a request that merely runs beside a
+/// crasher, two ends are about as likely as not; three ends without a single completed run are not
+/// chance.
 const CONVICTED_AFTER: u32 = 3;
-/// What convicts.
-const CONVICTING: Evidence = Evidence::of_ends(CONVICTED_AFTER);
-/// Ends that convict where backend servers end for other reasons as well, at the most: each more costs a group and all
-/// that runs there.
-const CONVICTED_AFTER_MOST: u32 = 5;
-/// Backend servers that convict a request whatever else ran there, if it had not delivered at any: those who run beside
-/// a guilty one run at one place at a time, and few of them are beside it four times without having begun.
+/// Evidence that convicts a request.
+const CONVICTING_EVIDENCE: Evidence = Evidence::of_ends(CONVICTED_AFTER);
+/// Maximum number of ends required for a conviction if backend servers also end for other reasons.
+/// Each further end costs a group and everything that runs there.
+const CONVICTED_AFTER_MAX: u32 = 5;
+/// Number of ended backend servers that convicts a request regardless of other ends, if the request
+/// had not been delivering at any of them. A request beside a crasher runs in one place at a time,
+/// and few such requests are beside the crasher four times without having begun to deliver.
 const CONVICTED_AFTER_HOSTS: usize = 4;
-/// How long an end is held against a request, in ms: callers try again within their deadlines, and sessions within a minute.
+/// Time for which an end counts against a request, in ms. Callers retry within their deadlines, and
+/// sessions within a minute.
 const SUSPECT_MS: Millis = 60_000;
-/// How long a convicted request is refused before one trial, in ms. A server or weights that are mended are rolled
-/// out in minutes, and each trial may cost one backend server.
+/// Time for which a convicted request is rejected before one trial, in ms. Repaired servers or
+/// weights are rolled out within minutes, and each trial may cost one backend server.
 const CONVICTED_MS: Millis = 300_000;
-/// Requests that are remembered: the streams of a lost failure domain of 273 hosts, 15 each.
-const KEPT: usize = 4_096;
-/// How long news of a request are told to others, in ms: ten heartbeats, of which some may be lost.
-const TOLD_MS: Millis = 1_000;
-/// The time between two tellings of all that are convicted, in ms: a gateway that starts learns them before a caller
-/// who was refused comes back.
-const TELL_ALL_MS: Millis = 500;
-/// Chains that one heartbeat tells at the most: some 4 KB, and far more than are guilty at once.
-const TOLD_MOST: usize = 32;
-/// How long before a chain began ends count that it does not explain, in ms: as long as most requests run.
+/// Maximum number of requests remembered: the streams of a lost failure domain with 273 hosts and
+/// 15 streams each.
+const REQUESTS_MAX: usize = 4_096;
+/// Time for which a change to a request is reported to other gateways, in ms. This is ten
+/// heartbeats, some of which may be lost.
+const CHANGE_REPORT_MS: Millis = 1_000;
+/// Interval between two reports of all convicted requests, in ms. A gateway that starts receives
+/// such a report before a rejected caller returns.
+const REPORT_ALL_INTERVAL_MS: Millis = 500;
+/// Maximum number of chains in one heartbeat: about 4 KB, and far more than the number of crashers
+/// at any time.
+const CHAINS_MAX: usize = 32;
+/// Time before the start of a chain from which unexplained ends count, in ms. This is as long as
+/// most requests run.
 const LOOK_BACK_MS: Millis = 10_000;
-/// Other requests that are thought guilty at the same time, so that their ends do not speak for this one: with many, waves
-/// of ends would explain each other.
-const OTHERS_GUILTY: usize = 3;
-/// Ends that are so close have one cause, such as a lost failure domain, in ms.
+/// Maximum number of other requests that are treated as crashers at the same time, so their ends do
+/// not count as ends for other reasons. With many, waves of ends would explain each other.
+const OTHER_CRASHERS_MAX: usize = 3;
+/// Maximum time between ends that count as one moment because they have a common cause, such as a
+/// lost failure domain, in ms.
 const SAME_MOMENT_MS: Millis = 500;
-/// How long after an end all gateways know what ran there, in ms: the way of a heartbeat that is not to wait, and a moment
-/// to find out that the backend server has ended.
+/// Time after an end by which all gateways know the requests that ran there, in ms: the delivery of
+/// an immediate heartbeat, plus a short time to detect the end of the backend server.
 pub const SETTLED_MS: Millis = 30;
-/// The time between two looks at who is due, in ms: a lost failure domain brings thousands of ends at once, and each look
-/// goes through all that are known.
-const SETTLE_EACH_MS: Millis = 20;
-/// How long an end of a backend server is the same one for all that ran there, in ms.
+/// Minimum interval between two evaluations of all requests, in ms. A lost failure domain causes
+/// thousands of ends at once, and each evaluation iterates over all known requests.
+const SETTLE_INTERVAL_MS: Millis = 20;
+/// Maximum time between reports that refer to the same end of a backend server, in ms.
 const SAME_END_MS: Millis = 1_000;
 
-/// What is sent, told apart from all else that is sent: a cryptographic hash, so that no caller can make another's request
-/// look guilty.
+/// The identity of a request's content. The hash is cryptographic, so a caller cannot make another
+/// caller's request look like a crasher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint(pub [u8; 16]);
 
-/// How a request stands.
+/// The status of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Nothing is held against it.
+    /// There is no evidence against the request.
     Clear,
-    /// So many backend servers in a row ended under it.
+    /// Backend servers ended under the request, but not enough for a conviction.
     Suspect {
-        /// The ends.
+        /// Number of consecutive ends.
         ends: u32,
     },
-    /// It is sent nowhere.
+    /// The request is not sent any more.
     Convicted {
-        /// Until when.
+        /// End of the conviction.
         until: Millis,
     },
 }
 
 impl Standing {
-    /// Whether it has ended more than one backend server: then it is not worth a third to find out within one try.
+    /// Returns whether more than one backend server ended under the request. Such a request is not
+    /// retried within the same attempt, because the proof would cost a third backend server.
     pub fn is_strong_suspect(self) -> bool {
         !matches!(self, Standing::Clear | Standing::Suspect { ends: 0 | 1 })
     }
 }
 
-/// What speaks for and against a request's conviction, for people.
+/// A summary of the evidence for and against a conviction, for log messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Assessment {
-    /// Ends in a row.
+    /// Number of consecutive ends.
     pub ends: u32,
-    /// Ends that convict it.
+    /// Number of ends required for a conviction.
     pub needed: u32,
-    /// Whether another request explains the last end as well.
+    /// Whether another request also explains the last end.
     pub shares_last_end: bool,
 }
 
-/// Requests under which backend servers ended.
+/// The requests under which backend servers ended.
 #[derive(Clone, Debug, Default)]
 pub struct Crashers {
     records: HashMap<Fingerprint, Record>,
     running: Running,
-    /// When it was last looked who is due.
+    /// Time of the last evaluation of all requests.
     settled_at: Millis,
-    /// When all convicted ones were last told.
-    told_all_at: Millis,
-    /// Ends of backend servers that are known, the oldest first.
-    seen: VecDeque<(Millis, Target)>,
-    /// Requests that were convicted since they were last taken.
+    /// Time of the last report of all convicted requests.
+    all_reported_at: Millis,
+    /// The known ends of backend servers, oldest first.
+    known_ends: VecDeque<(Millis, Target)>,
+    /// Requests convicted since the last call of [`Crashers::take_new_convictions`].
     new_convictions: Vec<Fingerprint>,
 }
 
 impl Crashers {
-    /// A backend server has ended under a run of a request, which had delivered for so long there; tells the ends in a
-    /// row. Several may run at once, of callers who send the same. Rejected: to count only runs that began after the last
-    /// end (where copies run side by side few would count, and more backend servers end before the request is known).
+    /// Records that a backend server ended under a run of a request that had been delivering there
+    /// for `delivered_ms`. Returns the number of consecutive ends. Several runs may be active at
+    /// once, for callers that send the same request. Rejected: counting only runs that began after
+    /// the last end (if copies run side by side, few would count, and more backend servers would
+    /// end before the request is detected).
     pub fn host_ended(
         &mut self,
         now: Millis,
@@ -139,20 +155,21 @@
         delivered_ms: u64,
     ) -> u32 {
         self.settle(now);
-        self.see(now, host);
+        self.record_end(now, host);
         let record = self.records.entry(request).or_default();
         if record.ended(End::of_run(now, host, delivered_ms)) {
-            record.tell_since = Some(now);
+            record.report_since = Some(now);
         }
         self.evidence(request).ends()
     }
 
-    /// Another gateway told what it knows of a request; tells whether that is news here.
+    /// Applies another gateway's report of a request, and returns whether the report contains
+    /// anything new.
     pub fn told(&mut self, now: Millis, chain: Chain) -> bool {
         let held_ms = if chain.is_convicted { CONVICTED_MS } else { SUSPECT_MS };
-        let young = |ago_ms: u64| ago_ms < held_ms;
-        let ends = chain.ends.iter().filter(|end| young(end.ago_ms));
-        let ends: Vec<End> = ends.map(|told| End::of_told(now, told)).collect();
+        let is_recent = |ago_ms: u64| ago_ms < held_ms;
+        let ends = chain.ends.iter().filter(|end| is_recent(end.ago_ms));
+        let ends: Vec<End> = ends.map(|reported| End::from_report(now, reported)).collect();
         let survived = chain.survived_ago_ms.map(|ago_ms| now.saturating_sub(ago_ms));
         let tried = chain.tried_ago_ms.map(|ago_ms| now.saturating_sub(ago_ms));
         if ends.is_empty() && survived.is_none() && tried.is_none() {
@@ -161,34 +178,37 @@
         if !self.records.contains_key(&chain.request) {
             self.settle(now);
         }
-        ends.iter().for_each(|end| self.see(end.at, end.host));
+        ends.iter().for_each(|end| self.record_end(end.at, end.host));
         let record = self.records.entry(chain.request).or_default();
-        let mut is_news = survived.is_some_and(|at| record.survived(at));
+        let mut is_new = survived.is_some_and(|at| record.survived(at));
         for end in ends {
-            is_news |= record.ended(end);
+            is_new |= record.ended(end);
         }
-        is_news |= tried.is_some_and(|at| record.tried(at));
-        let learns = chain.is_convicted && !record.is_convicted && !record.ends().is_empty();
-        if learns {
+        is_new |= tried.is_some_and(|at| record.tried(at));
+        let is_newly_convicted =
+            chain.is_convicted && !record.is_convicted && !record.ends().is_empty();
+        if is_newly_convicted {
             record.is_convicted = true;
             self.new_convictions.push(chain.request);
         }
-        if is_news || learns {
-            record.tell_since = Some(now);
+        if is_new || is_newly_convicted {
+            record.report_since = Some(now);
         }
-        is_news || learns
+        is_new || is_newly_convicted
     }
 
-    /// A request came to its end: it does not crash its backend server. Others are told, since they may know of ends.
+    /// Records that a run of a request completed, so the request does not crash its backend server.
+    /// Other gateways are informed because they may know of ends.
     pub fn survived(&mut self, now: Millis, request: Fingerprint) {
         if let Some(record) = self.records.get_mut(&request)
             && record.survived(now)
         {
-            record.tell_since = Some(now);
+            record.report_since = Some(now);
         }
     }
 
-    /// How a request stands. One whose time is over is a strong suspect again: the next end convicts it anew.
+    /// Returns the status of a request. After its conviction has expired, a request is a strong
+    /// suspect again: the next end convicts it again.
     pub fn standing(&mut self, now: Millis, request: Fingerprint) -> Standing {
         let is_convicted = self.convict_if_due(now, request);
         let Some(record) = self.records.get_mut(&request) else { return Standing::Clear };
@@ -208,7 +228,8 @@
         }
     }
 
-    /// What speaks for and against a request's conviction; none if nothing is held against it.
+    /// Returns a summary of the evidence for and against a conviction; `None` if there is no
+    /// evidence against the request.
     pub fn assess(&self, request: Fingerprint) -> Option<Assessment> {
         let record = self.records.get(&request)?;
         Some(Assessment {
@@ -218,34 +239,34 @@
         })
     }
 
-    /// Requests that were convicted since this was last asked: what runs of them is not to go on.
+    /// Returns the requests convicted since the last call. Their active runs must be stopped.
     pub fn take_new_convictions(&mut self) -> Vec<Fingerprint> {
         std::mem::take(&mut self.new_convictions)
     }
 
-    /// What other gateways are to be told: news, and now and then all that are convicted, for gateways
-    /// that have started or were cut off. What matters most comes first.
+    /// Returns the chains to report to other gateways, most important first: recent changes, and at
+    /// intervals all convicted requests, for gateways that have started or were cut off.
     pub fn to_tell(&mut self, now: Millis) -> Vec<Chain> {
         self.settle(now);
-        let all = now >= self.told_all_at + TELL_ALL_MS;
+        let all = now >= self.all_reported_at + REPORT_ALL_INTERVAL_MS;
         if all {
-            self.told_all_at = now;
+            self.all_reported_at = now;
         }
         let told = self.records.iter().filter(|(_, record)| {
-            let is_news = record.tell_since.is_some_and(|since| now < since + TOLD_MS);
+            let is_new = record.report_since.is_some_and(|since| now < since + CHANGE_REPORT_MS);
             let lasts = record.is_convicted && now < record.last_end() + CONVICTED_MS;
-            is_news || all && lasts
+            is_new || all && lasts
         });
         let mut told: Vec<_> = told.collect();
         told.sort_by_key(|(request, record)| {
             Reverse((record.is_convicted, record.evidence(|_| false), record.last_end(), **request))
         });
-        let chains = told.into_iter().filter_map(|(request, record)| record.tell(now, *request));
-        chains.take(TOLD_MOST).collect()
+        let chains = told.into_iter().filter_map(|(request, record)| record.report(now, *request));
+        chains.take(CHAINS_MAX).collect()
     }
 
-    /// A request that is held suspect begins to run at a place, at this gateway's word. Tells whether others are to leave
-    /// their copies of it alone meanwhile.
+    /// Records that this gateway starts a run of a suspected request at a place. Returns whether
+    /// other gateways must not run their copies of the request in the meantime.
     pub fn placed(
         &mut self,
         now: Millis,
@@ -257,61 +278,68 @@
         let record = self.records.get_mut(&request).filter(|record| record.runs_one_by_one());
         let Some(record) = record else { return false };
         record.tried(now);
-        record.tell_since = Some(now);
+        record.report_since = Some(now);
         true
     }
 
-    /// It runs there no more.
+    /// Records that a run of a suspected request at a place is over.
     pub fn left(&mut self, target: Target, request: Fingerprint, standing: Standing) {
         self.running.left(target, request, standing);
     }
 
-    /// Whether a request has to wait until a run of the same one, at any gateway, has told more: copies of it side by side
-    /// would each end a backend server. Whoever is asked by many at once comes to its end somewhere, and is no suspect.
+    /// Returns whether a request has to wait for the result of a run of the same request at any
+    /// gateway, because each of several concurrent copies could crash a backend server. A request
+    /// that many callers send at once completes somewhere and is no suspect.
     pub fn is_tried_already(&self, now: Millis, request: Fingerprint) -> bool {
         let Some(record) = self.records.get(&request) else { return false };
         record.runs_one_by_one()
             && (self.running.has_request(request) || record.is_being_tried(now))
     }
 
-    /// Whether this gateway has suspects running at a place: others go elsewhere, so that the next end tells most.
+    /// Returns whether this gateway runs suspected requests at a place. Other suspects go
+    /// elsewhere, so that the next end is as conclusive as possible.
     pub fn has_suspects(&self, target: Target) -> bool {
         self.running.has_any(target)
     }
 
-    /// Whether it has strong ones there: they are kept apart also where every place has some suspect.
+    /// Returns whether this gateway runs strongly suspected requests at a place. Strong suspects
+    /// are separated even if every place has some suspect.
     pub fn has_strong_suspects(&self, target: Target) -> bool {
         self.running.has_strong(target)
     }
 
-    /// Backend servers that ended under requests which are convicted, but for one.
-    fn explained(&self, but: Fingerprint) -> HashSet<Target> {
-        let guilty =
-            self.records.iter().filter(|(other, known)| known.is_convicted && **other != but);
-        guilty.flat_map(|(_, known)| known.hosts()).collect()
+    /// Returns the backend servers that ended under convicted requests other than `except`.
+    fn explained(&self, except: Fingerprint) -> HashSet<Target> {
+        let convicted_records =
+            self.records.iter().filter(|(other, known)| known.is_convicted && **other != except);
+        convicted_records.flat_map(|(_, known)| known.hosts()).collect()
     }
 
-    /// What speaks against a request, beside those that are convicted.
+    /// Returns the evidence against a request, with less weight for ends that convicted requests
+    /// explain.
     fn evidence(&self, request: Fingerprint) -> Evidence {
         let Some(record) = self.records.get(&request) else { return Evidence::default() };
         let explained = self.explained(request);
         record.evidence(|host| explained.contains(&host))
     }
 
-    /// Ends that convict a request: more where backend servers also end for reasons that no chain explains.
+    /// Returns the number of ends required to convict a request. More are required if backend
+    /// servers also end for reasons that no chain explains.
     fn needed(&self, record: &Record) -> u32 {
-        (CONVICTED_AFTER + self.unexplained(record)).min(CONVICTED_AFTER_MOST)
+        (CONVICTED_AFTER + self.unexplained(record)).min(CONVICTED_AFTER_MAX)
     }
 
-    /// Moments since shortly before a chain began at which backend servers ended for no reason that a chain explains.
+    /// Returns the number of moments, since shortly before the start of a chain, at which backend
+    /// servers ended for reasons that no chain explains.
     fn unexplained(&self, record: &Record) -> u32 {
-        let is_long = |other: &&Record| other.evidence(|_| false) >= CONVICTING;
+        let is_long = |other: &&Record| other.evidence(|_| false) >= CONVICTING_EVIDENCE;
         let mut others: Vec<&Record> = self.records.values().filter(is_long).collect();
         others.sort_by_key(|other| (Reverse(other.evidence(|_| false)), other.first_end()));
-        let chains = others.into_iter().take(OTHERS_GUILTY).chain([record]);
+        let chains = others.into_iter().take(OTHER_CRASHERS_MAX).chain([record]);
         let explained: HashSet<Target> = chains.flat_map(Record::hosts).collect();
         let since = record.first_end().saturating_sub(LOOK_BACK_MS);
-        let ends = self.seen.iter().filter(|(at, host)| *at >= since && !explained.contains(host));
+        let ends =
+            self.known_ends.iter().filter(|(at, host)| *at >= since && !explained.contains(host));
         let mut moments = 0;
         let mut last: Option<Millis> = None;
         for (at, _) in ends {
@@ -321,93 +349,96 @@
         moments
     }
 
-    /// Whether the last end may be another request's, with a chain at least as long: the next end tells.
+    /// Returns whether the last end may belong to another request whose chain is at least as long.
+    /// The next end then decides.
     fn shares_last_end(&self, request: Fingerprint) -> bool {
         let Some(last) = self.records.get(&request).and_then(|record| record.hosts().last()) else {
             return false;
         };
         let evidence = self.evidence(request);
-        self.records.iter().any(|(other, theirs)| {
+        self.records.iter().any(|(other, other_record)| {
             *other != request
-                && !theirs.is_convicted
-                && theirs.hosts().any(|host| host == last)
+                && !other_record.is_convicted
+                && other_record.hosts().any(|host| host == last)
                 && self.evidence(*other) >= evidence
         })
     }
 
-    /// Whether a request's ends convict it now. That lasts once those that ran beside it have been heard of as well, so that
-    /// it does not hang on who is asked first.
+    /// Returns whether the evidence convicts a request now. The conviction becomes permanent once
+    /// the requests that ran beside this one are known as well, so the result does not depend on
+    /// which request is queried first.
     fn convict_if_due(&mut self, now: Millis, request: Fingerprint) -> bool {
         let Some(record) = self.records.get(&request) else { return false };
         if record.is_convicted {
             return true;
         }
         let last_end = record.last_end();
-        if record.evidence(|_| false) < CONVICTING {
+        if record.evidence(|_| false) < CONVICTING_EVIDENCE {
             return false;
         }
         let evidence = self.evidence(request);
-        // Whoever runs beside a guilty one runs at one place at a time.
-        let many_at_once = record.ended_hosts() >= CONVICTED_AFTER_HOSTS;
-        let is_due = many_at_once
-            || evidence >= Evidence::of_ends(CONVICTED_AFTER_MOST)
+        // A request beside a crasher runs in one place at a time.
+        let ended_many_hosts = record.ended_hosts() >= CONVICTED_AFTER_HOSTS;
+        let is_due = ended_many_hosts
+            || evidence >= Evidence::of_ends(CONVICTED_AFTER_MAX)
             || evidence >= Evidence::of_ends(self.needed(record)) && !self.shares_last_end(request);
         if is_due
             && now >= last_end + SETTLED_MS
             && let Some(record) = self.records.get_mut(&request)
         {
             record.is_convicted = true;
-            record.tell_since = Some(now);
+            record.report_since = Some(now);
             self.new_convictions.push(request);
         }
         is_due
     }
 
-    /// Convicts who is due, the longest chains first: what they explain says less against the others. Forgets what is
-    /// held against nobody any more.
+    /// Convicts all requests with sufficient evidence, longest chains first, because the ends that
+    /// they explain have less weight against the others. Drops expired entries.
     fn settle(&mut self, now: Millis) {
-        if now < self.settled_at + SETTLE_EACH_MS {
+        if now < self.settled_at + SETTLE_INTERVAL_MS {
             return;
         }
         self.settled_at = now;
         self.forget(now);
         let long = self.records.iter().filter(|(_, record)| !record.is_convicted);
         let long = long.map(|(request, record)| (Reverse(record.evidence(|_| false)), *request));
-        let mut long: Vec<_> = long.filter(|(evidence, _)| evidence.0 >= CONVICTING).collect();
+        let mut long: Vec<_> =
+            long.filter(|(evidence, _)| evidence.0 >= CONVICTING_EVIDENCE).collect();
         long.sort_unstable();
         for (_, request) in long {
             self.convict_if_due(now, request);
         }
     }
 
-    /// Notes an end of a backend server, in the order of their times.
-    fn see(&mut self, at: Millis, host: Target) {
+    /// Records an end of a backend server, in the order of times.
+    fn record_end(&mut self, at: Millis, host: Target) {
         let is_known = |(known_at, known): &(Millis, Target)| {
             *known == host && at.abs_diff(*known_at) < SAME_END_MS
         };
-        if self.seen.iter().any(is_known) {
+        if self.known_ends.iter().any(is_known) {
             return;
         }
-        let place = self.seen.partition_point(|(known_at, _)| *known_at <= at);
-        self.seen.insert(place, (at, host));
+        let place = self.known_ends.partition_point(|(known_at, _)| *known_at <= at);
+        self.known_ends.insert(place, (at, host));
     }
 
-    /// Forgets what is held against nobody any more, and the oldest ends if there are too many.
+    /// Drops expired entries, and the requests with the least evidence if there are too many.
     fn forget(&mut self, now: Millis) {
-        while self.seen.front().is_some_and(|(at, _)| now > *at + SUSPECT_MS) {
-            self.seen.pop_front();
+        while self.known_ends.front().is_some_and(|(at, _)| now > *at + SUSPECT_MS) {
+            self.known_ends.pop_front();
         }
         self.records.retain(|_, record| {
             let held_ms = if record.is_convicted { CONVICTED_MS } else { SUSPECT_MS };
-            now < record.last_news() + held_ms
+            now < record.last_change() + held_ms
         });
-        let surplus = self.records.len().saturating_sub(KEPT);
+        let surplus = self.records.len().saturating_sub(REQUESTS_MAX);
         if surplus == 0 {
             return;
         }
         let mut weakest: Vec<_> = self.records.iter().collect();
         weakest.sort_by_key(|(_, record)| {
-            (record.is_convicted, record.evidence(|_| false), record.last_news())
+            (record.is_convicted, record.evidence(|_| false), record.last_change())
         });
         let weakest: Vec<Fingerprint> =
             weakest.into_iter().take(surplus).map(|(request, _)| *request).collect();
--- a/crates/oliveworks-gateway-core/src/crashers/chain.rs
+++ b/crates/oliveworks-gateway-core/src/crashers/chain.rs
@@ -1,4 +1,5 @@
-//! The ends of backend servers that are held against one request, and how gateways tell each other of them.
+//! Chains of ends: the ends of backend servers that count against one request, and their exchange
+//! between gateways.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,66 +7,70 @@
 use crate::Millis;
 use crate::balance::Target;
 
-/// Ends of a chain that are remembered: more than convict a request, also where copies of it run side by side, so that what
-/// it explains is known.
-const ENDS_KEPT: usize = 24;
-/// How much later the next end of a chain comes at the least, in ms: the hosts of a lost failure domain do not end at
-/// once, and what ran at the first is sent on to the others.
-const NEXT_END_MS: Millis = 100;
-/// What an end says against a request, in halves of an end.
-const FULL: u32 = 2;
-/// The same if its run had delivered for a while there, or a convicted request ran there as well.
-const POOR: u32 = 1;
-/// How long a run delivers before its backend server's end says less against it, in ms: servers crash as they begin with a
-/// request, and of the runs that are beside it most have delivered for longer.
-const BEGINNING_MS: u64 = 100;
-/// Backend servers after which copies of a request run one by one.
+/// Maximum number of ends remembered per chain. This is more than a conviction requires, even if
+/// copies of the request run side by side, so that all ends that the request explains are known.
+const ENDS_MAX: usize = 24;
+/// Minimum time between two ends of a chain that count separately, in ms. The hosts of a lost
+/// failure domain do not end at exactly the same time, and the requests of the first one are
+/// retried on the others.
+const NEXT_END_MIN_MS: Millis = 100;
+/// Full weight of an end. The unit of weights is half an end.
+const FULL_WEIGHT: u32 = 2;
+/// Weight of an end if the run had been delivering there for a while, or if a convicted request
+/// also ran there.
+const REDUCED_WEIGHT: u32 = 1;
+/// Delivery time from which an end has less weight, in ms. Servers crash when they start to process
+/// a request, and most of the other runs at that place have been delivering for longer.
+const DELIVERING_AFTER_MS: u64 = 100;
+/// Number of ended backend servers after which copies of a request run one at a time.
 const ONE_BY_ONE_AFTER_HOSTS: usize = 2;
-/// How long others wait for what a run tells, in ms: as long as a backend server that crashes takes to begin with it
-/// under load.
-const TRIAL_MS: Millis = 1_000;
-/// How late an end is told at the most, in ms: one that came before a whole answer may seem to have come after it by that.
-const TOLD_LATE_MS: Millis = 50;
-
-/// An end, as gateways tell each other.
+/// Time for which other gateways wait for the result of a run, in ms. This is as long as a crashing
+/// backend server takes to start processing the request under load.
+const TRIAL_TIMEOUT_MS: Millis = 1_000;
+/// Maximum delay of the report of an end, in ms. An end before a complete answer may appear to be
+/// later than that answer by this time.
+const REPORT_DELAY_MAX_MS: Millis = 50;
+
+/// An end of a backend server, as exchanged between gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ToldEnd {
-    /// The backend server.
+    /// The backend server that ended.
     pub host: Target,
-    /// How long ago it ended, in ms.
+    /// Time since the end, in ms.
     pub ago_ms: u64,
-    /// Whether the run had delivered for a while there.
+    /// Whether the run had been delivering there for a while.
     pub had_delivered: bool,
 }
 
-/// An end under a request.
+/// An end of a backend server under a request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct End {
     pub at: Millis,
     pub host: Target,
-    /// Whether the run had delivered for a while there.
+    /// Whether the run had been delivering there for a while.
     pub had_delivered: bool,
 }
 
 impl End {
-    /// The end of a run's backend server, by how long the run had delivered there.
+    /// Creates the end of a run's backend server. `delivered_ms` is the time for which the run had
+    /// been delivering there.
     pub fn of_run(at: Millis, host: Target, delivered_ms: u64) -> End {
-        End { at, host, had_delivered: delivered_ms >= BEGINNING_MS }
+        End { at, host, had_delivered: delivered_ms >= DELIVERING_AFTER_MS }
     }
 
-    /// An end that another gateway told.
-    pub fn of_told(now: Millis, told: &ToldEnd) -> End {
-        let ToldEnd { host, ago_ms, had_delivered } = *told;
+    /// Creates an end from another gateway's report.
+    pub fn from_report(now: Millis, reported: &ToldEnd) -> End {
+        let ToldEnd { host, ago_ms, had_delivered } = *reported;
         End { at: now.saturating_sub(ago_ms), host, had_delivered }
     }
 
-    fn told(&self, now: Millis) -> ToldEnd {
+    fn reported(&self, now: Millis) -> ToldEnd {
         let End { at, host, had_delivered } = *self;
         ToldEnd { host, ago_ms: now.saturating_sub(at), had_delivered }
     }
 
     fn halves(&self) -> u32 {
-        if self.had_delivered { POOR } else { FULL }
+        if self.had_delivered { REDUCED_WEIGHT } else { FULL_WEIGHT }
     }
 
     fn is_same(&self, other: &End) -> bool {
@@ -73,82 +78,86 @@
     }
 }
 
-/// Ends that speak against a request, in halves.
+/// Weighted ends that count against a request, in halves of an end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Evidence(u32);
 
 impl Evidence {
-    /// So many whole ends.
+    /// Returns the evidence of the given number of ends with full weight.
     pub const fn of_ends(ends: u32) -> Evidence {
-        Evidence(ends * FULL)
+        Evidence(ends * FULL_WEIGHT)
     }
 
-    /// The whole ends.
+    /// Returns the evidence in ends with full weight, rounded down.
     pub fn ends(self) -> u32 {
-        self.0 / FULL
+        self.0 / FULL_WEIGHT
     }
 }
 
-/// What gateways tell each other of a request.
+/// A gateway's report of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chain {
-    /// The request.
+    /// The request under which the backend servers ended.
     pub request: Fingerprint,
-    /// Ends under it that the teller knows, the oldest first.
+    /// Ends under the request that the reporting gateway knows, oldest first.
     pub ends: Vec<ToldEnd>,
-    /// How long ago it came to its end, in ms, if that is known: earlier ends are not held against it.
+    /// Time since the last completed run, in ms, if known. Earlier ends do not count against the
+    /// request.
     pub survived_ago_ms: Option<u64>,
-    /// How long ago a run of it began, in ms, if others are to leave it alone meanwhile.
+    /// Time since the start of a run, in ms, if other gateways must not run the request in the
+    /// meantime.
     pub tried_ago_ms: Option<u64>,
-    /// Whether it is convicted.
+    /// Whether the request is convicted.
     pub is_convicted: bool,
 }
 
-/// What a gateway knows of a request. Two gateways that have told each other all know the same.
+/// The state of a request. Two gateways that have exchanged all reports have the same state.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Record {
     /// The ends, in the order of their times.
     ends: Vec<End>,
-    /// When it last came to its end.
+    /// Time of the last completed run.
     survived_at: Option<Millis>,
-    /// Ends that are held against it from before a trial.
+    /// Number of ends that still count against the request after an expired conviction.
     carried: u32,
-    /// When its conviction was over.
+    /// Time at which the conviction expired.
     released_at: Millis,
-    /// When a run of it last began, if that is to tell more.
+    /// Start of the latest run whose result is awaited.
     tried_at: Option<Millis>,
     pub is_convicted: bool,
-    /// When this gateway learned of something that others are told.
-    pub tell_since: Option<Millis>,
+    /// Time at which this gateway learned of a change that has to be reported.
+    pub report_since: Option<Millis>,
 }
 
 impl Record {
-    /// A request whose conviction is over.
+    /// Creates the state of a request whose conviction has expired.
     pub fn released(now: Millis, carried: u32) -> Record {
         Record { carried, released_at: now, ..Record::default() }
     }
 
-    /// A backend server ended under it; tells whether that was not known, or not that it says so much.
+    /// Records that a backend server ended under the request. Returns whether the end was unknown,
+    /// or known with less weight.
     pub fn ended(&mut self, end: End) -> bool {
-        let is_cleared = self.survived_at.is_some_and(|cleared| end.at <= cleared + TOLD_LATE_MS);
+        let is_cleared =
+            self.survived_at.is_some_and(|survived_at| end.at <= survived_at + REPORT_DELAY_MAX_MS);
         if is_cleared || end.at < self.released_at {
             return false;
         }
         if let Some(known) = self.ends.iter_mut().find(|known| known.is_same(&end)) {
-            let says_more = known.halves() < end.halves();
+            let is_stronger = known.halves() < end.halves();
             known.had_delivered &= end.had_delivered;
-            return says_more;
+            return is_stronger;
         }
-        let place = self.ends.partition_point(|known| known.at <= end.at);
-        self.ends.insert(place, end);
-        let surplus = self.ends.len().saturating_sub(ENDS_KEPT);
+        let index = self.ends.partition_point(|known| known.at <= end.at);
+        self.ends.insert(index, end);
+        let surplus = self.ends.len().saturating_sub(ENDS_MAX);
         self.ends.drain(..surplus);
-        surplus == 0 || place > 0
+        surplus == 0 || index > 0
     }
 
-    /// It came to its end; tells whether that was not known.
+    /// Records a completed run, and returns whether this was unknown.
     pub fn survived(&mut self, at: Millis) -> bool {
-        if self.survived_at.is_some_and(|known| at <= known + TOLD_LATE_MS) {
+        if self.survived_at.is_some_and(|known| at <= known + REPORT_DELAY_MAX_MS) {
             return false;
         }
         self.survived_at = Some(at);
@@ -158,56 +167,58 @@
         true
     }
 
-    /// What speaks against it. Ends at one moment are one; those that another request explains say less.
+    /// Returns the evidence against the request. Ends at the same moment count as one, and ends
+    /// that another request explains have less weight.
     pub fn evidence(&self, is_explained: impl Fn(Target) -> bool) -> Evidence {
-        let mut halves = self.carried * FULL;
+        let mut halves = self.carried * FULL_WEIGHT;
         let mut moment: Option<(Millis, u32)> = None;
         for end in &self.ends {
-            let said = match moment {
-                Some((since, said)) if end.at < since + NEXT_END_MS => said,
+            let counted = match moment {
+                Some((since, counted)) if end.at < since + NEXT_END_MIN_MS => counted,
                 _ => {
                     moment = Some((end.at, 0));
                     0
                 }
             };
-            let says = if is_explained(end.host) { POOR } else { end.halves() };
-            let says = says.max(said);
-            halves += says - said;
-            moment = moment.map(|(since, _)| (since, says));
+            let weight = if is_explained(end.host) { REDUCED_WEIGHT } else { end.halves() };
+            let weight = weight.max(counted);
+            halves += weight - counted;
+            moment = moment.map(|(since, _)| (since, weight));
         }
         Evidence(halves)
     }
 
-    /// The ends.
     pub fn ends(&self) -> &[End] {
         &self.ends
     }
 
-    /// The backend servers that ended, the newest last.
+    /// Returns the backend servers that ended, newest last.
     pub fn hosts(&self) -> impl DoubleEndedIterator<Item = Target> + '_ {
         self.ends.iter().map(|end| end.host)
     }
 
-    /// A run of it begins; tells whether that was not known.
+    /// Records the start of a run, and returns whether this was unknown.
     pub fn tried(&mut self, at: Millis) -> bool {
-        let is_news = self.tried_at.is_none_or(|known| at > known + TOLD_LATE_MS);
-        if is_news {
+        let is_new = self.tried_at.is_none_or(|known| at > known + REPORT_DELAY_MAX_MS);
+        if is_new {
             self.tried_at = Some(at);
         }
-        is_news
+        is_new
     }
 
-    /// Whether a run that has begun may tell more.
+    /// Returns whether the result of a run is still awaited.
     pub fn is_being_tried(&self, now: Millis) -> bool {
-        self.tried_at.is_some_and(|at| at >= self.last_news() && now < at + TRIAL_MS)
+        self.tried_at.is_some_and(|at| at >= self.last_change() && now < at + TRIAL_TIMEOUT_MS)
     }
 
-    /// Whether copies of it are not to run side by side: also those that come once its conviction is over.
+    /// Returns whether copies of the request must not run side by side. This also applies after the
+    /// conviction has expired.
     pub fn runs_one_by_one(&self) -> bool {
         self.carried > 0 || self.ended_hosts() >= ONE_BY_ONE_AFTER_HOSTS
     }
 
-    /// Backend servers that ended before its run there had delivered for long.
+    /// Returns the number of backend servers that ended before the run there had been delivering
+    /// for a while.
     pub fn ended_hosts(&self) -> usize {
         self.ends.iter().filter(|end| !end.had_delivered).count()
     }
@@ -220,16 +231,17 @@
         self.ends.last().map_or(self.released_at, |end| end.at)
     }
 
-    /// When anything last became known of it.
-    pub fn last_news(&self) -> Millis {
+    /// Returns the time of the last change to the known ends or completed runs.
+    pub fn last_change(&self) -> Millis {
         self.last_end().max(self.survived_at.unwrap_or(0))
     }
 
-    /// What others are told. An end from before this process has no age here, and would seem younger with
-    /// each one that passes it on: it is left out.
-    pub fn tell(&self, now: Millis, request: Fingerprint) -> Option<Chain> {
+    /// Returns the report for other gateways. Ends from before the start of this process are
+    /// omitted: their age is unknown here, and they would seem more recent with each gateway that
+    /// forwards them.
+    pub fn report(&self, now: Millis, request: Fingerprint) -> Option<Chain> {
         let dated = self.ends.iter().filter(|end| end.at > 0);
-        let ends: Vec<ToldEnd> = dated.map(|end| end.told(now)).collect();
+        let ends: Vec<ToldEnd> = dated.map(|end| end.reported(now)).collect();
         let survived_at = self.survived_at.filter(|at| *at > 0);
         let survived_ago_ms = survived_at.map(|at| now.saturating_sub(at));
         let tried_ago_ms = self.tried_at.filter(|_| self.is_being_tried(now));
--- a/crates/oliveworks-gateway-core/src/crashers/running.rs
+++ b/crates/oliveworks-gateway-core/src/crashers/running.rs
@@ -1,27 +1,27 @@
-//! Where requests of this gateway's that are held suspect run.
+//! The places at which suspected requests of this gateway are running.
 
 use std::collections::HashMap;
 
 use super::{Fingerprint, Standing};
 use crate::balance::Target;
 
-/// Suspects that run at a place.
+/// Number of suspected requests that run at a place.
 #[derive(Clone, Copy, Debug, Default)]
 struct Suspects {
     all: u32,
     strong: u32,
 }
 
-/// Suspects that run now, by place.
+/// The suspected requests that are running now.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Running {
     places: HashMap<Target, Suspects>,
-    /// Runs of each request.
+    /// Number of runs of each request.
     requests: HashMap<Fingerprint, u32>,
 }
 
 impl Running {
-    /// One begins to run at a place.
+    /// Records that a suspected request starts to run at a place.
     pub fn placed(&mut self, target: Target, request: Fingerprint, standing: Standing) {
         *self.requests.entry(request).or_default() += 1;
         let suspects = self.places.entry(target).or_default();
@@ -29,7 +29,7 @@
         suspects.strong += u32::from(standing.is_strong_suspect());
     }
 
-    /// It runs there no more.
+    /// Records that a suspected request no longer runs at a place.
     pub fn left(&mut self, target: Target, request: Fingerprint, standing: Standing) {
         if let Some(runs) = self.requests.get_mut(&request) {
             *runs = runs.saturating_sub(1);
@@ -45,17 +45,17 @@
         }
     }
 
-    /// Whether a request runs anywhere.
+    /// Returns whether a request is running at any place.
     pub fn has_request(&self, request: Fingerprint) -> bool {
         self.requests.contains_key(&request)
     }
 
-    /// Whether some run at a place.
+    /// Returns whether any suspected request is running at a place.
     pub fn has_any(&self, target: Target) -> bool {
         self.places.contains_key(&target)
     }
 
-    /// Whether strong ones run there.
+    /// Returns whether any strongly suspected request is running at a place.
     pub fn has_strong(&self, target: Target) -> bool {
         self.places.get(&target).is_some_and(|suspects| suspects.strong > 0)
     }
--- a/crates/oliveworks-gateway-core/src/events.rs
+++ b/crates/oliveworks-gateway-core/src/events.rs
@@ -1,32 +1,32 @@
-//! Which bytes of a stream may be passed on.
+//! Event streams: decides which bytes of a stream may be relayed.
 //!
-//! A backend server may end in the middle of an event, so only whole events are passed on. When a
-//! stream is taken up at another backend server, events that the caller already has are left out,
-//! and a gap is noticed.
+//! A backend server may end in the middle of an event, so only complete events are relayed. If a
+//! stream is resumed at another backend server, events that the caller already has are skipped, and
+//! gaps are detected.
 
-/// The most bytes that an unfinished event may hold.
+/// Maximum size of an incomplete event, in bytes.
 const EVENT_MAX: usize = 1 << 20;
 
-/// An event that is longer than any that is allowed.
+/// The error for an event that exceeds the maximum size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Oversized;
 
-/// A whole event.
+/// A complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes with the empty line that ends it.
+    /// Bytes of the event, including the empty line that ends it.
     pub bytes: Vec<u8>,
-    /// Its id, if it has one.
+    /// Id of the event, if present.
     pub id: Option<u64>,
 }
 
-/// Cuts a stream into events.
+/// Splits a stream into events.
 #[derive(Clone, Debug, Default)]
 pub struct Splitter {
     buffer: Vec<u8>,
 }
 
-/// The length of the first whole event with its ending.
+/// Returns the length of the first complete event, including the empty line that ends it.
 fn event_length(bytes: &[u8]) -> Option<usize> {
     let mut line_empty = true;
     for (index, byte) in bytes.iter().enumerate() {
@@ -40,7 +40,7 @@
     None
 }
 
-/// The id that an event names.
+/// Returns the id of an event.
 fn event_id(bytes: &[u8]) -> Option<u64> {
     let mut lines = bytes.split(|byte| *byte == b'\n');
     let line = lines.find_map(|line| line.strip_prefix(b"id:"))?;
@@ -48,10 +48,10 @@
 }
 
 impl Splitter {
-    /// Takes bytes in and gives the events that they complete.
+    /// Adds bytes to the stream and returns the events that they complete.
     ///
     /// # Errors
-    /// If an event grows beyond all bounds.
+    /// Returns an error if an incomplete event exceeds the maximum size.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Event>, Oversized> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -67,46 +67,46 @@
         }
     }
 
-    /// The bytes of an event that has not ended.
+    /// Returns the bytes of the incomplete event.
     pub fn rest(&self) -> &[u8] {
         &self.buffer
     }
 
-    /// Forgets an event that has not ended.
+    /// Discards the incomplete event.
     pub fn clear(&mut self) {
         self.buffer.clear();
     }
 }
 
-/// What becomes of an event.
+/// The action for an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pass {
-    /// The caller gets it.
+    /// Relay the event to the caller.
     On,
-    /// The caller has it already.
+    /// Skip the event, because the caller already has it.
     Known,
-    /// An event before it is missing: this run cannot go on.
+    /// Abort this run, because an earlier event is missing.
     Gap,
 }
 
-/// What the caller has had of a stream.
+/// The position of the caller in a stream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
     last: Option<u64>,
 }
 
 impl Progress {
-    /// A stream of which the caller has all events up to `last`.
+    /// Creates the position of a caller that has all events up to `last`.
     pub fn after(last: Option<u64>) -> Progress {
         Progress { last }
     }
 
-    /// The last event that the caller has.
+    /// Returns the id of the last event that the caller has.
     pub fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Decides on the next event.
+    /// Decides the action for the next event, and advances the position if the event is relayed.
     pub fn next(&mut self, id: Option<u64>) -> Pass {
         let (Some(last), Some(id)) = (self.last, id) else {
             self.last = id.or(self.last);
--- a/crates/oliveworks-gateway-core/src/locality.rs
+++ b/crates/oliveworks-gateway-core/src/locality.rs
@@ -1,48 +1,58 @@
-//! Whether a request stays in its gateway's failure domain, and what a gateway may take there and elsewhere.
+//! Locality: decides whether a request stays in its gateway's failure domain, and limits what a
+//! gateway may use of the local and of the remote targets.
 //!
-//! Bytes between failure domains are priced, and a caller gains nothing from a target elsewhere while those
-//! near have room: a stream runs as fast beside twenty others as beside ten. So requests stay while their
-//! domain has room. As it fills, those go elsewhere for which it has no part of the slots: a domain with
-//! half of the callers and a third of the slots keeps two thirds of its requests, and the others are placed as
-//! if there were no domains. What that leaves of a difference, after losses or among long prompts, moves a further
-//! part, as the difference grows.
+//! Traffic between failure domains is charged for, and a remote target has no advantage for a
+//! caller while local targets have free slots: a stream beside twenty others runs as fast as beside
+//! ten. Requests therefore stay local while the domain has free slots. As the domain fills up, it
+//! sends away the requests beyond its share of the slots: a domain with half of the callers and a
+//! third of the slots keeps two thirds of its requests, and the rest are placed as if there were no
+//! domains. If a difference in load remains, after failures or among long prompts, a further share
+//! is sent away that grows with the difference.
 //!
-//! Both go by sums over a domain, which change slowly beside the age of the counts, so that gateways that know
-//! the same old figures do not all leave at once. Shares of what a target has free follow the same sums: where a
-//! domain's callers fill its targets themselves, nothing is set aside for gateways of others.
+//! Both decisions use sums over a domain. These sums change slowly compared with the age of the
+//! counts, so gateways with the same outdated counts do not all leave at once. The shares of the
+//! free capacity of targets follow the same sums: where the callers of a domain fill its targets,
+//! nothing is reserved for gateways of other domains.
 //!
-//! The load that this answers: domains with unequal callers or unequal targets, up to one that has all callers, and
-//! callers who move. Rejected: a fixed cost of being far (between two targets drawn from all, requests stay as
-//! chance has it); to compare the best near target with the best far one (four are compared then, and gateways that
-//! know the same send to the same one); and differences alone (with all callers in a domain that has a
-//! third of the groups, 13 gateways herd there until the counts tell, and callers are late).
+//! The rules were designed for domains with unequal numbers of callers or targets, up to one domain
+//! with all callers, and for callers that move. Rejected: a fixed cost of a remote target (between
+//! two targets drawn from all, locality is left to chance), comparing the best local target with
+//! the best remote one (four targets are then compared, and gateways with the same counts send to
+//! the same one), and using differences alone (with all callers in a domain that has a third of the
+//! groups, 13 gateways overload that domain until the counts arrive, and callers are late).
 
-/// The part of the slots that may be taken near before others are looked for: below half, a pass takes a few
-/// ms longer than in an idle group.
-const ROOMY: f64 = 0.5;
-/// The part at which a domain counts as full: from there on gateways take but their parts of what is free.
-const FULL: f64 = 0.75;
-/// By how much more of the slots may be taken near than elsewhere, so that no request stays.
-const USED_RAMP: f64 = 0.4;
-/// What reading may take near, in ms, before others are looked for: the prompt of one request.
-const READING_MS: f64 = 20.0;
-/// By how much longer reading may take near than elsewhere, in ms, so that no request stays: half of the
-/// shortest usual time in which a first event is in time.
-const READING_RAMP_MS: f64 = 150.0;
-/// The part of the requests for a model that are refused when a domain counts as full, whatever its counts say.
-const REFUSED_FULL: f64 = 0.05;
-/// How many times its part of the slots a domain's part of the callers may be before requests go elsewhere
-/// though it has room, and by how much more until as many go as if it were full: a step in the load reaches
-/// such a domain before the counts tell. All callers in a domain with a third of the groups, four times as
-/// many as are served, means of six seeds: with forty gateways 6.5 in 100 are in time, 5.5 without this; with
-/// thirteen 9.5 and 11.3.
-const LOPSIDED: f64 = 1.25;
-const LOPSIDED_RAMP: f64 = 0.5;
-/// The part of its part of all callers that a gateway may take elsewhere though its own domain has slots
-/// for all of its callers: for what the sums do not show yet.
-const LEAST_FAR: f64 = 0.1;
+/// Share of the slots that may be used locally before requests are sent away. Below half, a pass
+/// takes only a few ms longer than in an idle group.
+const LOCAL_FREE_UP_TO: f64 = 0.5;
+/// Share of used slots at which a domain counts as full. From this share on, gateways use only
+/// their shares of the free capacity.
+const FULL_FROM: f64 = 0.75;
+/// Difference between the shares of used slots, local minus remote, at which all requests are sent
+/// away.
+const USED_DIFFERENCE_MAX: f64 = 0.4;
+/// Local reading time up to which no request is sent away, in ms. This is the time for the prompt
+/// of one request.
+const READING_MIN_MS: f64 = 20.0;
+/// Difference between the reading times, local minus remote, at which all requests are sent away,
+/// in ms. This is half of the shortest usual goal for the first event.
+const READING_DIFFERENCE_MAX_MS: f64 = 150.0;
+/// Share of rejected requests for a model at which a domain counts as full, regardless of its
+/// counts.
+const REJECTED_SHARE_FULL: f64 = 0.05;
+/// Ratio between a domain's share of the callers and its share of the slots above which requests
+/// are sent away even though the domain has free slots. Increases in load reach such a domain
+/// before the counts show them. Test case: all callers in a domain with a third of the groups, and
+/// four times as many callers as can be served (means of six seeds). With forty gateways, 6.5 % are
+/// served in time, against 5.5 % without this rule; with thirteen gateways 9.5 % against 11.3 %.
+const IMBALANCE_MIN: f64 = 1.25;
+/// Further increase of that ratio over which the share sent away grows to that of a full domain.
+const IMBALANCE_RAMP: f64 = 0.5;
+/// Minimum share of remote capacity, as a part of the gateway's share of all callers. This minimum
+/// applies even if the gateway's own domain has slots for all of its callers, and covers changes
+/// that the sums do not show yet.
+const REMOTE_SHARE_MIN: f64 = 0.1;
 
-/// How busy the targets of one side are.
+/// The load of the local or of the remote targets.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
     open: f64,
@@ -52,7 +62,8 @@
 }
 
 impl Usage {
-    /// Adds a target with so many open requests, slots, and ms that reading its unread prompts takes.
+    /// Adds a target with the given outstanding requests, slots and reading time of its unread
+    /// prompts in ms.
     pub fn add(&mut self, open: f64, slots: f64, reading_ms: f64) {
         self.open += open;
         self.slots += slots;
@@ -60,7 +71,7 @@
         self.targets += 1.0;
     }
 
-    fn used(&self) -> f64 {
+    fn used_share(&self) -> f64 {
         self.open / self.slots.max(1.0)
     }
 
@@ -69,66 +80,69 @@
     }
 }
 
-/// The targets that a request may go to, in its gateway's failure domain and elsewhere.
+/// The load of all eligible targets of a request, split by failure domain.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sides {
-    /// Those near.
+    /// Targets in the gateway's own failure domain.
     pub near: Usage,
-    /// Those elsewhere.
+    /// Targets in other failure domains.
     pub far: Usage,
 }
 
-/// A gateway's part of the callers of a model.
+/// A gateway's share of the callers of a model.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallersPart {
-    /// Of all, 0 to 1.
+    /// Share of all callers, from 0 to 1.
     pub of_all: f64,
-    /// Of those of its failure domain, 0 to 1.
+    /// Share of the callers of the gateway's failure domain, from 0 to 1.
     pub of_domain: f64,
-    /// The domain's part of all, 0 to 1; none if it is not known.
+    /// The failure domain's share of all callers, from 0 to 1; `None` if unknown.
     pub domain: Option<f64>,
-    /// The part of all that found no place lately, 0 to 1.
+    /// Share of all requests that recently found no place, from 0 to 1.
     pub refused: f64,
 }
 
 impl CallersPart {
-    /// Where callers are not counted, so that nothing is known of a domain's part.
+    /// The value used where callers are not counted, so the shares of the domains are unknown.
     pub const UNKNOWN: CallersPart =
         CallersPart { of_all: 1.0, of_domain: 1.0, domain: None, refused: 0.0 };
 }
 
-/// The parts of what targets have free that a gateway may take, 0 to 1.
+/// The shares of the free capacity of targets that a gateway may use, from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Parts {
-    /// Of those near.
+    /// Share of the local targets' free capacity.
     pub near: f64,
-    /// Of those elsewhere.
+    /// Share of the remote targets' free capacity.
     pub far: f64,
 }
 
 impl Sides {
-    /// The near targets' part of all slots.
-    fn near_slots(&self) -> f64 {
+    /// Returns the local targets' share of all slots.
+    fn local_slot_share(&self) -> f64 {
         self.near.slots / (self.near.slots + self.far.slots).max(1.0)
     }
 
-    /// How full the near side is, 0 while it has room to 1. Where reading is what is short, little is unread
-    /// between the end of a pass and the next requests, but some are refused.
+    /// Returns how full the local targets are, from 0 (free slots) to 1 (full). Rejected requests
+    /// count as well: where reading is the bottleneck, little is unread between the end of a pass
+    /// and the next requests, but some requests are rejected.
     fn fullness(&self, callers: &CallersPart) -> f64 {
-        let slots = (self.near.used() - ROOMY) / (FULL - ROOMY);
-        let reading = self.near.mean_reading_ms() / READING_MS - 1.0;
-        let refused = callers.refused / REFUSED_FULL;
+        let slots = (self.near.used_share() - LOCAL_FREE_UP_TO) / (FULL_FROM - LOCAL_FREE_UP_TO);
+        let reading = self.near.mean_reading_ms() / READING_MIN_MS - 1.0;
+        let refused = callers.refused / REJECTED_SHARE_FULL;
         slots.max(reading).max(refused).clamp(0.0, 1.0)
     }
 
-    /// Whether a request looks for a target everywhere and not only near; `draw` is a random number.
+    /// Returns whether a request is placed among all targets instead of only local ones. `draw` is
+    /// a random number.
     pub fn spills(&self, callers: &CallersPart, draw: u64) -> bool {
-        // The lower half says from which target on they are compared.
-        let lot = (draw >> 32) as f64 / (1u64 << 32) as f64;
-        lot < self.spilled(callers)
+        // The lower half of the draw selects the target at which the comparison starts.
+        let random_share = (draw >> 32) as f64 / (1u64 << 32) as f64;
+        random_share < self.spilled(callers)
     }
 
-    /// The part of the requests that looks everywhere, 0 to 1. Of these, as many stay as there are slots near.
+    /// Returns the share of the requests that are placed among all targets, from 0 to 1. Of these
+    /// requests, a part in proportion to the local slots still stays local.
     pub fn spilled(&self, callers: &CallersPart) -> f64 {
         if self.near.targets == 0.0 {
             return 1.0;
@@ -136,29 +150,33 @@
         if self.far.targets == 0.0 {
             return 0.0;
         }
-        let slots = self.near_slots();
-        let without_slots = callers.domain.map_or(0.0, |domain| 1.0 - (slots / domain).min(1.0));
-        let without_slots = without_slots / (1.0 - slots).max(f64::MIN_POSITIVE);
-        let lopsided = callers.domain.map_or(0.0, |domain| {
-            (domain / slots.max(f64::MIN_POSITIVE) - LOPSIDED) / LOPSIDED_RAMP
+        let slots = self.local_slot_share();
+        let excess_callers = callers.domain.map_or(0.0, |domain| 1.0 - (slots / domain).min(1.0));
+        let excess_callers = excess_callers / (1.0 - slots).max(f64::MIN_POSITIVE);
+        let imbalance = callers.domain.map_or(0.0, |domain| {
+            (domain / slots.max(f64::MIN_POSITIVE) - IMBALANCE_MIN) / IMBALANCE_RAMP
         });
-        let fullness = self.fullness(callers).max(lopsided.clamp(0.0, 1.0));
-        let fuller = self.near.used() - self.far.used().max(ROOMY);
-        let slower_ms = self.near.mean_reading_ms() - self.far.mean_reading_ms() - READING_MS;
-        let differs = (fuller / USED_RAMP).max(slower_ms / READING_RAMP_MS);
-        (fullness * without_slots).max(differs).clamp(0.0, 1.0)
+        let fullness = self.fullness(callers).max(imbalance.clamp(0.0, 1.0));
+        let used_difference = self.near.used_share() - self.far.used_share().max(LOCAL_FREE_UP_TO);
+        let reading_difference_ms =
+            self.near.mean_reading_ms() - self.far.mean_reading_ms() - READING_MIN_MS;
+        let load_difference = (used_difference / USED_DIFFERENCE_MAX)
+            .max(reading_difference_ms / READING_DIFFERENCE_MAX_MS);
+        (fullness * excess_callers).max(load_difference).clamp(0.0, 1.0)
     }
 
-    /// What a gateway may take: near, its domain's part of the callers shares out what the slots there are of all
-    /// slots; elsewhere, what other domains' callers leave. So the parts of all gateways add up to about 1.
+    /// Returns the shares of the free capacity that a gateway may use. The local share divides the
+    /// part of the local slots that belongs to the domain's own callers. The remote share divides
+    /// what the callers of other domains leave. The shares of all gateways therefore add up to
+    /// about 1.
     pub fn parts(&self, callers: &CallersPart) -> Parts {
         let Some(domain) = callers.domain else {
             return Parts { near: callers.of_all, far: callers.of_all };
         };
-        let slots = self.near_slots();
+        let slots = self.local_slot_share();
         let near = callers.of_domain * (domain / slots.max(f64::MIN_POSITIVE)).min(1.0);
         let left = (domain - slots).max(0.0) / (1.0 - slots).max(f64::MIN_POSITIVE);
-        let far = (callers.of_domain * left.min(1.0)).max(callers.of_all * LEAST_FAR);
+        let far = (callers.of_domain * left.min(1.0)).max(callers.of_all * REMOTE_SHARE_MIN);
         Parts { near, far }
     }
 }
--- a/crates/oliveworks-gateway-core/src/members.rs
+++ b/crates/oliveworks-gateway-core/src/members.rs
@@ -1,25 +1,28 @@
-//! The gateways that share a bound, and which part of it is this one's.
+//! Group membership: the gateways that share a limit, and this gateway's share of it.
 //!
-//! What a cold backend server may be sent, and the repeats of requests, are bound for all gateways together, and no
-//! call asks the others: each has an equal part. Of what is dealt out in whole requests, what is left of the
-//! division goes to the gateways that come first for a backend server, by a hash of both names: another few for
-//! each. Where there are more gateways than requests, so many of them have one, and the others send to other backend
-//! servers.
+//! The requests to a cold backend server and the retries of requests are limited for all gateways
+//! together, without communication between them: each gateway has an equal share. For limits in
+//! whole requests, the remainder of the division is assigned to the gateways that rank first for a
+//! backend server, by a hash of both names, so the remainder goes to other gateways for each
+//! backend server. If there are more gateways than requests, that many gateways have one request
+//! each, and the others send to other backend servers.
 //!
-//! A bound holds as long as each gateway that takes a part counts all others that do: a part never grows when
-//! more are counted. So others are remembered for long after they fall silent and told to new ones, a gateway
-//! that hears few of them forgets nobody, and one that has just started, or was paused, has no part until all
-//! others have heard of it. What remains are gateways that are cut off and do not count those that start
-//! meanwhile: for them a margin is kept.
+//! A limit holds as long as each gateway with a share counts all the others that have one, because
+//! a share never grows when more gateways are counted. For this reason, silent gateways are
+//! remembered for a long time and reported to new gateways, a gateway that observes few of the
+//! others forgets none, and a gateway that has just started or was paused has no share until all
+//! others know of it. The remaining case is a gateway that is cut off and does not count gateways
+//! that start in the meantime; a margin of the limit is kept for this case.
 //!
-//! Rejected: those who were heard in the last 20 s (one that starts, or is cut off, takes the whole bound: five
-//! gateways that were killed three times in ten seconds sent 740 repeats where 660 are allowed). Rejected for cold
-//! backend servers, by a replay of callers who return all at once: parts in proportion to callers (what gateways
-//! know of each other's callers is some 100 ms old, and their parts sum up to more than the bound), and few
-//! gateways for each cold backend server where there are enough requests for all (most callers come to a
-//! gateway that has no part, and are refused beside what others do not need). Rejected too: a part of less
-//! than one request, taken once in several seconds (nobody keeps all gateways from taking it in the same
-//! one).
+//! Rejected: counting only the gateways observed in the last 20 s (a gateway that starts or is cut
+//! off takes the whole limit: five gateways that were killed three times in ten seconds sent 740
+//! retries where 660 are allowed). Rejected for cold backend servers, after a replay with callers
+//! that all return at once: shares in proportion to callers (the gateways' knowledge of each
+//! other's callers is some 100 ms old, and the shares add up to more than the limit), and few
+//! gateways per cold backend server if there are enough requests for all (most callers reach a
+//! gateway without a share, and are rejected while other gateways leave requests unused). Also
+//! rejected: a share of less than one request that is used once in several seconds (nothing
+//! prevents all gateways from using it in the same second).
 
 use std::collections::HashMap;
 
@@ -28,131 +31,140 @@
 use crate::Millis;
 use crate::balance::Target;
 
-/// How long a gateway that is not heard may still send, in ms: one that is cut off serves what its callers
-/// send it, and one that is gone costs the others its part for no longer.
-const MEMBER_MS: u64 = 60_000;
-/// The silence after which a gateway may be cut off, in ms: thirty heartbeats.
-const SILENT_MS: u64 = 3_000;
-/// The time in which all gateways hear of one that has started, in ms: twenty heartbeats, each of which
-/// names some gateways.
-const LEARN_MS: u64 = 2_000;
-/// The part of the bound that is shared out, in hundredths. With a third of all gateways cut off and as
-/// many new ones, the parts of those that are cut off are a twelfth of the bound too large.
+/// Time for which a silent gateway counts as a member, in ms. A gateway that is cut off still
+/// serves its callers, and a gateway that is gone occupies its share for no longer than this.
+const MEMBER_TIMEOUT_MS: u64 = 60_000;
+/// Silence after which a gateway may be cut off, in ms. This is thirty heartbeats.
+const SILENCE_MAX_MS: u64 = 3_000;
+/// Time in which all gateways learn of a gateway that has started, in ms. This is twenty
+/// heartbeats, each of which names some gateways.
+const ANNOUNCE_MS: u64 = 2_000;
+/// Part of the limit that is divided into shares, in percent. If a third of all gateways are cut
+/// off and as many new ones start, the shares of those that are cut off are too large by a twelfth
+/// of the limit in total.
 const SHARED_PERCENT: f64 = 87.5;
 
-/// The gateways that share a bound.
+/// The gateways that share a limit.
 #[derive(Clone, Debug)]
 pub struct Members {
     own: u64,
-    /// Others, and when each was last heard.
+    /// Other gateways, and the time at which each was last observed.
     others: HashMap<u64, Millis>,
-    /// Until when it sends nothing, since not all have heard of it.
-    learns_until: Millis,
+    /// Time until which this gateway has no share, because not all other gateways know of it yet.
+    no_share_until: Millis,
     started_at: Millis,
-    /// When it last heard few of the others.
+    /// Time at which this gateway last was cut off from the others.
     cut_off_at: Option<Millis>,
 }
 
 impl Members {
-    /// A gateway that has heard of no other yet; `alone` if there is none.
+    /// Creates the state of a gateway that has observed no other gateway yet. `alone` is whether
+    /// there are no others.
     pub fn new(own: u64, alone: bool, now: Millis) -> Members {
-        // One that hears nobody may be cut off from those that send: it waits until these would be
-        // forgotten.
-        let learns_until = if alone { now } else { now + MEMBER_MS };
-        Members { own, others: HashMap::new(), learns_until, started_at: now, cut_off_at: None }
+        // A gateway that observes no other may be cut off from active gateways, so it waits until
+        // they would be forgotten.
+        let no_share_until = if alone { now } else { now + MEMBER_TIMEOUT_MS };
+        Members { own, others: HashMap::new(), no_share_until, started_at: now, cut_off_at: None }
     }
 
-    /// Another gateway was heard at a time, here or by one that tells so.
+    /// Records that another gateway was observed at a time, by this gateway or by another one that
+    /// reports so.
     pub fn heard(&mut self, gateway: u64, at: Millis) {
         if gateway == self.own {
             return;
         }
         if self.others.is_empty() {
-            self.hears_the_first(at);
+            self.observe_first(at);
         }
         let heard_at = self.others.entry(gateway).or_insert(at);
         *heard_at = at.max(*heard_at);
     }
 
-    /// From now on others hear of it, too.
-    fn hears_the_first(&mut self, at: Millis) {
-        let learns_from = if at < self.started_at + LEARN_MS { self.started_at } else { at };
-        self.learns_until = self.learns_until.min(learns_from + LEARN_MS);
+    /// Starts the time in which the other gateways learn of this one.
+    fn observe_first(&mut self, at: Millis) {
+        let announced_from = if at < self.started_at + ANNOUNCE_MS { self.started_at } else { at };
+        self.no_share_until = self.no_share_until.min(announced_from + ANNOUNCE_MS);
     }
 
-    /// This process was paused for so long: gateways that have started meanwhile may not know of it.
+    /// Records that this process was paused for `paused_ms`. Gateways that have started in the
+    /// meantime may not know of it.
     pub fn paused(&mut self, now: Millis, paused_ms: u64) {
-        if !self.others.is_empty() && paused_ms > SILENT_MS {
-            self.learns_until = now + LEARN_MS;
+        if !self.others.is_empty() && paused_ms > SILENCE_MAX_MS {
+            self.no_share_until = now + ANNOUNCE_MS;
         }
     }
 
-    /// Others that have fallen silent and may still send, and when each was last heard.
+    /// Returns the gateways that are silent and may still send requests, and the time at which each
+    /// was last observed.
     pub fn silent(&self, now: Millis) -> impl Iterator<Item = (u64, Millis)> {
-        let silent = self.others.iter().filter(move |(_, at)| now > **at + SILENT_MS);
-        let recent = silent.filter(move |(_, at)| now < **at + MEMBER_MS);
+        let silent = self.others.iter().filter(move |(_, at)| now > **at + SILENCE_MAX_MS);
+        let recent = silent.filter(move |(_, at)| now < **at + MEMBER_TIMEOUT_MS);
         recent.map(|(gateway, at)| (*gateway, *at))
     }
 
-    /// Whether this gateway hears no more than half of all, itself among them: it is cut off, and not they.
+    /// Returns whether this gateway observes no more than half of all gateways, including itself.
+    /// In this case this gateway is cut off, and not the others.
     pub fn is_cut_off(&self, now: Millis) -> bool {
-        !self.others.is_empty() && self.heard_count(now) * 2 <= self.count()
+        !self.others.is_empty() && self.observed_count(now) * 2 <= self.count()
     }
 
-    /// How many gateways share a bound; none while others may not count this one, which has no part then.
+    /// Returns the number of gateways that share a limit; `None` while other gateways may not count
+    /// this one, which has no share then.
     pub fn sharers(&self, now: Millis) -> Option<usize> {
-        (now >= self.learns_until).then(|| self.count())
+        (now >= self.no_share_until).then(|| self.count())
     }
 
-    /// All gateways, this one among them.
+    /// Returns the number of all gateways, including this one.
     pub fn count(&self) -> usize {
         self.others.len() + 1
     }
 
-    /// This gateway, by its name's hash.
+    /// Returns the hash of this gateway's name.
     pub fn own(&self) -> u64 {
         self.own
     }
 
-    /// The gateway that grants permits for a target: the first, by a hash of both names, of those heard lately and this one.
+    /// Returns the gateway that grants permits for a target: the first one, by a hash of both
+    /// names, among this gateway and those observed recently.
     pub fn limiter(&self, now: Millis, target: Target) -> u64 {
-        let heard = self.others.iter().filter(|(_, at)| now <= **at + SILENT_MS);
+        let heard = self.others.iter().filter(|(_, at)| now <= **at + SILENCE_MAX_MS);
         let all = heard.map(|(gateway, _)| *gateway).chain([self.own]);
-        all.min_by_key(|gateway| place(*gateway, target)).unwrap_or(self.own)
+        all.min_by_key(|gateway| rank(*gateway, target)).unwrap_or(self.own)
     }
 
-    /// The part of all gateways that were heard lately, this one among them.
+    /// Returns the share of all gateways that were observed recently, including this one.
     pub fn heard_part(&self, now: Millis) -> f64 {
-        self.heard_count(now) as f64 / self.count() as f64
+        self.observed_count(now) as f64 / self.count() as f64
     }
 
-    fn heard_count(&self, now: Millis) -> usize {
-        1 + self.others.values().filter(|at| now <= **at + SILENT_MS).count()
+    fn observed_count(&self, now: Millis) -> usize {
+        1 + self.others.values().filter(|at| now <= **at + SILENCE_MAX_MS).count()
     }
 
-    /// Forgets gateways that were not heard for long, unless this one is cut off, or just was.
+    /// Drops the gateways that were silent for long, unless this gateway is or recently was cut
+    /// off.
     pub fn retain(&mut self, now: Millis) {
         if self.is_cut_off(now) {
             self.cut_off_at = Some(now);
         }
-        if self.cut_off_at.is_none_or(|at| now > at + LEARN_MS) {
-            self.others.retain(|_, heard_at| now < *heard_at + MEMBER_MS);
+        if self.cut_off_at.is_none_or(|at| now > at + ANNOUNCE_MS) {
+            self.others.retain(|_, heard_at| now < *heard_at + MEMBER_TIMEOUT_MS);
         }
     }
 
-    /// The requests of `bound` that are this gateway's.
+    /// Returns this gateway's share of a limit of `bound` requests.
     pub fn part(&self, now: Millis, bound: f64, target: Target) -> u32 {
         let Some(all) = self.sharers(now) else { return 0 };
         let shared = (bound * SHARED_PERCENT / 100.0) as u32;
         let all = all as u32;
-        let (each, left) = (shared / all, shared % all);
-        let own = place(self.own, target);
-        let before = self.others.keys().filter(|other| place(**other, target) < own).count();
-        each + u32::from((before as u32) < left)
+        let (each, remainder) = (shared / all, shared % all);
+        let own = rank(self.own, target);
+        let ranked_before = self.others.keys().filter(|other| rank(**other, target) < own).count();
+        each + u32::from((ranked_before as u32) < remainder)
     }
 }
 
-/// Where a gateway comes among others for a backend server.
-fn place(gateway: u64, target: Target) -> (u64, u64) {
+/// Returns the rank of a gateway for a backend server.
+fn rank(gateway: u64, target: Target) -> (u64, u64) {
     (xxh3_64_with_seed(&gateway.to_le_bytes(), target.0), gateway)
 }
--- a/crates/oliveworks-gateway-core/src/obstacles.rs
+++ b/crates/oliveworks-gateway-core/src/obstacles.rs
@@ -1,56 +1,58 @@
-//! What keeps a request from a place, and what follows where it keeps it from all of them.
+//! Obstacles: the reasons why a request may not use a place, and the result if no place can be
+//! used.
 //!
-//! A place is looked at when a request chooses one, and once more right before the request is sent, since its
-//! connection may come up long after. Whoever sends asks here and nowhere else. Rejected: a check beside each of
-//! these causes (what was added to one path was missed on the others).
+//! Obstacles are checked when a place is chosen and again right before the request is sent, because
+//! the connection may be established much later. Every sender uses this module. Rejected: a
+//! separate check for each cause (a check that was added to one path was missing from the others).
 
 use std::collections::BTreeMap;
 
 use crate::Millis;
 use crate::balance::NoTarget;
 
-/// What keeps a request from a place: first what lasts, then what passes.
+/// A reason why a request may not use a place. Permanent reasons come first, then temporary ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Obstacle {
-    /// It is in a region that may not serve the request.
+    /// The place is in a region that may not serve the request.
     Region,
-    /// The backend server, or a member of its replica group, leaves or is gone.
+    /// The backend server, or a member of its replica group, is leaving or gone.
     Leaving,
-    /// Its failure domain is drained.
+    /// The place's failure domain is drained.
     Drained,
-    /// It stands still, or could not be reached.
+    /// The place is stalled, or could not be reached.
     Suspended,
-    /// It refused and asked to be left alone.
+    /// The place refused a request and asked for a backoff.
     Backoff {
-        /// Until when.
+        /// End of the backoff.
         until: Millis,
     },
-    /// It is cold, and this gateway has taken its part of it.
+    /// The place is cold, and this gateway has used its share of the ramp-up limit.
     Cold {
-        /// When the part is free again; none if that is not known.
+        /// Time at which the share is available again; `None` if unknown.
         free_at: Option<Millis>,
     },
-    /// It names a rate limit, and there is no permit for it.
+    /// The place has a rate limit, and there is no permit for the request.
     Limited {
-        /// When there may be one.
+        /// Earliest time at which a permit may be available.
         free_at: Millis,
     },
 }
 
 impl Obstacle {
-    /// Whether it also stops a request that was given to the place before and is not sent yet. A suspension does
-    /// not: the request's own connection has come up since. Nor does a cold place: the request is in this gateway's part; nor
-    /// a limited one: the request's own permit is looked at.
+    /// Returns whether this obstacle also stops a request that was assigned to the place earlier
+    /// and is not sent yet. A suspension does not, because the request's own connection has been
+    /// established since. A cold place does not, because the request is already counted in this
+    /// gateway's share. A rate limit does not, because the request's own permit is checked.
     pub fn stops_a_send(self) -> bool {
         !matches!(self, Obstacle::Suspended | Obstacle::Cold { .. } | Obstacle::Limited { .. })
     }
 
-    /// Whether it passes within the time in which callers wait, or may.
-    fn passes(self) -> bool {
+    /// Returns whether this obstacle may end within the time for which callers wait.
+    fn is_temporary(self) -> bool {
         !matches!(self, Obstacle::Region | Obstacle::Leaving | Obstacle::Drained)
     }
 
-    /// A word for it.
+    /// Returns the name of this obstacle for log messages.
     fn name(self) -> &'static str {
         match self {
             Obstacle::Region => "region",
@@ -63,8 +65,8 @@
         }
     }
 
-    /// When it ends.
-    fn ends(self) -> FreeAt {
+    /// Returns the time at which this obstacle ends.
+    fn ends_at(self) -> FreeAt {
         match self {
             Obstacle::Region | Obstacle::Leaving | Obstacle::Drained => FreeAt::NotSoon,
             Obstacle::Suspended => FreeAt::Unknown,
@@ -75,23 +77,23 @@
     }
 }
 
-/// When a place may come free, from the soonest on.
+/// The earliest time at which a place may become available, in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FreeAt {
     /// At any moment.
     Unknown,
-    /// At this time.
+    /// At a known time.
     At(Millis),
-    /// Not within the time in which callers wait.
+    /// Not within the time for which callers wait.
     NotSoon,
 }
 
-/// No place was found.
+/// The result if a request has no place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoPlace {
-    /// Why.
+    /// Reason why there is no place.
     pub reason: NoTarget,
-    /// When there may be one.
+    /// Earliest time at which a place may be available.
     pub free_at: FreeAt,
 }
 
@@ -102,11 +104,11 @@
 }
 
 impl NoPlace {
-    /// What follows if these keep a request from every place that there is.
+    /// Returns the result if every existing place has one of these obstacles.
     pub fn kept_by(obstacles: &[Obstacle]) -> NoPlace {
-        let free_at = obstacles.iter().map(|obstacle| obstacle.ends()).min();
-        let passing = obstacles.iter().filter(|obstacle| obstacle.passes());
-        let reason = passing.fold(NoTarget::None, |reason, obstacle| match obstacle {
+        let free_at = obstacles.iter().map(|obstacle| obstacle.ends_at()).min();
+        let temporary = obstacles.iter().filter(|obstacle| obstacle.is_temporary());
+        let reason = temporary.fold(NoTarget::None, |reason, obstacle| match obstacle {
             Obstacle::Backoff { .. } => NoTarget::Backoff,
             Obstacle::Cold { .. } if reason == NoTarget::None => NoTarget::Cold,
             Obstacle::Limited { .. } if reason == NoTarget::None => NoTarget::Limited,
@@ -115,12 +117,12 @@
         NoPlace { reason, free_at: free_at.unwrap_or(FreeAt::NotSoon) }
     }
 
-    /// Whether there is certainly none until a time.
+    /// Returns whether no place becomes available until a given time.
     pub fn lasts_until(&self, until: Millis) -> bool {
         self.free_at > FreeAt::At(until)
     }
 
-    /// How long there is certainly none, in ms, if that is known.
+    /// Returns the time for which no place becomes available, in ms, if known.
     pub fn known_ms(&self, now: Millis) -> Option<u64> {
         match self.free_at {
             FreeAt::At(at) => Some(at.saturating_sub(now)),
@@ -129,14 +131,15 @@
     }
 }
 
-/// Whether a request has no place only because none is in a region that may serve it.
+/// Returns whether a request has no place only because every place that is not leaving is in a
+/// region that may not serve the request.
 pub fn is_kept_by_region(obstacles: &[Obstacle]) -> bool {
-    let mut staying =
+    let mut not_leaving =
         obstacles.iter().filter(|obstacle| **obstacle != Obstacle::Leaving).peekable();
-    staying.peek().is_some() && staying.all(|obstacle| *obstacle == Obstacle::Region)
+    not_leaving.peek().is_some() && not_leaving.all(|obstacle| *obstacle == Obstacle::Region)
 }
 
-/// How many obstacles there are of each kind, for people.
+/// Returns the number of obstacles of each kind, as text for log messages.
 pub fn describe(obstacles: &[Obstacle]) -> String {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for obstacle in obstacles {
--- a/crates/oliveworks-gateway-core/src/rate_limits.rs
+++ b/crates/oliveworks-gateway-core/src/rate_limits.rs
@@ -1,24 +1,29 @@
-//! Backend servers that name a rate limit in their answers, and what all gateways together send them.
+//! Rate limits: enforces, across all gateways, the limits that backend servers name in their
+//! answers.
 //!
-//! Each such backend server has a limiter: the gateway that comes first for it, by a hash of both names, among those that
-//! were heard lately. It keeps a token bucket, and the others ask it for a permit before they send. So a rate of a
-//! request in seconds can be shared by hundreds of gateways, and goes to those that have callers for it. Without a
-//! permit a request goes elsewhere, or is refused if there is no other place.
+//! Each such backend server has a limiter: the gateway that ranks first for the backend server, by
+//! a hash of both names, among the gateways observed recently. The limiter keeps a token bucket,
+//! and the other gateways ask for a permit before they send. In this way, hundreds of gateways can
+//! share a rate as low as one request in several seconds, and the rate goes to the gateways that
+//! have callers for it. Without a permit, a request goes elsewhere, or is rejected if there is no
+//! other place.
 //!
-//! A limiter that falls silent is replaced after the time in which gateways notice; until then nothing is granted, and the
-//! next one begins with an empty bucket. Gateways that are cut off from each other have a limiter each, which grants the
-//! part of the rate that the gateways it hears are of all (see [`members`](crate::members)).
+//! A limiter that falls silent is replaced after the time in which gateways detect its silence.
+//! Until then nothing is granted, and the next limiter starts with an empty bucket. Under a network
+//! partition each side has its own limiter, which grants the part of the rate that corresponds to
+//! the share of all gateways observed on its side (see [`members`](crate::members)).
 //!
 //! | module | decides |
 //! |---|---|
-//! | [`limits`] | which limits are in force, by what answers and other gateways tell |
+//! | [`limits`] | which limits are in force, from answers and from reports of other gateways |
 //! | [`buckets`] | what a limiter grants |
 //! | [`permits`] | what this gateway may send |
 //!
-//! Rejected, by a replay of one backend server that takes few requests a second: equal parts in whole requests, and equal rates
-//! (where gateways are more than requests, most callers come to one that has no part, and what others do not need is
-//! lost), shares by what gateways tell of their callers (some 100 ms old, they sum up to more than the limit), and the
-//! leader as the limiter of all (one gateway would answer for every request of the fleet).
+//! Rejected, after a replay of one backend server that accepts few requests per second: equal
+//! shares in whole requests, and equal rates (with more gateways than requests, most callers reach
+//! a gateway without a share, and unused shares are lost); shares by reported numbers of callers
+//! (the reports are some 100 ms old, and the shares add up to more than the limit); and the leader
+//! as the only limiter (one gateway would answer for every request of the fleet).
 
 pub mod buckets;
 pub mod limits;
@@ -33,63 +38,65 @@
 use limits::{Limit, Limits};
 use permits::{Permit, Permits};
 
-/// The time after which a gateway is asked again that is no limiter, or not yet, in ms: two heartbeats.
-const NO_LIMITER_MS: u32 = 200;
+/// Time after which a gateway that is not the limiter, or not yet, is asked again, in ms. This is
+/// two heartbeats.
+const NO_LIMITER_RETRY_MS: u32 = 200;
 
-/// Requests a second, in thousandths.
+/// A rate, stored in thousandths of a request per second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Rate(u32);
 
 impl Rate {
-    /// A rate in requests a second; none if it is negative or no number. One that is too large to be noted is taken for the
-    /// largest that is.
+    /// Creates a rate from requests per second. Returns `None` for negative values, NaN and
+    /// infinity. A rate that is too large to be represented is replaced by the largest possible
+    /// rate.
     pub fn from_per_s(per_s: f64) -> Option<Rate> {
         (per_s.is_finite() && per_s >= 0.0).then_some(Rate((per_s * 1_000.0) as u32))
     }
 
-    /// Requests a second.
+    /// Returns the rate in requests per second.
     pub fn per_s(self) -> f64 {
         f64::from(self.0) / 1_000.0
     }
 }
 
-/// Asks a limiter for a permit.
+/// A request for a permit, sent to a limiter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Question {
-    /// The limit as the asking gateway knows it.
+    /// The limit as known by the requesting gateway.
     pub limit: Limit,
-    /// What the permit is wanted for.
+    /// The purpose of the permit.
     pub need: Need,
 }
 
-/// A limiter's answer.
+/// A limiter's answer to a permit request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// The limit as the limiter knows it.
+    /// The limit as known by the limiter.
     pub limit: Limit,
-    /// Whether a request may be sent.
+    /// The permit, or the time until the next attempt.
     pub grant: Grant,
 }
 
-/// What keeps a request from a backend server that names a limit.
+/// The error for a backend server with a rate limit and no permit left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoPermit {
-    /// When there may be one.
+    /// Earliest time at which a permit may be available.
     pub free_at: Millis,
 }
 
-/// What follows when a permit is wanted.
+/// The next step for a request that needs a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Nothing: it was asked for, or it is known that there is none.
+    /// No step: a permit was already requested, or none is available for now.
     Wait,
-    /// This gateway is the limiter, and has decided.
+    /// This gateway is the limiter and has decided.
     Decided(Grant),
-    /// Another one, by its name's hash, is to be asked.
+    /// Send the permit request to the limiter with this name hash.
     Ask(u64, Question),
 }
 
-/// Rate limits, as one gateway knows and keeps them.
+/// The rate limits that this gateway knows, and the buckets and permits that it holds.
 #[derive(Clone, Debug, Default)]
 pub struct RateLimits {
     /// The limits in force.
@@ -99,10 +106,10 @@
 }
 
 impl RateLimits {
-    /// Whether a request may be given to a backend server now.
+    /// Checks whether a request may be assigned to a backend server now.
     ///
     /// # Errors
-    /// If it names a limit and there is no permit.
+    /// Returns an error if the backend server has a rate limit and no permit is available.
     pub fn check(&self, now: Millis, target: Target, need: Need) -> Result<(), NoPermit> {
         if self.limits.rate(target).is_none() || self.permits.has(now, target) {
             return Ok(());
@@ -110,23 +117,26 @@
         Err(NoPermit { free_at: self.permits.free_at(now, target, need) })
     }
 
-    /// Takes a permit for a request that is given to a backend server; none if there is none, or none is needed.
+    /// Takes a permit for a request that is assigned to a backend server. Returns `None` if no
+    /// permit is available or none is needed.
     pub fn take(&mut self, now: Millis, target: Target) -> Option<Permit> {
         self.limits.rate(target)?;
         self.permits.take(now, target)
     }
 
-    /// A request that had taken a permit is not sent.
+    /// Returns the permit of a request that is not sent.
     pub fn give_back(&mut self, target: Target, permit: Permit) {
         self.permits.give_back(target, permit);
     }
 
-    /// Whether a request with this permit may be sent to a backend server now: a limit may have been named since it was given to it.
+    /// Returns whether a request with this permit may be sent to a backend server now. A limit may
+    /// have been named after the request was assigned.
     pub fn may_send(&self, now: Millis, target: Target, permit: Option<Permit>) -> bool {
         self.limits.rate(target).is_none() || permit.is_some_and(|permit| permit.holds(now))
     }
 
-    /// A request wants a permit at a backend server that names a limit.
+    /// Returns the next step for a request that needs a permit for a backend server with a rate
+    /// limit.
     pub fn want(&mut self, now: Millis, target: Target, need: Need, members: &Members) -> Step {
         let Some(limit) = self.limits.get(target) else { return Step::Wait };
         if !self.permits.begin_to_ask(now, target, need) {
@@ -143,7 +153,7 @@
         Step::Decided(answer.grant)
     }
 
-    /// Answers a gateway that asks for a permit, or this one.
+    /// Answers a permit request of another gateway or of this one.
     pub fn answer(&mut self, now: Millis, question: Question, members: &Members) -> Answer {
         self.limits.told(now, question.limit);
         let target = question.limit.target;
@@ -158,12 +168,12 @@
                 let per_s = rate.per_s() * members.heard_part(now);
                 self.buckets.ask(now, target, per_s, question.need)
             }
-            Some(_) => Grant::After(NO_LIMITER_MS),
+            Some(_) => Grant::After(NO_LIMITER_RETRY_MS),
         };
         Answer { limit, grant }
     }
 
-    /// Takes a limiter's answer in.
+    /// Applies a limiter's answer.
     pub fn answered(&mut self, now: Millis, answer: Answer) {
         self.limits.told(now, answer.limit);
         let target = answer.limit.target;
@@ -173,7 +183,8 @@
         }
     }
 
-    /// A call was made to a backend server that cannot wait for a permit; tells which limiter is to be told.
+    /// Records a call to a backend server that was sent without a permit because the call cannot
+    /// wait. Returns the limiter that must be informed, if another gateway is the limiter.
     pub fn spent(&mut self, now: Millis, target: Target, members: &Members) -> Option<u64> {
         let rate = self.limits.rate(target)?;
         let limiter = members.limiter(now, target);
@@ -184,7 +195,8 @@
         None
     }
 
-    /// Forgets backend servers that are gone, and what is over.
+    /// Drops the backend servers for which `keep` returns false, expired permits and outdated
+    /// limits.
     pub fn retain(&mut self, now: Millis, keep: impl Fn(Target) -> bool) {
         self.limits.retain(now, &keep);
         self.permits.retain(now, &keep);
--- a/crates/oliveworks-gateway-core/src/rate_limits/buckets.rs
+++ b/crates/oliveworks-gateway-core/src/rate_limits/buckets.rs
@@ -1,7 +1,7 @@
-//! Token buckets of the backend servers whose limiter this gateway is.
+//! Token buckets of the backend servers for which this gateway is the limiter.
 //!
-//! A bucket begins empty: what another gateway granted before this one became the limiter is not known here. It saves
-//! up little, since what is saved up comes on top of the rate in the next seconds.
+//! A bucket starts empty, because permits that another gateway granted before are unknown here. Its
+//! capacity is small, because saved permits are added to the rate in the following seconds.
 
 use std::collections::HashMap;
 
@@ -10,31 +10,32 @@
 use crate::Millis;
 use crate::balance::Target;
 
-/// The time in which a bucket fills up, in ms.
-const FILL_MS: f64 = 250.0;
-/// The least that a full bucket holds, in requests: one of them is kept for requests that have no other place.
-const FULL_MIN: f64 = 2.0;
-/// What is kept for requests that have no other place, in requests.
+/// Time in which a bucket fills up, in ms.
+const FILL_TIME_MS: f64 = 250.0;
+/// Minimum capacity of a bucket, in requests. One of these is reserved for requests without another
+/// place.
+const CAPACITY_MIN: f64 = 2.0;
+/// Reserve for requests without another place, in requests.
 const RESERVED: f64 = 1.0;
-/// The least rate, in requests a second: a backend server that takes none is tried now and then, since only its answers tell
-/// that it takes some again.
-const PER_S_MIN: f64 = 0.25;
-/// The longest time after which a gateway asks again, in ms, if a permit comes free before.
-const RETRY_MAX_MS: f64 = 4_000.0;
-/// The time in which refused questions are counted, in ms.
-const COUNTED_MS: Millis = 1_000;
-
-/// What a permit is wanted for.
+/// Minimum rate, in requests per second. A backend server with a rate of zero still receives
+/// occasional requests, because only its answers show when the rate rises again.
+const RATE_MIN_PER_S: f64 = 0.25;
+/// Maximum time after which a gateway retries although a permit may be available earlier, in ms.
+const WAIT_MAX_MS: f64 = 4_000.0;
+/// Length of the window in which refused permit requests are counted, in ms.
+const REFUSED_WINDOW_MS: Millis = 1_000;
+
+/// The purpose of a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Need {
-    /// A request could go elsewhere as well.
+    /// A request that could use another place.
     Optional,
-    /// A request has no other place.
+    /// A request without another place.
     Only,
 }
 
 impl Need {
-    /// What the bucket must hold.
+    /// Returns the bucket level required for a permit.
     fn level(self) -> f64 {
         match self {
             Need::Optional => 1.0 + RESERVED,
@@ -43,23 +44,25 @@
     }
 }
 
-/// What a limiter answers.
+/// A limiter's decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Grant {
     /// One request may be sent.
     Permit,
-    /// None now; there may be one after so many ms.
+    /// No permit is available now. The value is the time until one may be available, in ms.
     After(u32),
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
-    /// Requests that may be granted now; below zero after sends that did not ask.
+    /// Number of permits that may be granted now; negative after sends without a permit.
     level: f64,
     filled_at: Millis,
-    /// Questions that were refused in the second that began then, and in the one before.
+    /// Start of the current window for counting refused permit requests.
     counted_from: Millis,
+    /// Number of permit requests refused in the current window.
     refused: u32,
+    /// Number of permit requests refused in the window before.
     refused_before: u32,
 }
 
@@ -69,17 +72,18 @@
     }
 
     fn fill(&mut self, now: Millis, per_s: f64) {
-        let full = FULL_MIN.max(per_s * FILL_MS / 1_000.0);
-        let gained = per_s * (now - self.filled_at) as f64 / 1_000.0;
-        self.level = (self.level + gained).min(full);
+        let capacity = CAPACITY_MIN.max(per_s * FILL_TIME_MS / 1_000.0);
+        let refill = per_s * (now - self.filled_at) as f64 / 1_000.0;
+        self.level = (self.level + refill).min(capacity);
         self.filled_at = now;
     }
 
-    /// Counts a refused question; tells how many gateways wait for a permit, roughly.
+    /// Counts a refused permit request, and returns an estimate of the number of gateways that are
+    /// waiting for a permit.
     fn refuse(&mut self, now: Millis) -> u32 {
-        let seconds = (now - self.counted_from) / COUNTED_MS;
-        if seconds > 0 {
-            self.refused_before = if seconds == 1 { self.refused } else { 0 };
+        let windows = (now - self.counted_from) / REFUSED_WINDOW_MS;
+        if windows > 0 {
+            self.refused_before = if windows == 1 { self.refused } else { 0 };
             self.refused = 0;
             self.counted_from = now;
         }
@@ -88,7 +92,7 @@
     }
 }
 
-/// The buckets that this gateway keeps.
+/// The token buckets of this gateway.
 #[derive(Clone, Debug, Default)]
 pub struct Buckets(HashMap<Target, Bucket>);
 
@@ -99,36 +103,36 @@
         bucket
     }
 
-    /// A gateway asks for a permit at a backend server that takes so many requests a second.
+    /// Grants or refuses a permit for a backend server with a limit of `per_s` requests per second.
     ///
-    /// The more gateways were refused lately, the later each is to ask again: together they ask a few times as often as
-    /// permits come free.
+    /// The more gateways were refused recently, the longer each of them has to wait. Together they
+    /// retry only a few times as often as permits become available.
     pub fn ask(&mut self, now: Millis, target: Target, per_s: f64, need: Need) -> Grant {
-        let per_s = per_s.max(PER_S_MIN);
+        let per_s = per_s.max(RATE_MIN_PER_S);
         let bucket = self.filled(now, target, per_s);
         if bucket.level >= need.level() {
             bucket.level -= 1.0;
             return Grant::Permit;
         }
         let filled_ms = (need.level() - bucket.level) / per_s * 1_000.0;
-        let turn_ms = f64::from(bucket.refuse(now)) / per_s * 1_000.0;
-        Grant::After(filled_ms.max(turn_ms.min(RETRY_MAX_MS)).ceil() as u32)
+        let queue_ms = f64::from(bucket.refuse(now)) / per_s * 1_000.0;
+        Grant::After(filled_ms.max(queue_ms.min(WAIT_MAX_MS)).ceil() as u32)
     }
 
-    /// A request was sent without a permit.
+    /// Records that a request was sent without a permit.
     pub fn spend(&mut self, now: Millis, target: Target, per_s: f64) {
-        let per_s = per_s.max(PER_S_MIN);
+        let per_s = per_s.max(RATE_MIN_PER_S);
         let bucket = self.filled(now, target, per_s);
-        let full = FULL_MIN.max(per_s * FILL_MS / 1_000.0);
-        bucket.level = (bucket.level - 1.0).max(-full);
+        let capacity = CAPACITY_MIN.max(per_s * FILL_TIME_MS / 1_000.0);
+        bucket.level = (bucket.level - 1.0).max(-capacity);
     }
 
-    /// Another gateway is the limiter of a backend server.
+    /// Drops the bucket of a backend server because another gateway is now the limiter.
     pub fn hand_over(&mut self, target: Target) {
         self.0.remove(&target);
     }
 
-    /// Forgets backend servers.
+    /// Drops the buckets for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(Target) -> bool) {
         self.0.retain(|target, _| keep(*target));
     }
--- a/crates/oliveworks-gateway-core/src/rate_limits/permits.rs
+++ b/crates/oliveworks-gateway-core/src/rate_limits/permits.rs
@@ -1,4 +1,5 @@
-//! Permits that this gateway holds, one for each request that it may send to a backend server with a limit.
+//! Permits held by this gateway. Each permit allows one request to a backend server with a rate
+//! limit.
 
 use std::collections::HashMap;
 
@@ -6,29 +7,30 @@
 use crate::Millis;
 use crate::balance::Target;
 
-/// How long a permit holds from when it was asked for, in ms. A host gets what was granted so long ago on top of its
-/// rate, and a gateway with few callers has to meet one in this time.
-const PERMIT_MS: u64 = 500;
-/// The time after which a question that was not answered is asked again, in ms: several times the way between failure
-/// domains.
-const ANSWER_MS: u64 = 50;
+/// Validity of a permit from the time of its request, in ms. The value is a compromise: a host can
+/// receive all valid permits in addition to its rate, and a gateway with few callers must have a
+/// use for a permit within this time.
+const PERMIT_VALID_MS: u64 = 500;
+/// Time after which an unanswered permit request is sent again, in ms. This is several times the
+/// network delay between failure domains.
+const ANSWER_TIMEOUT_MS: u64 = 50;
 
-/// Leave to send one request.
+/// Permission to send one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
     until: Millis,
 }
 
 impl Permit {
-    /// Whether it may still be used.
+    /// Returns whether the permit is still valid.
     pub fn holds(self, now: Millis) -> bool {
         now < self.until
     }
 }
 
-/// A question that is not answered yet.
+/// An outstanding permit request.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct OutstandingRequest {
     at: Millis,
     need: Need,
 }
@@ -36,21 +38,22 @@
 #[derive(Clone, Debug, Default)]
 struct Host {
     held: Vec<Permit>,
-    asked: Option<Asked>,
-    /// Before this time no permit comes free.
+    outstanding: Option<OutstandingRequest>,
+    /// Earliest time at which a permit may be available.
     retry_at: Millis,
-    /// Before this time none comes free for requests that could go elsewhere.
+    /// Earliest time at which a permit may be available for requests that have another place.
     optional_retry_at: Millis,
 }
 
 impl Host {
     fn free_at(&self, now: Millis, need: Need) -> Millis {
-        let answered_at = self.asked.map_or(now, |asked| asked.at + ANSWER_MS);
+        let timeout_at =
+            self.outstanding.map_or(now, |outstanding| outstanding.at + ANSWER_TIMEOUT_MS);
         let retry_at = match need {
             Need::Only => self.retry_at,
             Need::Optional => self.retry_at.max(self.optional_retry_at),
         };
-        now.max(retry_at).max(answered_at)
+        now.max(retry_at).max(timeout_at)
     }
 
     fn is_idle(&self, now: Millis) -> bool {
@@ -58,18 +61,18 @@
     }
 }
 
-/// The permits of this gateway.
+/// The permits of this gateway, by backend server.
 #[derive(Clone, Debug, Default)]
 pub struct Permits(HashMap<Target, Host>);
 
 impl Permits {
-    /// Whether there is one for a backend server.
+    /// Returns whether a valid permit for a backend server is held.
     pub fn has(&self, now: Millis, target: Target) -> bool {
         let host = self.0.get(&target);
         host.is_some_and(|host| host.held.iter().any(|permit| permit.holds(now)))
     }
 
-    /// Takes the one that ends first.
+    /// Takes the permit that expires first.
     pub fn take(&mut self, now: Millis, target: Target) -> Option<Permit> {
         let host = self.0.get_mut(&target)?;
         host.held.retain(|permit| permit.holds(now));
@@ -77,45 +80,47 @@
         Some(host.held.swap_remove(first))
     }
 
-    /// A request that had taken one was not sent.
+    /// Returns the permit of a request that was not sent.
     pub fn give_back(&mut self, target: Target, permit: Permit) {
         self.0.entry(target).or_default().held.push(permit);
     }
 
-    /// When there may be a permit for a backend server.
+    /// Returns the earliest time at which a permit for a backend server may be available.
     pub fn free_at(&self, now: Millis, target: Target, need: Need) -> Millis {
         self.0.get(&target).map_or(now, |host| host.free_at(now, need))
     }
 
-    /// Notes that one is asked for, unless that is of no use now.
+    /// Records that a permit is being requested. Returns false, and records nothing, if a request
+    /// is of no use at present.
     pub fn begin_to_ask(&mut self, now: Millis, target: Target, need: Need) -> bool {
         let host = self.0.entry(target).or_default();
         if now < host.free_at(now, need) {
             return false;
         }
-        host.asked = Some(Asked { at: now, need });
+        host.outstanding = Some(OutstandingRequest { at: now, need });
         true
     }
 
-    /// One was granted. An answer that nobody waits for any more is too old to be used.
+    /// Records that a permit was granted. A late answer, to a permit request that is no longer
+    /// outstanding, is ignored.
     pub fn granted(&mut self, target: Target) {
         let Some(host) = self.0.get_mut(&target) else { return };
-        if let Some(asked) = host.asked.take() {
-            host.held.push(Permit { until: asked.at + PERMIT_MS });
+        if let Some(outstanding) = host.outstanding.take() {
+            host.held.push(Permit { until: outstanding.at + PERMIT_VALID_MS });
         }
     }
 
-    /// None was granted, and none comes free for so long.
+    /// Records that a permit was refused, and that none is available for `retry_ms`.
     pub fn refused(&mut self, now: Millis, target: Target, retry_ms: u64) {
         let host = self.0.entry(target).or_default();
         let retry_at = now + retry_ms;
-        match host.asked.take().map(|asked| asked.need) {
+        match host.outstanding.take().map(|outstanding| outstanding.need) {
             Some(Need::Optional) => host.optional_retry_at = retry_at,
             Some(Need::Only) | None => host.retry_at = retry_at,
         }
     }
 
-    /// Forgets backend servers, and what is over.
+    /// Drops the backend servers for which `keep` returns false, and expired permits.
     pub fn retain(&mut self, now: Millis, keep: impl Fn(Target) -> bool) {
         self.0.retain(|target, host| {
             host.held.retain(|permit| permit.holds(now));
--- a/crates/oliveworks-gateway-core/src/residency.rs
+++ b/crates/oliveworks-gateway-core/src/residency.rs
@@ -1,26 +1,27 @@
-//! Which regions may serve a request.
+//! Data residency: decides which regions may serve a request.
 //!
-//! A route and a workspace may each name the regions that serve their requests. What they name binds on
-//! every attempt and on resumption, also when that leaves no place at all: where data may be read is no
-//! matter of load. Rejected: to prefer allowed regions and fall back on others when they are full.
+//! A route and a workspace may each restrict the regions that serve their requests. The restriction
+//! applies to every attempt and to resumption, even if no place is left: data residency does not
+//! depend on load. Rejected: preferring the allowed regions and falling back to others when they
+//! are full.
 
-/// The regions that a route and a workspace allow; an empty list allows any.
+/// The regions allowed by a route and by a workspace. An empty list allows every region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Allowed<'a> {
-    /// Those of the route.
+    /// Regions allowed by the route.
     pub route: &'a [String],
-    /// Those of the workspace.
+    /// Regions allowed by the workspace.
     pub workspace: &'a [String],
 }
 
 impl Allowed<'_> {
-    /// Whether a failure domain of a region may serve the request. One without a region serves only
-    /// what may be served anywhere: nobody knows where it is.
+    /// Returns whether a failure domain in `region` may serve the request. A failure domain without
+    /// a region serves only requests without restrictions, because its location is unknown.
     pub fn may_serve(&self, region: Option<&str>) -> bool {
         allows(self.route, region) && allows(self.workspace, region)
     }
 
-    /// Whether any region may serve the request.
+    /// Returns whether every region may serve the request.
     pub fn is_anywhere(&self) -> bool {
         self.route.is_empty() && self.workspace.is_empty()
     }
--- a/crates/oliveworks-gateway-core/src/slow_start/cold.rs
+++ b/crates/oliveworks-gateway-core/src/slow_start/cold.rs
@@ -1,9 +1,10 @@
-//! Until when a backend server counts as cold.
+//! Tracks until when each backend server counts as cold.
 //!
-//! Its record says how much longer it was cold when the record was written, which is a moment ago: counted
-//! from when it is taken in, it is never too short. What happens after a record was written is not in it,
-//! so a backend server that may have come back cold is doubted until a record that was written later, or
-//! until the time is over that it is cold at the longest.
+//! A record states for how much longer its backend server was cold when the record was written,
+//! some time ago. Counted from the receipt of the record, this time is never too short. Events
+//! after the record was written are missing from the record. A backend server that may have
+//! returned cold is therefore *in doubt*: the backend server counts as cold until a record arrives
+//! that was written later, or until the longest possible time of being cold has passed.
 
 use std::collections::HashMap;
 
@@ -12,58 +13,62 @@
 use crate::balance::Target;
 use crate::configuration::SlowStart;
 
-/// Why a backend server counts as cold.
+/// The reason why a backend server counts as cold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evidence {
-    /// Its record says so.
+    /// The record of the backend server states that.
     Record,
-    /// It is listed for the first time, and callers are being served.
+    /// The backend server is listed for the first time while callers are being served.
     NewlyListed,
-    /// Its failure domain's drain has ended.
+    /// The drain of the backend server's failure domain has ended.
     DrainEnded,
-    /// It was not reached, and may have come back cold.
+    /// The backend server could not be reached, and may have returned cold.
     Lost,
-    /// It has started again, as the leader heard from it.
+    /// The backend server has restarted, as reported to the leader.
     StartedAgain,
-    /// Its record came from a gateway that did not hear the store, and may have lost it since.
+    /// The record was received from a gateway without contact to the store, which may have lost the
+    /// backend server since.
     ToldLate,
 }
 
-/// How a record came to be in the list.
+/// The way in which a record was added to the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listed {
-    /// It replaces another, or is the first that this process has read, or callers have not come yet.
+    /// The record replaces another one, is in the first list that this process has read, or was
+    /// read before any caller arrived.
     Known,
-    /// Its backend server was not listed before, while callers are being served.
+    /// The backend server was not listed before, and callers are being served.
     Newly,
-    /// It is the first that this process has read, of a gateway that did not hear the store itself: that
-    /// gateway may have lost the backend server since.
+    /// The record is in the first list that this process has read, and that list came from a
+    /// gateway without contact to the store. That gateway may have lost the backend server since.
     Late,
-    /// Its backend server was missing from the list: the record was written after that.
+    /// The backend server was missing from the list, so the record was written after that.
     Again,
-    /// It is the last of its backend server, written at any time: doubts stay.
+    /// The record is the latest one of its backend server, with an unknown time of writing. Doubts
+    /// remain.
     Last,
 }
 
-/// How a record was read.
+/// The circumstances in which a record was read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Reading {
-    /// Whether it stood in the first list that this process read.
+    /// Whether the record was in the first list that this process read.
     pub first_list: bool,
-    /// Whether a gateway told it that may not have heard the store for longer than records lag.
+    /// Whether the record was reported by a gateway that may have had no contact to the store for
+    /// longer than the maximum age of records.
     pub late: bool,
-    /// Whether it stood in a whole list, and not among records that were added.
+    /// Whether the record was in a complete list, rather than among added records.
     pub whole_list: bool,
-    /// Whether its backend server was missing from the list, or gone.
+    /// Whether the backend server was missing from the list, or gone.
     pub was_missing: bool,
-    /// Whether its backend server was not listed before.
+    /// Whether the backend server was not listed before.
     pub is_new: bool,
     /// Whether callers are being served.
     pub traffic: bool,
 }
 
 impl Listed {
-    /// What a reading says of when a record was written.
+    /// Classifies a record by the circumstances in which it was read.
     pub fn of(reading: Reading) -> Listed {
         match reading {
             Reading { first_list: true, late: true, .. } => Listed::Late,
@@ -76,34 +81,35 @@
     }
 }
 
-/// What is known of a cold backend server.
+/// The state of a cold backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Known {
-    /// Until when it counts as cold; none until something is heard of it.
+    /// End of the time for which the backend server counts as cold; `None` until data is received
+    /// from it.
     pub until: Option<Millis>,
-    /// By what.
+    /// Reason why the backend server counts as cold.
     pub evidence: Evidence,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Doubt {
     since: Millis,
-    /// None until something is heard from it.
+    /// End of the doubt; `None` until data is received from the backend server.
     until: Option<Millis>,
     evidence: Evidence,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Host {
-    /// Until when it is cold by its newest record.
+    /// End of the time for which the backend server is cold according to its newest record.
     until: Millis,
-    /// The newest life that it is known to have begun.
-    life: Option<Born>,
+    /// The newest known incarnation of the backend server.
+    incarnation: Option<Born>,
     doubt: Option<Doubt>,
 }
 
 impl Host {
-    fn known(&self, now: Millis) -> Option<Known> {
+    fn state(&self, now: Millis) -> Option<Known> {
         let doubt = self.doubt.filter(|doubt| doubt.until.is_none_or(|until| now < until));
         match doubt {
             Some(doubt) => Some(Known { until: doubt.until, evidence: doubt.evidence }),
@@ -115,7 +121,7 @@
     }
 }
 
-/// Backend servers and until when they are cold.
+/// The known backend servers, and the time until which each is cold.
 #[derive(Clone, Debug)]
 pub struct ColdHosts {
     record_lag_ms: u64,
@@ -123,13 +129,14 @@
 }
 
 impl ColdHosts {
-    /// None is known. `record_lag_ms` is how long before it is taken in a record may have been written.
+    /// Creates an empty state. `record_lag_ms` is the maximum age of a record when this gateway
+    /// receives it, in ms.
     pub fn new(record_lag_ms: u64) -> ColdHosts {
         ColdHosts { record_lag_ms, hosts: HashMap::new() }
     }
 
-    /// Takes a record in, of a backend server that is cold for `lasts_ms` from its start, if that is known yet; tells what is
-    /// known now if that makes a warm one cold.
+    /// Applies a record of a backend server that is cold for `lasts_ms` after its start, if that
+    /// time is known. Returns the new state if the record turns a warm backend server cold.
     pub fn record(
         &mut self,
         now: Millis,
@@ -138,11 +145,12 @@
         cold_ms: u64,
         listed: Listed,
     ) -> Option<Known> {
-        let was_cold = self.hosts.get(&target).is_some_and(|host| host.known(now).is_some());
+        let was_cold = self.hosts.get(&target).is_some_and(|host| host.state(now).is_some());
         let host = self.hosts.entry(target).or_default();
         host.until = if cold_ms > 0 { now + cold_ms } else { 0 };
         match listed {
-            // One that says how long it is cold is believed; one that says that it is warm has just started.
+            // A new record with a remaining cold time is accepted as written. A new record without
+            // one belongs to a backend server that has just started.
             Listed::Newly if cold_ms == 0 => {
                 let until = lasts_ms.map(|lasts_ms| now + lasts_ms);
                 let evidence = Evidence::NewlyListed;
@@ -160,11 +168,11 @@
                 host.doubt = host.doubt.filter(|doubt| now < doubt.since + lag_ms);
             }
         }
-        host.known(now).filter(|_| !was_cold)
+        host.state(now).filter(|_| !was_cold)
     }
 
-    /// A backend server may be cold, whatever its records said until now; tells what is known now if it
-    /// was not doubted before.
+    /// Records that a backend server may be cold, regardless of its records so far. Returns the new
+    /// state if the backend server was warm before.
     pub fn doubt(
         &mut self,
         now: Millis,
@@ -173,16 +181,18 @@
         evidence: Evidence,
     ) -> Option<Known> {
         let host = self.hosts.get_mut(&target)?;
-        let was_cold = host.known(now).is_some();
-        // One that was lost stays cold until it is heard, whatever else ends meanwhile.
-        let is_lost = host.doubt.is_some_and(|doubt| doubt.until.is_none());
-        let until = until.filter(|_| !is_lost);
+        let was_cold = host.state(now).is_some();
+        // A doubt without an end lasts until data is received, even if another doubt would end
+        // earlier.
+        let waits_for_data = host.doubt.is_some_and(|doubt| doubt.until.is_none());
+        let until = until.filter(|_| !waits_for_data);
         host.doubt = Some(Doubt { since: now, until, evidence });
-        host.known(now).filter(|_| !was_cold)
+        host.state(now).filter(|_| !was_cold)
     }
 
-    /// A backend server began a life of which its record does not tell; tells what is known now if that makes a warm
-    /// one cold. Each life counts once.
+    /// Records that a backend server has started an incarnation that its record does not show.
+    /// Returns the new state if that turns a warm backend server cold. Each incarnation counts
+    /// once.
     pub fn started_again(
         &mut self,
         now: Millis,
@@ -191,15 +201,16 @@
         lasts_ms: Option<u64>,
     ) -> Option<Known> {
         let host = self.hosts.get_mut(&target)?;
-        if host.life >= Some(born) {
+        if host.incarnation >= Some(born) {
             return None;
         }
-        host.life = Some(born);
+        host.incarnation = Some(born);
         let until = lasts_ms.map(|lasts_ms| now + lasts_ms);
         self.doubt(now, target, until, Evidence::StartedAgain)
     }
 
-    /// Something came from a backend server: if it came back cold, then not later than now.
+    /// Records that data was received from a backend server. If the backend server returned cold,
+    /// it did so before this time.
     pub fn heard(&mut self, now: Millis, target: Target, terms: SlowStart) {
         let Some(host) = self.hosts.get_mut(&target) else { return };
         if let Some(doubt) = host.doubt.as_mut().filter(|doubt| doubt.until.is_none()) {
@@ -207,29 +218,31 @@
         }
     }
 
-    /// How much longer a backend server counts as cold, in ms, for a gateway that takes the list over from this
-    /// one: it cannot know what is doubted here. One that was not heard of since it was lost is cold for the
-    /// whole time after it is, and by then a younger record is read.
+    /// Returns the remaining time for which a backend server counts as cold, in ms, for a gateway
+    /// that copies the list from this one and does not know the doubts held here. If the doubt
+    /// lasts until data is received, the complete cold time plus the maximum age of records is
+    /// returned: by the end of that time a newer record has been read.
     pub fn told_ms(&self, now: Millis, target: Target, lasts_ms: u64) -> u64 {
-        match self.hosts.get(&target).and_then(|host| host.known(now)) {
+        match self.hosts.get(&target).and_then(|host| host.state(now)) {
             None => 0,
             Some(Known { until: Some(until), .. }) => until.saturating_sub(now),
             Some(Known { until: None, .. }) => lasts_ms + self.record_lag_ms,
         }
     }
 
-    /// Whether a backend server is doubted, so that a younger record of it would tell more.
+    /// Returns whether any backend server counts as cold for another reason than its record, in
+    /// which case a newer record would settle its state.
     pub fn doubts_any(&self, now: Millis) -> bool {
-        let mut known = self.hosts.values().filter_map(|host| host.known(now));
-        known.any(|known| known.evidence != Evidence::Record)
+        let mut state = self.hosts.values().filter_map(|host| host.state(now));
+        state.any(|state| state.evidence != Evidence::Record)
     }
 
-    /// Whether a backend server counts as cold; one that no record was read of does.
+    /// Returns whether a backend server counts as cold. A backend server without a record does.
     pub fn is_cold(&self, now: Millis, target: Target) -> bool {
-        self.hosts.get(&target).is_none_or(|host| host.known(now).is_some())
+        self.hosts.get(&target).is_none_or(|host| host.state(now).is_some())
     }
 
-    /// Forgets backend servers that are gone.
+    /// Drops the backend servers for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(Target) -> bool) {
         self.hosts.retain(|target, _| keep(*target));
     }
--- a/crates/oliveworks-gateway-core/src/slow_start/sends.rs
+++ b/crates/oliveworks-gateway-core/src/slow_start/sends.rs
@@ -1,34 +1,35 @@
-//! What this gateway has sent to backend servers in the last second.
+//! Counts the requests that this gateway has sent to backend servers in the last second.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::Millis;
 use crate::balance::Target;
 
-/// The time in which a gateway takes its part once, in ms: the second of the bound, and what a busy process
-/// may take from noting that it sends to sending.
+/// Length of the window in which a gateway uses its share once, in ms: the second of the limit,
+/// plus the time that a busy process may need between recording a send and sending.
 const WINDOW_MS: u64 = 1_100;
 
 #[derive(Clone, Debug, Default)]
-struct Sent {
-    /// Requests that were given to it and are not sent yet.
+struct RecentSends {
+    /// Number of requests that are assigned to the backend server and not sent yet.
     chosen: u32,
-    /// When the last ones were sent.
-    at: VecDeque<Millis>,
+    /// Times of the most recent sends.
+    sent_at: VecDeque<Millis>,
 }
 
-impl Sent {
+impl RecentSends {
     fn since(&self, since: Millis) -> impl Iterator<Item = Millis> {
-        self.at.iter().copied().filter(move |at| *at > since)
+        self.sent_at.iter().copied().filter(move |sent_at| *sent_at > since)
     }
 }
 
-/// What this gateway has sent lately, by backend server.
+/// The recent sends of this gateway, by backend server.
 #[derive(Clone, Debug, Default)]
-pub struct Sends(HashMap<Target, Sent>);
+pub struct Sends(HashMap<Target, RecentSends>);
 
 impl Sends {
-    /// When a backend server may be sent another request, of `part` in a window; none if never.
+    /// Returns the time from which a backend server may receive another request, with a limit of
+    /// `part` requests per window; `None` if never.
     pub fn free_at(&self, now: Millis, target: Target, part: u32) -> Option<Millis> {
         if part == 0 {
             return None;
@@ -36,45 +37,45 @@
         let Some(sent) = self.0.get(&target) else { return Some(now) };
         let part = part.saturating_sub(sent.chosen) as usize;
         if part == 0 {
-            // All of it is on its way.
+            // The whole share is assigned to requests that are not sent yet.
             return Some(now + WINDOW_MS);
         }
-        let lately = sent.since(now.saturating_sub(WINDOW_MS)).count();
-        if lately < part {
+        let recent = sent.since(now.saturating_sub(WINDOW_MS)).count();
+        if recent < part {
             return Some(now);
         }
-        // The one after whose end only `part` less one remain.
-        let mut lately = sent.since(now.saturating_sub(WINDOW_MS)).skip(lately - part);
-        lately.next().map(|at| at + WINDOW_MS)
+        // Finds the send that has to leave the window so that at most `part - 1` sends remain.
+        let mut recent = sent.since(now.saturating_sub(WINDOW_MS)).skip(recent - part);
+        recent.next().map(|sent_at| sent_at + WINDOW_MS)
     }
 
-    /// A request was given to a backend server.
+    /// Records that a request is assigned to a backend server.
     pub fn chosen(&mut self, target: Target) {
         self.0.entry(target).or_default().chosen += 1;
     }
 
-    /// One that was given to it is sent.
+    /// Records that an assigned request is sent.
     pub fn sent(&mut self, now: Millis, target: Target) {
         let sent = self.0.entry(target).or_default();
         sent.chosen = sent.chosen.saturating_sub(1);
-        sent.at.push_back(now);
-        while sent.at.front().is_some_and(|at| now > at + WINDOW_MS) {
-            sent.at.pop_front();
+        sent.sent_at.push_back(now);
+        while sent.sent_at.front().is_some_and(|sent_at| now > sent_at + WINDOW_MS) {
+            sent.sent_at.pop_front();
         }
     }
 
-    /// One that was given to it will not be sent.
+    /// Records that an assigned request will not be sent.
     pub fn not_sent(&mut self, target: Target) {
         if let Some(sent) = self.0.get_mut(&target) {
             sent.chosen = sent.chosen.saturating_sub(1);
         }
     }
 
-    /// Forgets what was sent earlier.
+    /// Drops the sends that have left the window.
     pub fn retain(&mut self, now: Millis) {
         self.0.retain(|_, sent| {
-            let lately = sent.at.back().is_some_and(|at| now <= at + WINDOW_MS);
-            sent.chosen > 0 || lately
+            let recent = sent.sent_at.back().is_some_and(|sent_at| now <= sent_at + WINDOW_MS);
+            sent.chosen > 0 || recent
         });
     }
 }
--- a/crates/oliveworks-gateway-core/src/suspensions.rs
+++ b/crates/oliveworks-gateway-core/src/suspensions.rs
@@ -1,61 +1,64 @@
-//! Targets that get nothing for a while, since they stand still or could not be reached.
+//! Suspensions: targets that receive no requests for a while because they are stalled or could not
+//! be reached.
 
 use std::collections::HashMap;
 
 use crate::Millis;
 use crate::balance::Target;
 
-/// How long a target that stands still gets nothing.
+/// First suspension of a target, in ms. Each further suspension in a row doubles this time.
 const SUSPEND_MS: u64 = 1_000;
-/// The largest suspension of a target that fails again and again.
+/// Maximum suspension of a target that fails repeatedly, in ms.
 const SUSPEND_MAX_MS: u64 = 4_000;
-/// Suspensions in a row, with nothing heard between them, after which a target counts as lost.
+/// Number of consecutive suspensions, with no data received between them, after which a target
+/// counts as lost.
 const LOST_AFTER: u32 = 2;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Suspension {
     until: Millis,
-    /// Suspensions with nothing heard between them.
+    /// Number of consecutive suspensions with no data received between them.
     in_a_row: u32,
 }
 
-/// Until when targets get nothing.
+/// The end of the suspension of each target.
 #[derive(Clone, Debug, Default)]
 pub struct Suspensions {
     targets: HashMap<Target, Suspension>,
 }
 
 impl Suspensions {
-    /// A target stands still: it gets nothing for a while. Calls that fail together count once.
+    /// Suspends a target that is stalled or could not be reached. Failures during a suspension do
+    /// not extend that suspension, so calls that fail together count once.
     pub fn suspend(&mut self, now: Millis, target: Target) {
         let suspension = self.targets.entry(target).or_default();
         if now < suspension.until {
             return;
         }
-        let time = (SUSPEND_MS << suspension.in_a_row.min(8)).min(SUSPEND_MAX_MS);
+        let duration_ms = (SUSPEND_MS << suspension.in_a_row.min(8)).min(SUSPEND_MAX_MS);
         suspension.in_a_row += 1;
-        suspension.until = now + time;
+        suspension.until = now + duration_ms;
     }
 
-    /// Something came from a target.
+    /// Records that data was received from a target.
     pub fn heard(&mut self, target: Target) {
         if let Some(suspension) = self.targets.get_mut(&target) {
             suspension.in_a_row = 0;
         }
     }
 
-    /// Whether a target gets nothing now.
+    /// Returns whether a target is suspended.
     pub fn holds(&self, now: Millis, target: Target) -> bool {
         self.targets.get(&target).is_some_and(|suspension| now < suspension.until)
     }
 
-    /// Whether a target gave nothing through a whole suspension: it is lost. One that gave nothing once
-    /// may have missed a single call.
+    /// Returns whether a target is lost, that is, sent no data during a complete suspension. After
+    /// a single suspension a target is not lost, because only one call may have failed.
     pub fn is_lost(&self, target: Target) -> bool {
         self.targets.get(&target).is_some_and(|suspension| suspension.in_a_row >= LOST_AFTER)
     }
 
-    /// Forgets targets that are gone.
+    /// Drops the targets for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(Target) -> bool) {
         self.targets.retain(|target, _| keep(*target));
     }
--- a/crates/oliveworks-gateway-core/src/telling.rs
+++ b/crates/oliveworks-gateway-core/src/telling.rs
@@ -1,16 +1,18 @@
-//! What a heartbeat tells of the requests that are open.
+//! Load reports: the outstanding requests that a heartbeat reports.
 //!
-//! Each request needs to know how busy the targets are that it may go to, most of them in its own failure
-//! domain. So gateways of one domain tell each other all that they have open, with each heartbeat.
-//! Another domain is told with each heartbeat what is open at its own targets, which its gateways fill,
-//! and now and then what is open elsewhere, by which it judges where to send what it cannot take itself.
-//! The more targets, the less often, so that these bytes stay flat as groups grow in number.
+//! The placement of a request needs the load of its eligible targets, most of which are in its own
+//! failure domain. Gateways of one domain therefore report all of their outstanding requests to
+//! each other with each heartbeat. A remote domain receives, with each heartbeat, the load on its
+//! own targets, which its gateways fill. At longer intervals it receives the load on all other
+//! targets, which it needs to place requests that exceed its own capacity. The interval grows with
+//! the number of targets, so the traffic stays constant as the number of groups grows.
 //!
-//! The load that this answers: ten gateways a domain before a thousand groups, where sums of all that a
-//! domain has open, with each heartbeat to two gateways of each other domain, were most of what a gateway
-//! sent. Rejected: sums of all targets at a slower pace (the counts of the targets that a domain fills
-//! itself grow as old as those of the others), and only the targets that changed (a lost datagram
-//! leaves a wrong count until the next whole one).
+//! This scheme was designed for ten gateways per domain and a thousand groups, where sending the
+//! sums over everything that a domain has outstanding, with each heartbeat to two gateways of each
+//! other domain, made up most of a gateway's traffic. Rejected: sums over all targets at a longer
+//! interval (the counts of targets that a domain fills itself become as old as the others), and
+//! sending only the targets that changed (a lost datagram leaves a wrong count until the next
+//! complete report).
 
 use std::collections::{HashMap, HashSet};
 
@@ -20,57 +22,60 @@
 use crate::balance::{Balance, Load, Target};
 use crate::fan_out::Source;
 
-/// Targets elsewhere that may be told with each heartbeat, 100 ms apart: some 500 bytes, about what
-/// the rest of a heartbeat takes.
-const EACH_BEAT: usize = 64;
-/// The time between two heartbeats, in ms.
-const BEAT_MS: u64 = 100;
-/// The longest time between two sums of what is open elsewhere, in ms: three of them come before the first
-/// is believed no more.
-const ELSEWHERE_MS: u64 = 500;
+/// Number of other targets that each heartbeat may report, at an interval of 100 ms: about 500
+/// bytes, as much as the rest of a heartbeat.
+const TARGETS_PER_HEARTBEAT: usize = 64;
+/// Interval between two heartbeats, in ms.
+const HEARTBEAT_MS: u64 = 100;
+/// Maximum interval between two reports of the load elsewhere, in ms. Three of them arrive before
+/// the first one expires.
+const ELSEWHERE_INTERVAL_MAX_MS: u64 = 500;
 
-/// A target that is told.
+/// The load of one target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Count {
-    /// The target.
+    /// The target to which the load applies.
     pub target: Target,
-    /// What is open there.
+    /// Outstanding requests at the target.
     pub load: Load,
-    /// Whether something has just come from there.
+    /// Whether data was received from the target recently.
     pub heard: bool,
 }
 
-/// What one heartbeat tells.
+/// The load report in one heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Telling {
-    /// What is open at targets that matter to the listener with each heartbeat.
+    /// Load of the targets that the recipient needs with each heartbeat.
     pub open: Vec<Count>,
-    /// What is open at all others; none if that is not told this time.
+    /// Load of all other targets; `None` if this heartbeat does not report it.
     pub elsewhere: Option<Vec<(Target, Load)>>,
-    /// Other targets that have just been heard and where the listener has something open.
+    /// Further targets from which data was received recently and at which the recipient has
+    /// outstanding requests.
     pub heard: Vec<Target>,
 }
 
-/// What a gateway tells those of its own failure domain; `since` is when a target must have been heard.
+/// Returns the report for gateways of the same failure domain. Data received from a target at or
+/// after `since` counts as recent.
 pub fn near(balance: &Balance, since: Millis) -> Telling {
     let count =
         |(target, load)| Count { target, load, heard: balance.is_heard_since(target, since) };
     let open: Vec<Count> = balance.own_open().map(count).collect();
-    let told: HashSet<Target> = open.iter().map(|count| count.target).collect();
-    let heard = balance.heard_since(since).filter(|target| !told.contains(target)).collect();
+    let reported: HashSet<Target> = open.iter().map(|count| count.target).collect();
+    let heard = balance.heard_since(since).filter(|target| !reported.contains(target)).collect();
     Telling { open, elsewhere: None, heard }
 }
 
-/// What the gateways of one failure domain know together.
+/// The combined knowledge of the gateways of one failure domain.
 #[derive(Clone, Debug)]
 pub struct Known {
-    /// What they have open.
+    /// Outstanding requests by target.
     pub open: HashMap<Target, Load>,
-    /// Targets that one of them has just heard.
+    /// Targets from which one of the gateways received data recently.
     pub heard: HashSet<Target>,
 }
 
-/// What a failure domain tells another, `listener`; `is_there` tells which targets are the listener's.
+/// Returns the report of this failure domain for another one, `listener`. `is_there` returns
+/// whether a target belongs to the listener's domain.
 pub fn far(
     balance: &Balance,
     now: Millis,
@@ -80,31 +85,34 @@
     with_elsewhere: bool,
 ) -> Telling {
     let mut telling = Telling { elsewhere: with_elsewhere.then(Vec::new), ..Telling::default() };
-    let mut told = HashSet::new();
+    let mut reported = HashSet::new();
     for (target, load) in &known.open {
         if is_there(*target) {
             let heard = known.heard.contains(target);
             telling.open.push(Count { target: *target, load: *load, heard });
-            told.insert(*target);
+            reported.insert(*target);
         } else if let Some(elsewhere) = &mut telling.elsewhere {
             elsewhere.push((*target, *load));
         }
     }
-    let waits = |target: &&Target| balance.is_open_at(now, listener, **target);
-    let heard = known.heard.iter().filter(|target| !told.contains(target)).filter(waits);
+    let listener_waits = |target: &&Target| balance.is_open_at(now, listener, **target);
+    let heard =
+        known.heard.iter().filter(|target| !reported.contains(target)).filter(listener_waits);
     telling.heard = heard.copied().collect();
     telling
 }
 
-/// When each failure domain was last told what is open elsewhere.
+/// Time of the last report of the load elsewhere, by failure domain.
 #[derive(Clone, Debug, Default)]
 pub struct Pace(HashMap<Source, Millis>);
 
 impl Pace {
-    /// Whether a failure domain is told now, with so many targets open; if so, that is noted.
+    /// Returns whether the load elsewhere, at the given number of targets, is due to be reported to
+    /// a failure domain. If so, the report is recorded.
     pub fn is_due(&mut self, now: Millis, listener: Source, targets: usize) -> bool {
-        let pause_ms = (targets as u64 * BEAT_MS / EACH_BEAT as u64).min(ELSEWHERE_MS);
-        let due = self.0.get(&listener).is_none_or(|at| now >= at + pause_ms);
+        let interval_ms = (targets as u64 * HEARTBEAT_MS / TARGETS_PER_HEARTBEAT as u64)
+            .min(ELSEWHERE_INTERVAL_MAX_MS);
+        let due = self.0.get(&listener).is_none_or(|at| now >= at + interval_ms);
         if due {
             self.0.insert(listener, now);
         }
