--- a/crates/oliveworks-gateway-core/src/timeliness.rs
+++ b/crates/oliveworks-gateway-core/src/timeliness.rs
@@ -1,67 +1,68 @@
-//! Whether an answer came in time, and if not, why.
+//! Timeliness: classifies answers as in time or late, with the reason.
 //!
-//! An answer is in time if it begins within its goal and no pause in it is longer than its route allows.
-//! Callers who have come back are late whatever their answer takes, since the goal counts from the first
-//! try.
+//! An answer is in time if it begins within its goal and no gap in it is longer than its route
+//! allows. Answers to returning callers are always late, because the goal counts from the first
+//! attempt.
 
-/// How an answer came about; times are in ms.
+/// The course of an answer. Times are in ms.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Served {
-    /// Whether the caller had been refused or failed before.
+    /// Whether an earlier attempt of the caller was refused or failed.
     pub came_back: bool,
-    /// From the request to when it was first sent to a backend server.
+    /// Time from the arrival of the request to its first send to a backend server.
     pub sent_after_ms: u64,
-    /// From the request to the first event of a stream, or to a whole answer.
+    /// Time from the arrival of the request to the first event of a stream, or to a complete
+    /// answer.
     pub first_after_ms: u64,
-    /// The longest pause between two parts of a stream.
+    /// Longest gap between two parts of a stream.
     pub longest_gap_ms: u64,
-    /// How often it was sent.
+    /// Number of times that the request was sent.
     pub sends: u32,
 }
 
-/// What an answer should keep to, in ms.
+/// The time limits of an answer, in ms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Goal {
-    /// The time to its beginning.
+    /// Time limit for the beginning of the answer.
     pub first_ms: u64,
-    /// The longest pause, if the route bounds it.
+    /// Maximum gap, if the route limits it.
     pub gap_ms: Option<u64>,
 }
 
-/// Whether an answer came in time, or the first reason why not.
+/// Whether an answer was in time, or the first reason why it was late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Timeliness {
-    /// It came in time.
+    /// The answer was in time.
     InTime,
-    /// Its caller had come back.
+    /// The caller was returning after a refusal or failure.
     CameBack,
-    /// It was sent to more than one backend server.
+    /// The request was sent to more than one backend server.
     SentAgain,
-    /// It would have begun in time, had it not waited for a place.
+    /// The answer would have begun in time without the wait for a place.
     Waited,
-    /// It was sent at once, and began late.
+    /// The answer began late even without the time before the first send.
     BeganLate,
-    /// It paused for too long.
+    /// A gap in the answer was too long.
     Paused,
 }
 
 impl Timeliness {
-    /// Judges an answer.
+    /// Classifies an answer.
     pub fn of(served: &Served, goal: Goal) -> Timeliness {
-        let begins_late = served.first_after_ms > goal.first_ms;
-        let pauses = goal.gap_ms.is_some_and(|gap_ms| served.longest_gap_ms > gap_ms);
-        let at_the_server_ms = served.first_after_ms.saturating_sub(served.sent_after_ms);
-        match (begins_late, pauses) {
+        let is_late = served.first_after_ms > goal.first_ms;
+        let has_long_gap = goal.gap_ms.is_some_and(|gap_ms| served.longest_gap_ms > gap_ms);
+        let server_ms = served.first_after_ms.saturating_sub(served.sent_after_ms);
+        match (is_late, has_long_gap) {
             _ if served.came_back => Timeliness::CameBack,
             (false, false) => Timeliness::InTime,
             _ if served.sends > 1 => Timeliness::SentAgain,
-            (true, _) if at_the_server_ms <= goal.first_ms => Timeliness::Waited,
+            (true, _) if server_ms <= goal.first_ms => Timeliness::Waited,
             (true, _) => Timeliness::BeganLate,
             (false, true) => Timeliness::Paused,
         }
     }
 
-    /// What the log says of it.
+    /// Returns the outcome for the log.
     pub fn outcome(self) -> &'static str {
         match self {
             Timeliness::InTime => "served",
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The name of its counter.
+    /// Returns the name of the counter for this outcome.
     pub fn counter(self) -> &'static str {
         match self {
             Timeliness::InTime => "served_in_time",
