--- a/crates/oliveworks-gateway-core/src/demand.rs
+++ b/crates/oliveworks-gateway-core/src/demand.rs
@@ -43,19 +43,19 @@
 
 /// Half-life of the weight of a request, in ms: long enough to hold some tens of requests at a
 /// hundred per second, and short compared with the 1.6 s in which a replica group is formed.
-const HALF_MS: f64 = 1_000.0;
+const HALF_LIFE_MS: f64 = 1_000.0;
 /// Maximum age of another gateway's figures, in ms.
-const PEER_MS: u64 = 1_500;
+const PEER_STALE_MS: u64 = 1_500;
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Fading {
+struct DecayingCount {
     looked: Looked,
     at: Millis,
 }
 
-impl Fading {
+impl DecayingCount {
     fn now(&self, now: Millis) -> Looked {
-        let left = 0.5f64.powf(now.saturating_sub(self.at) as f64 / HALF_MS);
+        let left = 0.5f64.powf(now.saturating_sub(self.at) as f64 / HALF_LIFE_MS);
         Looked { all: self.looked.all * left, refused: self.looked.refused * left }
     }
 }
@@ -63,7 +63,7 @@
 /// Demand for models as known to this gateway.
 #[derive(Clone, Debug, Default)]
 pub struct Demand {
-    own: HashMap<ModelKey, Fading>,
+    own: HashMap<ModelKey, DecayingCount>,
     peers: HashMap<Source, (Millis, HashMap<ModelKey, Looked>)>,
 }
 
@@ -71,16 +71,16 @@
     /// Records that a request at this gateway looked for a slot. `refused` is whether it found
     /// none.
     pub fn looked(&mut self, now: Millis, model: ModelKey, refused: bool) {
-        let fading = self.own.entry(model).or_default();
-        let mut looked = fading.now(now);
+        let decaying = self.own.entry(model).or_default();
+        let mut looked = decaying.now(now);
         looked.all += 1.0;
         looked.refused += f64::from(u8::from(refused));
-        *fading = Fading { looked, at: now };
+        *decaying = DecayingCount { looked, at: now };
     }
 
     /// Returns the demand that this gateway observed.
     pub fn own(&self, now: Millis) -> impl Iterator<Item = (ModelKey, Looked)> {
-        self.own.iter().map(move |(model, fading)| (*model, fading.now(now)))
+        self.own.iter().map(move |(model, decaying)| (*model, decaying.now(now)))
     }
 
     /// Records the demand that another gateway, or the gateways of another failure domain,
@@ -92,8 +92,8 @@
     /// Returns the demand that the gateways of this failure domain observed.
     pub fn of_domain(&self, now: Millis) -> HashMap<ModelKey, Looked> {
         let mut sum: HashMap<ModelKey, Looked> = self.own(now).collect();
-        let near = self.peers.iter().filter(|(source, _)| source.is_near());
-        for (_, (_, looked)) in near.filter(|(_, (at, _))| now < at + PEER_MS) {
+        let local = self.peers.iter().filter(|(source, _)| source.is_near());
+        for (_, (_, looked)) in local.filter(|(_, (at, _))| now < at + PEER_STALE_MS) {
             for (model, looked) in looked {
                 sum.entry(*model).or_default().add(*looked);
             }
@@ -101,13 +101,13 @@
         sum
     }
 
-    fn own_looked(&self, now: Millis, model: ModelKey) -> Looked {
-        self.own.get(&model).map(|fading| fading.now(now)).unwrap_or_default()
+    fn own_demand(&self, now: Millis, model: ModelKey) -> Looked {
+        self.own.get(&model).map(|decaying| decaying.now(now)).unwrap_or_default()
     }
 
-    fn looked_everywhere(&self, now: Millis, model: ModelKey) -> Looked {
-        let mut sum = self.own_looked(now, model);
-        for (_, looked) in self.peers.values().filter(|(at, _)| now < at + PEER_MS) {
+    fn total_demand(&self, now: Millis, model: ModelKey) -> Looked {
+        let mut sum = self.own_demand(now, model);
+        for (_, looked) in self.peers.values().filter(|(at, _)| now < at + PEER_STALE_MS) {
             sum.add(looked.get(&model).copied().unwrap_or_default());
         }
         sum
@@ -116,16 +116,16 @@
     /// Returns the fraction of a model's recent requests that found no slot, from 0 to 1; 0 without
     /// requests.
     pub fn refused_part(&self, now: Millis, model: ModelKey) -> f64 {
-        let sum = self.looked_everywhere(now, model);
+        let sum = self.total_demand(now, model);
         if sum.all > 0.0 { sum.refused / sum.all } else { 0.0 }
     }
 
     /// Returns this gateway's fraction of a model's recent requests, of all and of those in its
     /// failure domain.
     pub fn callers_part(&self, now: Millis, model: ModelKey) -> CallersPart {
-        let own = self.own_looked(now, model).all;
-        let everywhere = self.looked_everywhere(now, model);
-        let all = everywhere.all;
+        let own = self.own_demand(now, model).all;
+        let total = self.total_demand(now, model);
+        let all = total.all;
         let domain = self.of_domain(now).get(&model).map_or(0.0, |looked| looked.all);
         // A gateway that knows of no requests may be the only one that gets some.
         let part = |of: f64, whole: f64| if whole > 0.0 { of / whole } else { 1.0 };
@@ -133,12 +133,12 @@
             of_all: part(own, all),
             of_domain: part(own, domain),
             domain: Some(part(domain, all)),
-            refused: if all > 0.0 { everywhere.refused / all } else { 0.0 },
+            refused: if all > 0.0 { total.refused / all } else { 0.0 },
         }
     }
 
     /// Removes the figures of other gateways that are too old.
     pub fn retain(&mut self, now: Millis) {
-        self.peers.retain(|_, (at, _)| now < *at + PEER_MS);
+        self.peers.retain(|_, (at, _)| now < *at + PEER_STALE_MS);
     }
 }
--- a/crates/oliveworks-gateway-core/src/planner.rs
+++ b/crates/oliveworks-gateway-core/src/planner.rs
@@ -69,40 +69,40 @@
 use host::Host;
 pub use order::{Command, ModelLoad, Order, Outcome, PlannerConfig, Serving};
 use outage::Outages;
-use parts::Parts;
+use parts::ShareAdjuster;
 use pressure::Demand;
 pub use waiting::WaitingHosts;
 use waiting::Waits;
 
 /// Number of epochs per fence: epochs of one leader are above `fence * EPOCHS_OF_FENCE`.
-const EPOCHS_OF_FENCE: u64 = 1_000_000;
+const EPOCHS_PER_FENCE: u64 = 1_000_000;
 /// Maximum number of ended groups that are reported to other gateways, the newest ones.
-const ENDED_TOLD: usize = 64;
+const ENDED_REPORTED_MAX: usize = 64;
 /// Maximum percentage of all hosts that is excluded for being slow. Slow groups are better than
 /// none.
 const SLOW_PERCENT_MAX: usize = 30;
 /// Time for which the capacities of the domains must have been unchanged before groups are
 /// preempted, in ms.
-const CALM_MS: u64 = 400;
+const QUOTAS_STABLE_MS: u64 = 400;
 /// Maximum number of loads that may begin at once.
 const LOAD_BURST: f64 = 2.0;
 /// Fraction of the weight store's rate that is used. The rest is left for orders that are carried
 /// out late.
-const LOAD_RATE: f64 = 0.75;
+const LOAD_RATE_FRACTION: f64 = 0.75;
 /// Number of loads that are ordered before traffic in addition to those that run at full speed, so
 /// that no host idles until it receives its order.
-const LOADS_BEYOND: u32 = 5;
+const EXTRA_LOADS_BEFORE_TRAFFIC: u32 = 5;
 
 /// Plans the replica groups of one service, on the gateway that leads.
 #[derive(Clone, Debug)]
 pub struct Planner {
     config: PlannerConfig,
     /// Engine as it is configured.
-    configured: Engine,
+    configured_engine: Engine,
     /// Engine whose model shares are the current target shares of the hosts.
     engine: Engine,
     /// Recent demand, from which the target shares are computed.
-    parts: Parts,
+    share_adjuster: ShareAdjuster,
     fence: u64,
     epochs: u64,
     hosts: BTreeMap<BackendServerId, Host>,
@@ -127,9 +127,9 @@
     rooms: BTreeMap<String, Room>,
     quotas: Quotas,
     /// Quotas of each domain when it last had its largest number of hosts.
-    quotas_when_whole: Quotas,
+    quotas_at_full_strength: Quotas,
     /// Time at which the quotas last changed.
-    quotas_at: Millis,
+    quotas_changed_at: Millis,
     /// Number of failure domains that may be lost at once.
     tolerance: usize,
     /// Whether requests have been served. From then on loads are slow and limited.
@@ -141,9 +141,9 @@
     pub fn new(config: PlannerConfig, engine: Engine, fence: u64, now: Millis) -> Planner {
         Planner {
             config,
-            configured: engine.clone(),
+            configured_engine: engine.clone(),
             engine,
-            parts: Parts::new(now),
+            share_adjuster: ShareAdjuster::new(now),
             fence,
             epochs: 0,
             hosts: BTreeMap::new(),
@@ -159,8 +159,8 @@
             demand: BTreeMap::new(),
             rooms: BTreeMap::new(),
             quotas: Quotas::new(),
-            quotas_when_whole: Quotas::new(),
-            quotas_at: now,
+            quotas_at_full_strength: Quotas::new(),
+            quotas_changed_at: now,
             tolerance: 0,
             traffic: true,
         }
@@ -191,7 +191,7 @@
         let ending =
             groups.filter(|group| matches!(group.phase, Phase::Breaking | Phase::Finishing));
         let hosts = ending.flat_map(|group| &group.members).filter_map(|id| self.hosts.get(id));
-        hosts.filter(|host| host.is_fit() && host.server.domain == domain).count()
+        hosts.filter(|host| host.is_eligible() && host.server.domain == domain).count()
     }
 
     /// Sets whether requests have been served.
@@ -205,11 +205,11 @@
         growth.is_none_or(|growth| growth.is_settled(now, self.config.settle_ms))
     }
 
-    /// Whether a domain with `living` eligible hosts is returning from an outage and more of its
+    /// Whether a domain with `eligible` eligible hosts is returning from an outage and more of its
     /// hosts are still to be listed.
-    fn is_returning(&self, now: Millis, domain: &str, living: usize) -> bool {
+    fn is_returning(&self, now: Millis, domain: &str, eligible: usize) -> bool {
         let most = self.most_hosts.get(domain).copied().unwrap_or_default();
-        living < most && self.growth.get(domain).is_some_and(|growth| growth.is_return(now))
+        eligible < most && self.growth.get(domain).is_some_and(|growth| growth.is_return(now))
     }
 
     /// Returns the fence under which orders are sent.
@@ -219,8 +219,8 @@
 
     /// Applies the engine settings of a newer configuration.
     pub fn set_engine(&mut self, engine: &Engine) {
-        if self.configured != *engine {
-            self.configured = engine.clone();
+        if self.configured_engine != *engine {
+            self.configured_engine = engine.clone();
             self.engine = engine.clone();
             self.rooms.clear();
         }
@@ -231,29 +231,30 @@
         let rooms = domain::rooms(now, self);
         if rooms != self.rooms {
             self.quotas = quota::spread_out(&self.engine.models, &rooms, &self.spread());
-            self.quotas_at = now;
+            self.quotas_changed_at = now;
             self.rooms = rooms;
         }
-        self.follow_callers(now);
-        self.keep_quotas_of_whole_domains(now);
+        self.adjust_shares(now);
+        self.record_full_strength_quotas(now);
     }
 
     /// Records the quotas of each domain while it has its largest number of hosts.
-    fn keep_quotas_of_whole_domains(&mut self, now: Millis) {
+    fn record_full_strength_quotas(&mut self, now: Millis) {
         for (domain, groups) in &self.quotas {
             let room = self.rooms.get(domain).map_or(0, |room| room.hosts + room.spares);
             let most = self.most_hosts.get(domain).copied().unwrap_or_default();
             // The quotas of a returning domain are planned as if it were complete.
             let returns = self.growth.get(domain).is_some_and(|growth| growth.is_return(now));
-            if room >= most && !returns && self.quotas_when_whole.get(domain) != Some(groups) {
-                self.quotas_when_whole.insert(domain.clone(), groups.clone());
+            if room >= most && !returns && self.quotas_at_full_strength.get(domain) != Some(groups)
+            {
+                self.quotas_at_full_strength.insert(domain.clone(), groups.clone());
             }
         }
     }
 
     /// Returns the newest epochs of groups that have certainly ended.
     pub fn ended(&self) -> impl Iterator<Item = u64> {
-        self.ended.iter().rev().take(ENDED_TOLD).copied()
+        self.ended.iter().rev().take(ENDED_REPORTED_MAX).copied()
     }
 
     /// Adds the epochs of ended groups that an earlier leader recorded.
@@ -280,12 +281,12 @@
         let known = self.hosts.get(&server.id).map(Host::born);
         match self.hosts.get_mut(&server.id) {
             Some(_) if known.is_some_and(|known| server.holding.is_of_later_life(known)) => {
-                self.starts_anew(now, server);
+                self.handle_restart(now, server);
             }
-            Some(host) => host.listed(now, server),
+            Some(host) => host.update_record(now, server),
             None => {
                 self.hosts.insert(server.id.clone(), Host::new(now, server));
-                grow(&mut self.growth, now, &server.domain);
+                record_arrival(&mut self.growth, now, &server.domain);
             }
         }
     }
@@ -296,18 +297,18 @@
         if let Some(server) = host.map(|host| host.server.clone()) {
             let holding = holding.clone();
             let server = BackendServer { draining: false, number: None, holding, ..server };
-            self.starts_anew(now, &server);
+            self.handle_restart(now, &server);
         }
         let may_be_slow = self.may_be_slow();
         if let Some(host) = self.hosts.get_mut(id) {
             if host.is_lost() {
-                grow(&mut self.growth, now, &host.server.domain);
+                record_arrival(&mut self.growth, now, &host.server.domain);
             }
-            host.answers();
+            host.mark_answering();
             if let Some(pace) = holding.pace {
-                host.paced(pace, may_be_slow);
+                host.update_pace(pace, may_be_slow);
             }
-            host.reported(now, self.engine.report_lag_ms, holding);
+            host.handle_probe_answer(now, self.engine.report_lag_ms, holding);
         }
     }
 
@@ -315,9 +316,9 @@
     /// listens there.
     pub fn silent(&mut self, now: Millis, id: &str, refused: bool) {
         let Some(host) = self.hosts.get_mut(id) else { return };
-        let stood_still = host.suspected && !host.is_lost();
-        host.silent(now, refused);
-        if stood_still {
+        let was_suspected = host.suspected && !host.is_lost();
+        host.record_silence(now, refused);
+        if was_suspected {
             self.outages.add(now, &host.server.domain);
         }
     }
@@ -325,13 +326,14 @@
     /// Handles the outcome of an order.
     pub fn ordered(&mut self, now: Millis, id: &str, order: &Order, outcome: Outcome) {
         let Some(host) = self.hosts.get_mut(id) else { return };
-        host.answered(now, order, outcome);
+        host.apply_outcome(now, order, outcome);
     }
 
     /// Returns the groups that serve. Groups with a lost, leaving or drained member are left out.
     pub fn serving(&self, now: Millis) -> Vec<Serving> {
         let open = self.groups.values().filter(|group| group.serves(now));
-        let whole = open.filter(|group| !self.is_hurt(group) && !self.is_drained(group));
+        let whole =
+            open.filter(|group| !self.has_unavailable_member(group) && !self.is_drained(group));
         whole
             .map(|group| Serving {
                 epoch: group.epoch,
@@ -344,18 +346,18 @@
     }
 
     /// Whether a member of a group is lost or leaving.
-    fn is_hurt(&self, group: &Group) -> bool {
-        group.members.iter().any(|id| self.hosts.get(id).is_none_or(|host| !host.stays()))
+    fn has_unavailable_member(&self, group: &Group) -> bool {
+        group.members.iter().any(|id| self.hosts.get(id).is_none_or(|host| !host.is_available()))
     }
 
     /// Whether a group has slow members and its domain has enough others to replace them. Without
     /// replacements the group continues to serve slowly.
-    fn can_shed_slow(&self, group: &Group) -> bool {
+    fn can_replace_slow_members(&self, group: &Group) -> bool {
         let members = group.members.iter().filter_map(|id| self.hosts.get(id));
         let slow: Vec<&Host> = members.filter(|host| host.is_slow()).collect();
         let Some(first) = slow.first() else { return false };
         let here = self.hosts.values().filter(|host| host.server.domain == first.server.domain);
-        let able = here.filter(|host| host.is_fit() && host.has(&group.model));
+        let able = here.filter(|host| host.is_eligible() && host.has_copy(&group.model));
         let spare =
             able.filter(|host| match host.group.and_then(|epoch| self.groups.get(&epoch)) {
                 Some(group) => group.phase == Phase::Spare,
@@ -375,14 +377,14 @@
         let Some(group) = self.groups.get(&epoch) else { return };
         for member in &group.members {
             if let Some(host) = self.hosts.get_mut(member) {
-                host.slows(now);
+                host.request_slow_probe(now);
             }
         }
     }
 
     /// Whether one more host may be excluded for being slow.
     fn may_be_slow(&self) -> bool {
-        let staying = self.hosts.values().filter(|host| host.stays());
+        let staying = self.hosts.values().filter(|host| host.is_available());
         let slow = staying.clone().filter(|host| host.is_slow()).count();
         (slow + 1) * 100 <= staying.count() * SLOW_PERCENT_MAX
     }
@@ -395,28 +397,28 @@
         for epoch in epochs {
             self.advance(now, epoch, &mut commands);
         }
-        self.show_fence(now, &mut commands);
-        self.free_strays(now, &mut commands);
-        self.forget_hosts();
-        self.count_hosts();
+        self.announce_fence(now, &mut commands);
+        self.release_stray_members(now, &mut commands);
+        self.remove_unlisted_hosts();
+        self.update_most_hosts();
         self.update_quotas(now);
         for group in allot::allot(now, self) {
-            let epoch = self.found(now, group);
+            let epoch = self.create_group(now, group);
             self.advance(now, epoch, &mut commands);
         }
         // A domain that loses its power or network loses one host after the other. Groups in other
         // domains are not preempted for quotas that are computed midway.
-        let calm = now >= self.quotas_at + CALM_MS;
-        if let Some(plan) = yielding::yielding(now, self).filter(|_| calm) {
+        let quotas_stable = now >= self.quotas_changed_at + QUOTAS_STABLE_MS;
+        if let Some(plan) = yielding::find_preemption(now, self).filter(|_| quotas_stable) {
             for epoch in plan.epochs {
                 self.set_phase(now, epoch, Phase::Finishing);
                 if let Some(group) = self.groups.get_mut(&epoch) {
-                    group.yields_to = Some(plan.model.clone());
+                    group.preempted_for = Some(plan.model.clone());
                 }
             }
         }
         self.stage(now, &mut commands);
-        self.ask_dark_domains(now);
+        self.probe_silent_domains(now);
         self.probe(now, &mut commands);
         commands
     }
@@ -427,18 +429,18 @@
         if !self.traffic {
             // Before traffic, loads are short and do not count against the rate. Only the number of
             // concurrent loads matters.
-            let most = self.engine.loads_at_once + LOADS_BEYOND;
+            let most = self.engine.loads_at_once + EXTRA_LOADS_BEFORE_TRAFFIC;
             self.load_tokens = f64::from(most) - self.loading() as f64;
             return;
         }
-        let rate = self.engine.loads_per_s * LOAD_RATE;
+        let rate = self.engine.loads_per_s * LOAD_RATE_FRACTION;
         self.load_tokens = (self.load_tokens + passed * rate).min(LOAD_BURST);
     }
 
     /// Creates a new group and returns its epoch.
-    fn found(&mut self, now: Millis, plan: allot::NewGroup) -> u64 {
+    fn create_group(&mut self, now: Millis, plan: allot::NewGroup) -> u64 {
         self.epochs += 1;
-        let epoch = self.fence * EPOCHS_OF_FENCE + self.epochs;
+        let epoch = self.fence * EPOCHS_PER_FENCE + self.epochs;
         for member in &plan.members {
             let Some(host) = self.hosts.get_mut(member) else { continue };
             host.joined = None;
@@ -465,7 +467,7 @@
             phase,
             since: now,
             adopted: false,
-            yields_to: None,
+            preempted_for: None,
         };
         self.groups.insert(epoch, group);
         epoch
@@ -477,8 +479,9 @@
 
     /// Makes this leader's fence known to every host to which an earlier leader may still send
     /// orders. The order changes nothing: it stages a model that the host already has in memory.
-    fn show_fence(&mut self, now: Millis, commands: &mut Vec<Command>) {
-        for host in self.hosts.values_mut().filter(|host| !host.knows_fence && host.stays()) {
+    fn announce_fence(&mut self, now: Millis, commands: &mut Vec<Command>) {
+        for host in self.hosts.values_mut().filter(|host| !host.knows_fence && host.is_available())
+        {
             let Some(model) = host.holding.staging.first().cloned() else { continue };
             if host.may_order(now) {
                 commands.push(host.order(now, Order::Stage { model }));
@@ -491,9 +494,9 @@
     /// Every member is ordered to leave by itself, whatever happens to its head. The head may still
     /// serve unobserved or open late, but then without this member. Rejected: waiting until the
     /// head has left, because a late join and a late order to open can undo that.
-    fn free_strays(&mut self, now: Millis, commands: &mut Vec<Command>) {
+    fn release_stray_members(&mut self, now: Millis, commands: &mut Vec<Command>) {
         for host in self.hosts.values_mut() {
-            let Some(member) = host.stray(&self.ended) else { continue };
+            let Some(member) = host.stray_membership(&self.ended) else { continue };
             if host.may_order(now) {
                 let order = Order::Leave { group: member.name, epoch: member.epoch };
                 commands.push(host.order(now, order));
@@ -503,7 +506,7 @@
 
     /// Orders hosts to stage models, with the loads that the joins of this tick left over.
     fn stage(&mut self, now: Millis, commands: &mut Vec<Command>) {
-        if self.waits_for_joins() || self.is_starting() {
+        if self.has_outstanding_joins() || self.is_starting() {
             return;
         }
         let most = self.engine.loads_at_once as usize * self.config.staging_percent / 100;
@@ -529,7 +532,7 @@
     }
 
     /// Whether members of new groups have not accepted the order to join yet.
-    fn waits_for_joins(&self) -> bool {
+    fn has_outstanding_joins(&self) -> bool {
         self.groups.values().any(|group| {
             let unjoined = |id: &BackendServerId| {
                 self.hosts.get(id).is_some_and(|host| host.joined != Some(group.epoch))
@@ -543,23 +546,23 @@
     /// hosts were still loading when traffic began, and 0.50 instead of 0.82 of the requests were
     /// served.
     fn is_starting(&self) -> bool {
-        let fit = || self.hosts.values().filter(|host| host.is_fit());
+        let fit = || self.hosts.values().filter(|host| host.is_eligible());
         let joins = |group: &Group| group.phase == Phase::Joining;
         !self.traffic && (fit().any(|host| !host.held_any()) || self.groups.values().any(joins))
     }
 
     /// Returns the number of hosts that load a model.
     fn loading(&self) -> usize {
-        self.hosts.values().filter(|host| host.stays() && host.is_loading()).count()
+        self.hosts.values().filter(|host| host.is_available() && host.is_loading()).count()
     }
 
-    fn forget_hosts(&mut self) {
+    fn remove_unlisted_hosts(&mut self) {
         self.hosts.retain(|_, host| host.group.is_some() || !host.unlisted);
     }
 
-    fn count_hosts(&mut self) {
+    fn update_most_hosts(&mut self) {
         let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
-        for host in self.hosts.values().filter(|host| host.stays()) {
+        for host in self.hosts.values().filter(|host| host.is_available()) {
             *counts.entry(&host.server.domain).or_default() += 1;
         }
         for (domain, count) in counts {
@@ -583,6 +586,6 @@
 }
 
 /// Records that one more host of a domain is listed, or answers again.
-fn grow(growth: &mut BTreeMap<String, Growth>, now: Millis, domain: &str) {
+fn record_arrival(growth: &mut BTreeMap<String, Growth>, now: Millis, domain: &str) {
     growth.entry(domain.to_owned()).or_insert_with(|| Growth::new(now)).add(now);
 }
--- a/crates/oliveworks-gateway-core/src/planner/adopt.rs
+++ b/crates/oliveworks-gateway-core/src/planner/adopt.rs
@@ -56,7 +56,7 @@
         };
         for member in &members {
             if let Some(host) = self.hosts.get_mut(member) {
-                host.adopted(epoch);
+                host.adopt_into(epoch);
             }
         }
         let name = name.clone();
@@ -68,7 +68,7 @@
             phase,
             since: now,
             adopted: true,
-            yields_to: None,
+            preempted_for: None,
         };
         self.groups.insert(epoch, group);
     }
--- a/crates/oliveworks-gateway-core/src/planner/advance.rs
+++ b/crates/oliveworks-gateway-core/src/planner/advance.rs
@@ -48,7 +48,7 @@
             self.dissolve(now, group.epoch, EndReason::NeverOpened);
             return;
         }
-        if self.is_hurt(group) {
+        if self.has_unavailable_member(group) {
             match group.adopted {
                 // An earlier leader may have ordered the head to open.
                 true => self.set_phase(now, group.epoch, Phase::Breaking),
@@ -75,14 +75,14 @@
                 host.wants_probe |= host.may_order(now);
                 continue;
             }
-            if let Some(old) = host.belongs_elsewhere(group.epoch, &self.ended) {
+            if let Some(old) = host.order_to_leave_other_group(group.epoch, &self.ended) {
                 // A late order has returned the host to its old group, whose head may serve.
                 if host.may_order(now) {
                     commands.push(host.order(now, old));
                 }
                 continue;
             }
-            let load = !host.has(&model.name);
+            let load = !host.has_copy(&model.name);
             if !host.may_order(now) || (load && self.load_tokens < 1.0) {
                 continue;
             }
@@ -105,7 +105,7 @@
     }
 
     fn advance_opening(&mut self, now: Millis, group: &Group, commands: &mut Vec<Command>) {
-        if self.is_hurt(group) {
+        if self.has_unavailable_member(group) {
             self.set_phase(now, group.epoch, Phase::Breaking);
             return;
         }
@@ -127,10 +127,10 @@
         let mut leaving = false;
         // A slow member slows the whole group: its streams resume on another group sooner than they
         // would finish here.
-        broken |= self.can_shed_slow(group);
+        broken |= self.can_replace_slow_members(group);
         for host in hosts {
-            broken |= host.is_lost() || host.is_astray(group.epoch);
-            leaving |= !host.is_lost() && !host.stays();
+            broken |= host.is_lost() || host.is_in_later_group(group.epoch);
+            leaving |= !host.is_lost() && !host.is_available();
         }
         if broken {
             self.set_phase(now, group.epoch, Phase::Breaking);
@@ -162,8 +162,8 @@
             }
             return;
         }
-        if head.heard_at > head.closed_at && head.is_ready_in(&group.name, group.epoch) {
-            self.end_of(now, group, EndReason::HeadClosed);
+        if head.reported_at > head.closed_at && head.is_ready_in(&group.name, group.epoch) {
+            self.end_group(now, group, EndReason::HeadClosed);
             return;
         }
         head.wants_probe |= now >= head.probed_at + host::PROBE_EVERY_MS;
@@ -177,10 +177,10 @@
         let ended = [
             (head.left == Some(group.epoch), EndReason::HeadLeft),
             (head.replaced, EndReason::HeadReplaced),
-            (head.is_outside(group.epoch), EndReason::HeadOutside),
+            (head.denies_membership(group.epoch), EndReason::HeadOutside),
         ];
         if let Some((_, reason)) = ended.into_iter().find(|(is_so, _)| *is_so) {
-            self.end_of(now, group, reason);
+            self.end_group(now, group, reason);
             return;
         }
         if head.is_lost() {
@@ -194,7 +194,7 @@
     }
 
     fn advance_spare(&mut self, now: Millis, group: &Group) {
-        if self.is_hurt(group) {
+        if self.has_unavailable_member(group) {
             self.dissolve(now, group.epoch, EndReason::NeverOpened);
         }
     }
--- a/crates/oliveworks-gateway-core/src/planner/allot.rs
+++ b/crates/oliveworks-gateway-core/src/planner/allot.rs
@@ -37,7 +37,7 @@
     let listing = !planner.traffic && domains.values().any(|domain| !domain.steady);
     let mut plans = form(planner, &mut domains, listing);
     if plans.is_empty()
-        && let Some(plan) = give_up_loads(now, planner, &domains)
+        && let Some(plan) = abandon_loads(now, planner, &domains)
     {
         for domain in domains.values_mut() {
             domain.free.retain(|host| !plan.members.contains(&host.server.id));
@@ -63,14 +63,14 @@
     let largest = planner.engine.models.iter().map(|model| model.size).max();
     let mut open: Vec<&Model> = planner.engine.models.iter().collect();
     open.retain(|model| !listing || Some(model.size) == largest);
-    while let Some(model) = neediest(&open, domains) {
+    while let Some(model) = most_underserved(&open, domains) {
         let mut names: Vec<&str> = domains.keys().copied().collect();
-        names.retain(|name| !listing || domains[name].count(model) == 0);
-        names.sort_by_key(|name| domains[name].count(model));
+        names.retain(|name| !listing || domains[name].group_count(model) == 0);
+        names.sort_by_key(|name| domains[name].group_count(model));
         let short = Shortage::of(planner, domains);
         let formed = names.into_iter().find_map(|name| {
             let domain = domains.get_mut(name)?;
-            let hosts = take(&short, domain, model)?;
+            let hosts = claim_hosts(&short, domain, model)?;
             *domain.groups.entry(&model.name).or_default() += 1;
             Some(hosts)
         });
@@ -84,7 +84,7 @@
 
 /// Returns a group for which some hosts abandon their loads of another model, if the group serves
 /// much sooner than the loads would end.
-fn give_up_loads(
+fn abandon_loads(
     now: Millis,
     planner: &Planner,
     domains: &BTreeMap<&str, Domain<'_>>,
@@ -98,32 +98,41 @@
     models.sort_by(|a, b| short.pressure(b).total_cmp(&short.pressure(a)));
     let of = |name: &str| -> &[Loader<'_>] { loaders.get(name).map_or(&[], Vec::as_slice) };
     models.into_iter().find_map(|model| {
-        let mut given_up = domains
-            .values()
-            .filter_map(|domain| sooner::given_up(&short, domain, of(domain.name), model));
-        given_up.next().map(|hosts| new_group(model, &hosts))
+        let mut hosts_abandoning_loads = domains.values().filter_map(|domain| {
+            sooner::hosts_abandoning_loads(&short, domain, of(domain.name), model)
+        });
+        hosts_abandoning_loads.next().map(|hosts| new_group(model, &hosts))
     })
 }
 
 /// Returns the number of hosts of a model relative to its share.
-pub(super) fn need(model: &Model, domains: &BTreeMap<&str, Domain<'_>>) -> f64 {
-    let groups: usize = domains.values().map(|domain| domain.count(model)).sum();
+pub(super) fn hosts_per_share(model: &Model, domains: &BTreeMap<&str, Domain<'_>>) -> f64 {
+    let groups: usize = domains.values().map(|domain| domain.group_count(model)).sum();
     per_weight(groups * model.size, model)
 }
 
-fn neediest<'a>(open: &[&'a Model], domains: &BTreeMap<&str, Domain<'_>>) -> Option<&'a Model> {
-    open.iter().copied().min_by(|a, b| need(a, domains).total_cmp(&need(b, domains)))
+fn most_underserved<'a>(
+    open: &[&'a Model],
+    domains: &BTreeMap<&str, Domain<'_>>,
+) -> Option<&'a Model> {
+    open.iter()
+        .copied()
+        .min_by(|a, b| hosts_per_share(a, domains).total_cmp(&hosts_per_share(b, domains)))
 }
 
 /// Claims the free hosts of a domain that can serve the model soonest, if the domain should have
 /// another group of it.
-fn take<'a>(short: &Shortage<'a>, domain: &mut Domain<'a>, model: &Model) -> Option<Vec<&'a Host>> {
+fn claim_hosts<'a>(
+    short: &Shortage<'a>,
+    domain: &mut Domain<'a>,
+    model: &Model,
+) -> Option<Vec<&'a Host>> {
     let planner = short.planner;
-    if domain.kept_for.is_some_and(|kept| kept != model.name) {
+    if domain.reserved_for.is_some_and(|kept| kept != model.name) {
         return None;
     }
     let mut order: Vec<&Host> = domain.free.clone();
-    order.retain(|host| !short.is_kept(domain, host, model));
+    order.retain(|host| !short.is_reserved(domain, host, model));
     order.sort_by_key(|host| warmth(host, model));
     order.truncate(model.size);
     if order.len() < model.size {
@@ -131,7 +140,7 @@
     }
     let coldest = order.iter().map(|host| warmth(host, model)).max()?;
     let warmest = order.iter().map(|host| warmth(host, model)).min()?;
-    let lacks = domain.lacks(planner, model) > 0;
+    let lacks = domain.missing_groups(planner, model) > 0;
     let may = match coldest {
         Warmth::Hot => lacks || planner.is_busy(model),
         // Hosts that would wait for others serve a crowded model in the meantime. Their group is
@@ -139,17 +148,17 @@
         Warmth::Staged => {
             lacks
                 || (planner.config.waiting_serve
-                    && (short.comes_first(domain, model)
+                    && (short.takes_precedence(domain, model)
                         || sooner::serves_first(short, domain, model)))
         }
         // Hosts that hold the model do not wait for a host that must load it. That host loads it as
         // a spare.
         Warmth::Cold => {
             let unused =
-                |host: &&Host| is_unused(planner, host) || warmth(host, model) < Warmth::Cold;
+                |host: &&Host| holds_no_model(planner, host) || warmth(host, model) < Warmth::Cold;
             lacks
                 && warmest == Warmth::Cold
-                && domain.steady_or_listing(planner)
+                && domain.may_assign_cold(planner)
                 && order.iter().all(unused)
         }
     };
@@ -163,12 +172,12 @@
 impl Domain<'_> {
     /// Whether cold hosts may be assigned. During traffic they may be only once no new hosts
     /// arrive.
-    fn steady_or_listing(&self, planner: &Planner) -> bool {
+    fn may_assign_cold(&self, planner: &Planner) -> bool {
         self.steady || !planner.traffic
     }
 }
 
 /// Whether a host has no model at all.
-fn is_unused(planner: &Planner, host: &Host) -> bool {
-    !planner.engine.models.iter().any(|model| host.has(&model.name))
+fn holds_no_model(planner: &Planner, host: &Host) -> bool {
+    !planner.engine.models.iter().any(|model| host.has_copy(&model.name))
 }
--- a/crates/oliveworks-gateway-core/src/planner/anew.rs
+++ b/crates/oliveworks-gateway-core/src/planner/anew.rs
@@ -10,24 +10,24 @@
 
 use super::ending::EndReason;
 use super::group::{Group, Phase};
-use super::{Planner, grow};
+use super::{Planner, record_arrival};
 use crate::Millis;
 use crate::backend_servers::BackendServer;
 
 impl Planner {
     /// Handles the restart of a host. `server` is the state of its new incarnation.
-    pub(super) fn starts_anew(&mut self, now: Millis, server: &BackendServer) {
+    pub(super) fn handle_restart(&mut self, now: Millis, server: &BackendServer) {
         let Some(host) = self.hosts.get_mut(&server.id) else { return };
-        host.starts_anew(now, server);
+        host.reset(now, server);
         let group = host.group;
-        grow(&mut self.growth, now, &server.domain);
+        record_arrival(&mut self.growth, now, &server.domain);
         let group = group.and_then(|epoch| self.groups.get(&epoch)).cloned();
         if let Some(group) = group {
-            self.lost_a_member(now, &group, server);
+            self.handle_member_restart(now, &group, server);
         }
     }
 
-    fn lost_a_member(&mut self, now: Millis, group: &Group, server: &BackendServer) {
+    fn handle_member_restart(&mut self, now: Millis, group: &Group, server: &BackendServer) {
         let opened = match group.phase {
             // An earlier leader may have ordered the head to open.
             Phase::Joining => group.adopted,
@@ -37,7 +37,7 @@
         match opened {
             false => self.dissolve(now, group.epoch, EndReason::StartedAgain),
             true if group.members[0] == server.id => {
-                self.end_of(now, group, EndReason::StartedAgain);
+                self.end_group(now, group, EndReason::StartedAgain);
             }
             true => self.set_phase(now, group.epoch, Phase::Breaking),
         }
--- a/crates/oliveworks-gateway-core/src/planner/describe.rs
+++ b/crates/oliveworks-gateway-core/src/planner/describe.rs
@@ -24,8 +24,10 @@
                     format!("drained:{}:{}", group.model, group.phase.name())
                 }
                 None if host.drained => "drained:free".to_owned(),
-                Some(group) => format!("{}:{}{}", group.model, group.phase.name(), host.beside()),
-                None => format!("free:{}{}", host.last_model(), host.beside()),
+                Some(group) => {
+                    format!("{}:{}{}", group.model, group.phase.name(), host.describe_staged())
+                }
+                None => format!("free:{}{}", host.last_model(), host.describe_staged()),
             };
             *domains.entry(&host.server.domain).or_default().entry(what).or_default() += 1;
         }
--- a/crates/oliveworks-gateway-core/src/planner/domain.rs
+++ b/crates/oliveworks-gateway-core/src/planner/domain.rs
@@ -25,7 +25,7 @@
     if host.held_last(&model.name) {
         return Warmth::Hot;
     }
-    match host.has(&model.name) {
+    match host.has_copy(&model.name) {
         true => Warmth::Staged,
         false => Warmth::Cold,
     }
@@ -36,7 +36,7 @@
 pub(super) struct Domain<'a> {
     pub(super) name: &'a str,
     /// Number of eligible hosts.
-    pub(super) living: usize,
+    pub(super) eligible: usize,
     /// Hosts that may join a group, including spares.
     pub(super) free: Vec<&'a Host>,
     /// Number of groups by model, including those that are being formed.
@@ -46,31 +46,31 @@
     /// Whether the domain is returning from an outage, with more hosts to be listed.
     pub(super) returning: bool,
     /// Whether a group of the domain is being formed or dissolved.
-    pub(super) moving: bool,
+    pub(super) in_transition: bool,
     /// Model for which groups of this domain are being preempted.
-    pub(super) kept_for: Option<&'a str>,
+    pub(super) reserved_for: Option<&'a str>,
     /// Models that spares are loading, one entry for each of these spares.
     pub(super) loading: Vec<&'a str>,
 }
 
 impl Domain<'_> {
     /// Returns the number of groups of a model.
-    pub(super) fn count(&self, model: &Model) -> usize {
+    pub(super) fn group_count(&self, model: &Model) -> usize {
         self.groups.get(model.name.as_str()).copied().unwrap_or(0)
     }
 
     /// Returns by how many groups of a model the domain is below its quota.
-    pub(super) fn lacks(&self, planner: &Planner, model: &Model) -> usize {
-        quota(planner, self.name, model).saturating_sub(self.count(model))
+    pub(super) fn missing_groups(&self, planner: &Planner, model: &Model) -> usize {
+        quota(planner, self.name, model).saturating_sub(self.group_count(model))
     }
 
     /// Returns the number of free hosts that can serve a model without a load.
-    pub(super) fn warm(&self, model: &Model) -> usize {
+    pub(super) fn warm_hosts(&self, model: &Model) -> usize {
         self.free.iter().filter(|host| warmth(host, model) != Warmth::Cold).count()
     }
 
     /// Returns the number of spares that are loading a model.
-    pub(super) fn loads(&self, model: &Model) -> usize {
+    pub(super) fn loading_spares(&self, model: &Model) -> usize {
         self.loading.iter().filter(|name| **name == model.name).count()
     }
 }
@@ -81,16 +81,16 @@
 }
 
 /// Returns the number of hosts with which a domain is planned.
-fn known_hosts(planner: &Planner, domain: &Domain<'_>) -> usize {
+fn planned_hosts(planner: &Planner, domain: &Domain<'_>) -> usize {
     let most = planner.most_hosts.get(domain.name).copied().unwrap_or_default();
-    if domain.returning { most.max(domain.living) } else { domain.living }
+    if domain.returning { most.max(domain.eligible) } else { domain.eligible }
 }
 
 /// Returns how many of a domain's `hosts` are kept as spares: a percentage of the largest number of
 /// hosts that the domain had, less the hosts that it has lost since, because spares exist to
 /// replace those. No spares are kept where the remaining hosts could not form a group, since there
 /// is nothing to repair.
-fn reserve(planner: &Planner, domain: &Domain<'_>, hosts: usize) -> usize {
+fn spare_count(planner: &Planner, domain: &Domain<'_>, hosts: usize) -> usize {
     let sizes = planner.engine.models.iter().map(|model| model.size).filter(|size| *size > 1);
     let most = planner.most_hosts.get(domain.name).copied().unwrap_or(hosts);
     let spares = sizes.clone().count().min((most * planner.config.spare_percent).div_ceil(100));
@@ -100,18 +100,18 @@
 }
 
 /// Whether a domain can hold a group of a model when it has its largest number of hosts.
-pub(super) fn fits(planner: &Planner, domain: &Domain<'_>, model: &Model) -> bool {
+pub(super) fn can_hold(planner: &Planner, domain: &Domain<'_>, model: &Model) -> bool {
     let most = planner.most_hosts.get(domain.name).copied().unwrap_or(0);
-    model.size <= most.max(domain.living)
+    model.size <= most.max(domain.eligible)
 }
 
 /// Collects the state of all domains with eligible hosts.
 pub(super) fn domains(now: Millis, planner: &Planner) -> BTreeMap<&str, Domain<'_>> {
     let mut domains: BTreeMap<&str, Domain<'_>> = BTreeMap::new();
-    for host in planner.hosts.values().filter(|host| host.is_fit()) {
+    for host in planner.hosts.values().filter(|host| host.is_eligible()) {
         let domain = domains.entry(&host.server.domain).or_default();
         domain.name = &host.server.domain;
-        domain.living += 1;
+        domain.eligible += 1;
         let group = host.group.and_then(|epoch| planner.groups.get(&epoch));
         match group {
             Some(group) if group.phase == Phase::Spare => domain.free.push(host),
@@ -121,7 +121,7 @@
         }
     }
     for (name, domain) in &mut domains {
-        domain.returning = planner.is_returning(now, name, domain.living);
+        domain.returning = planner.is_returning(now, name, domain.eligible);
         domain.steady = !domain.returning && planner.is_settled(now, name);
     }
     for group in planner.groups.values() {
@@ -130,9 +130,9 @@
         let Some(domain) = domain else { continue };
         let size = planner.model(&group.model).map_or(0, |model| model.size);
         let whole = group.members.len() == size;
-        domain.moving |= whole && !matches!(group.phase, Phase::Open { .. } | Phase::Spare);
-        if let Some(model) = &group.yields_to {
-            domain.kept_for = Some(model);
+        domain.in_transition |= whole && !matches!(group.phase, Phase::Open { .. } | Phase::Spare);
+        if let Some(model) = &group.preempted_for {
+            domain.reserved_for = Some(model);
         }
         if !group.counts() {
             continue;
@@ -155,17 +155,18 @@
 }
 
 fn room(planner: &Planner, domain: &Domain<'_>) -> Room {
-    let hosts = known_hosts(planner, domain);
-    let spares = reserve(planner, domain, hosts).min(hosts);
+    let hosts = planned_hosts(planner, domain);
+    let spares = spare_count(planner, domain, hosts).min(hosts);
     let mut groups: BTreeMap<String, usize> =
         domain.groups.iter().map(|(model, count)| ((*model).to_owned(), *count)).collect();
     if domain.returning {
-        for (model, count) in planner.quotas_when_whole.get(domain.name).into_iter().flatten() {
+        for (model, count) in planner.quotas_at_full_strength.get(domain.name).into_iter().flatten()
+        {
             let held = groups.entry(model.clone()).or_default();
             *held = (*held).max(*count);
         }
     }
     let models = planner.engine.models.iter();
-    let hot = models.map(|model| (model.name.clone(), domain.warm(model))).collect();
+    let hot = models.map(|model| (model.name.clone(), domain.warm_hosts(model))).collect();
     Room { hosts: hosts - spares, spares, groups, hot }
 }
--- a/crates/oliveworks-gateway-core/src/planner/ending.rs
+++ b/crates/oliveworks-gateway-core/src/planner/ending.rs
@@ -57,7 +57,7 @@
 
     /// Removes a group that has certainly stopped serving, and frees its members.
     pub(super) fn dissolve(&mut self, now: Millis, epoch: u64, reason: EndReason) {
-        self.tell(now, epoch, reason, true);
+        self.record_end(now, epoch, reason, true);
         self.ended.insert(epoch);
         while self.ended.len() > ENDED_MAX {
             self.ended.pop_first();
@@ -67,7 +67,7 @@
 
     /// Ends a group whose head has stopped serving. If an order of the group went unanswered, that
     /// order may still be carried out. In this case each member is ordered to leave by itself.
-    pub(super) fn end_of(&mut self, now: Millis, group: &Group, reason: EndReason) {
+    pub(super) fn end_group(&mut self, now: Millis, group: &Group, reason: EndReason) {
         let mut hosts = group.members.iter().filter_map(|id| self.hosts.get(id));
         match hosts.any(|host| host.unanswered == Some(group.epoch)) {
             true => self.abandon(now, group.epoch, reason),
@@ -76,9 +76,9 @@
     }
 
     /// Removes a group whose head may still serve. Its members are freed one by one, see
-    /// `free_strays`.
+    /// `release_stray_members`.
     pub(super) fn abandon(&mut self, now: Millis, epoch: u64, reason: EndReason) {
-        self.tell(now, epoch, reason, false);
+        self.record_end(now, epoch, reason, false);
         self.free_members(epoch);
     }
 
@@ -91,7 +91,7 @@
         }
     }
 
-    fn tell(&mut self, now: Millis, epoch: u64, reason: EndReason, is_certain: bool) {
+    fn record_end(&mut self, now: Millis, epoch: u64, reason: EndReason, is_certain: bool) {
         let Some(group) = self.groups.get(&epoch) else { return };
         let head = self.hosts.get(&group.members[0]);
         self.endings.push(Ending {
@@ -99,7 +99,7 @@
             reason,
             is_certain,
             head_said: head.and_then(|head| head.holding.group.clone()),
-            head_said_ms_ago: head.map_or(0, |head| now.saturating_sub(head.heard_at)),
+            head_said_ms_ago: head.map_or(0, |head| now.saturating_sub(head.reported_at)),
         });
     }
 }
--- a/crates/oliveworks-gateway-core/src/planner/group.rs
+++ b/crates/oliveworks-gateway-core/src/planner/group.rs
@@ -64,7 +64,7 @@
     /// Time at which the group entered its phase.
     pub(super) since: Millis,
     /// Model for which the group is preempted.
-    pub(super) yields_to: Option<String>,
+    pub(super) preempted_for: Option<String>,
     /// Whether an earlier leader formed the group.
     pub(super) adopted: bool,
 }
--- a/crates/oliveworks-gateway-core/src/planner/growth.rs
+++ b/crates/oliveworks-gateway-core/src/planner/growth.rs
@@ -11,7 +11,7 @@
 
 /// Number of hosts listed in short succession from which on a domain counts as returning as a
 /// whole. A replacement brings one host, a release a few.
-const RETURNING_HOSTS: usize = 4;
+const RETURNING_HOSTS_MIN: usize = 4;
 /// Time without a new host after which a returning domain counts as complete, in ms: the longest
 /// time between a host's start and its record in the list, as seen in the records of the other
 /// hosts.
@@ -50,6 +50,6 @@
     /// Whether the domain is returning, with more hosts to be listed.
     pub(super) fn is_return(&self, now: Millis) -> bool {
         let ends_at = (self.last_at + RETURN_QUIET_MS).min(self.first_at + RETURN_MAX_MS);
-        self.hosts >= RETURNING_HOSTS && now < ends_at
+        self.hosts >= RETURNING_HOSTS_MIN && now < ends_at
     }
 }
--- a/crates/oliveworks-gateway-core/src/planner/heard.rs
+++ b/crates/oliveworks-gateway-core/src/planner/heard.rs
@@ -24,7 +24,7 @@
     pub fn replaced(&mut self, now: Millis, id: &str) {
         if let Some(host) = self.hosts.get_mut(id) {
             host.replaced = true;
-            host.silent(now, true);
+            host.record_silence(now, true);
         }
     }
 
--- a/crates/oliveworks-gateway-core/src/planner/host.rs
+++ b/crates/oliveworks-gateway-core/src/planner/host.rs
@@ -12,14 +12,14 @@
 /// Time between two probes of a host that does not answer, in ms.
 const LOST_PROBE_EVERY_MS: u64 = 700;
 /// Number of unanswered probes after which a host counts as lost.
-const SILENCE_MAX: u32 = 2;
+const MISSED_PROBES_MAX: u32 = 2;
 /// Time after which an unanswered order is sent again, in ms.
-const ORDER_AGAIN_MS: u64 = 300;
+const ORDER_RETRY_MS: u64 = 300;
 /// Time for which an unanswered order may still be carried out, in ms.
-const LATE_MS: u64 = 15_000;
+const LATE_ORDER_MS: u64 = 15_000;
 /// Time for which a host's report counts as its current state while an unanswered order may still
 /// be carried out, in ms.
-const FRESH_MS: u64 = 60;
+const REPORT_FRESH_MS: u64 = 60;
 /// Pace above which a host becomes slow, and pace at or below which it no longer is.
 const SLOW_PACE: f64 = 1.6;
 const USUAL_PACE: f64 = 1.25;
@@ -29,14 +29,14 @@
 /// takes four times as long, and its end also shows in the list.
 const ADOPTED_PROBE_EVERY_MS: u64 = 4_000;
 /// Time that a member needs to join if it has the model, in ms.
-const JOIN_MS: u64 = 200;
+const WARM_JOIN_MS: u64 = 200;
 
 /// A host with its outstanding orders and probes.
 #[derive(Clone, Debug)]
 pub(super) struct Host {
     pub(super) server: BackendServer,
     pub(super) holding: Holding,
-    pub(super) heard_at: Millis,
+    pub(super) reported_at: Millis,
     /// Time until which the host is cold according to its newest record.
     pub(super) cold_until: Millis,
     /// Epoch of the group to which the host is assigned.
@@ -62,7 +62,7 @@
     /// Newest epoch for which an order to join or open went unanswered.
     pub(super) unanswered: Option<u64>,
     unanswered_at: Millis,
-    silences: u32,
+    missed_probes: u32,
     /// Whether gateways observe no progress in the host's group. One missed answer then marks the
     /// host as lost.
     pub(super) suspected: bool,
@@ -70,13 +70,13 @@
     slow: bool,
     /// Last reported pace.
     pace: f64,
-    pending: bool,
+    order_pending: bool,
     /// Whether the host must be probed before the next order. This holds after an unanswered order,
     /// since an order that arrived late may have changed the host's state.
-    ask_first: bool,
+    probe_first: bool,
     ordered_at: Millis,
     /// Time at which the host accepted its last order, if it accepted one of this leader.
-    taken_at: Option<Millis>,
+    accepted_at: Option<Millis>,
     /// Whether the host's last join requires a load from the weight store.
     join_loads: bool,
     /// Model that the host was ordered to stage and does not have yet.
@@ -95,7 +95,7 @@
         Host {
             holding: server.holding.clone(),
             // The record may be stale, so the host is probed before its first order.
-            heard_at: 0,
+            reported_at: 0,
             cold_until: now + server.cold_ms,
             server: server.clone(),
             group: None,
@@ -113,14 +113,14 @@
             replaced: false,
             unanswered: None,
             unanswered_at: 0,
-            silences: 0,
+            missed_probes: 0,
             suspected: false,
             slow: false,
             pace: 1.0,
-            pending: false,
-            ask_first: true,
+            order_pending: false,
+            probe_first: true,
             ordered_at: 0,
-            taken_at: None,
+            accepted_at: None,
             join_loads: false,
             staging: None,
             adopted_load: false,
@@ -133,12 +133,12 @@
 
     /// Resets the state of a host that restarted. Only its assignment to a group and its drain
     /// remain.
-    pub(super) fn starts_anew(&mut self, now: Millis, server: &BackendServer) {
+    pub(super) fn reset(&mut self, now: Millis, server: &BackendServer) {
         let (group, drained) = (self.group, self.drained);
         *self = Host { group, drained, ..Host::new(now, server) };
     }
 
-    pub(super) fn listed(&mut self, now: Millis, server: &BackendServer) {
+    pub(super) fn update_record(&mut self, now: Millis, server: &BackendServer) {
         if !server.may_follow(&self.server) {
             return;
         }
@@ -158,49 +158,50 @@
 
     /// Whether the answer to a probe sent at `asked_at` predates the host's last order. The content
     /// of an answer is `lag_ms` old.
-    fn tells_of_before(&self, asked_at: Millis, lag_ms: u64) -> bool {
-        self.taken_at.is_some_and(|taken_at| asked_at < taken_at + lag_ms)
+    fn predates_last_order(&self, asked_at: Millis, lag_ms: u64) -> bool {
+        self.accepted_at.is_some_and(|accepted_at| asked_at < accepted_at + lag_ms)
     }
 
     /// Handles the answer to the outstanding probe. Its content is `lag_ms` old.
-    pub(super) fn reported(&mut self, now: Millis, lag_ms: u64, holding: &Holding) {
+    pub(super) fn handle_probe_answer(&mut self, now: Millis, lag_ms: u64, holding: &Holding) {
         // A report from before the last order does not show the effect of that order: a head that
         // has just opened would seem ready right after an order to close, and its members free
         // while it serves.
-        match self.tells_of_before(self.probed_at, lag_ms) {
+        match self.predates_last_order(self.probed_at, lag_ms) {
             true => self.wants_probe = true,
-            false => self.heard(now, holding),
+            false => self.apply_report(now, holding),
         }
     }
 
-    fn heard(&mut self, now: Millis, holding: &Holding) {
+    fn apply_report(&mut self, now: Millis, holding: &Holding) {
         let changed = self.holding.staging != holding.staging;
         self.adopted_load &= !changed && holding.loads != Some(false);
         // The reported number of orders may lag behind the rest of the report.
         self.orders = self.orders.max(holding.orders);
         self.holding = holding.clone();
-        self.heard_at = now;
+        self.reported_at = now;
         if let Some(model) = holding.models.first() {
             self.last_model = Some(model.clone());
         }
         self.staging.take_if(|model| holding.staging.contains(model));
     }
 
-    pub(super) fn answers(&mut self) {
-        self.silences = 0;
+    pub(super) fn mark_answering(&mut self) {
+        self.missed_probes = 0;
         self.suspected = false;
         self.probing = false;
     }
 
-    pub(super) fn silent(&mut self, now: Millis, refused: bool) {
+    pub(super) fn record_silence(&mut self, now: Millis, refused: bool) {
         self.probing = false;
         self.probed_at = now;
-        self.silences += if std::mem::take(&mut self.suspected) { SILENCE_MAX } else { 1 };
+        self.missed_probes +=
+            if std::mem::take(&mut self.suspected) { MISSED_PROBES_MAX } else { 1 };
         if refused {
             // Nothing listens at the address, or a network partition produces that answer. The host
             // receives no work, but it may still be running.
-            self.silences = self.silences.max(SILENCE_MAX);
-        } else if self.silences < SILENCE_MAX {
+            self.missed_probes = self.missed_probes.max(MISSED_PROBES_MAX);
+        } else if self.missed_probes < MISSED_PROBES_MAX {
             self.wants_probe = true;
         }
     }
@@ -213,17 +214,17 @@
 
     /// Whether the host does not answer.
     pub(super) fn is_lost(&self) -> bool {
-        self.silences >= SILENCE_MAX
+        self.missed_probes >= MISSED_PROBES_MAX
     }
 
     /// Whether the host answers, is listed and is not leaving.
-    pub(super) fn stays(&self) -> bool {
+    pub(super) fn is_available(&self) -> bool {
         !self.is_lost() && !self.unlisted && !self.server.draining
     }
 
     /// Whether the host may be assigned to a group or load a model.
-    pub(super) fn is_fit(&self) -> bool {
-        self.stays() && !self.slow && !self.drained
+    pub(super) fn is_eligible(&self) -> bool {
+        self.is_available() && !self.slow && !self.drained
     }
 
     /// Whether the host is slow.
@@ -239,7 +240,7 @@
 
     /// Updates the reported pace. `may_be_slow` is whether this host may be excluded for being
     /// slow.
-    pub(super) fn paced(&mut self, pace: f64, may_be_slow: bool) {
+    pub(super) fn update_pace(&mut self, pace: f64, may_be_slow: bool) {
         self.pace = pace;
         self.slow = match self.slow {
             true => pace > USUAL_PACE,
@@ -249,7 +250,7 @@
 
     /// Requests a probe because the host or its group runs slowly, at most once per
     /// `SLOW_PROBE_EVERY_MS`.
-    pub(super) fn slows(&mut self, now: Millis) {
+    pub(super) fn request_slow_probe(&mut self, now: Millis) {
         self.wants_probe |= now >= self.probed_at + SLOW_PROBE_EVERY_MS;
     }
 
@@ -260,7 +261,7 @@
         let done =
             member.is_some_and(|m| Some(m.epoch) == self.joined && m.state != MemberState::Joining);
         let joins = self.joined.is_some() && self.joined == self.group && !done;
-        self.pending || (joins && self.join_loads) || self.stages()
+        self.order_pending || (joins && self.join_loads) || self.is_staging_any()
     }
 
     /// Whether the host loads a model for the group of this epoch, or will do so.
@@ -271,14 +272,14 @@
             });
         let loads = match self.joined == Some(epoch) {
             true => self.join_loads,
-            false => !self.has(model),
+            false => !self.has_copy(model),
         };
         loads && !ready
     }
 
     /// Assigns the host to a group that an earlier leader formed. The host may still load the model
     /// for it.
-    pub(super) fn adopted(&mut self, epoch: u64) {
+    pub(super) fn adopt_into(&mut self, epoch: u64) {
         self.group = Some(epoch);
         self.joined = Some(epoch);
         self.join_loads = true;
@@ -290,7 +291,7 @@
     }
 
     /// Whether the host is loading any model to its memory.
-    pub(super) fn stages(&self) -> bool {
+    pub(super) fn is_staging_any(&self) -> bool {
         self.staging.is_some() || self.adopted_load
     }
 
@@ -308,25 +309,25 @@
     }
 
     /// Whether the host reports membership in a later group than the one of this epoch.
-    pub(super) fn is_astray(&self, epoch: u64) -> bool {
+    pub(super) fn is_in_later_group(&self, epoch: u64) -> bool {
         self.holding.group.as_ref().is_some_and(|member| member.epoch > epoch)
     }
 
     /// Whether the host joined the group of this epoch, answers, and does not report membership in
     /// it.
-    pub(super) fn is_outside(&self, epoch: u64) -> bool {
+    pub(super) fn denies_membership(&self, epoch: u64) -> bool {
         !self.is_lost()
             && self.joined == Some(epoch)
             && self.holding.group.as_ref().is_none_or(|member| member.epoch != epoch)
     }
 
     /// Whether the host can serve the model without a load from the weight store.
-    pub(super) fn has(&self, model: &str) -> bool {
-        self.held_last(model) || self.keeps(model)
+    pub(super) fn has_copy(&self, model: &str) -> bool {
+        self.held_last(model) || self.has_in_memory(model)
     }
 
     /// Whether the host has the model staged in memory.
-    pub(super) fn keeps(&self, model: &str) -> bool {
+    pub(super) fn has_in_memory(&self, model: &str) -> bool {
         self.holding.staging.iter().any(|staged| staged == model)
     }
 
@@ -336,7 +337,7 @@
     }
 
     /// Lists the staged models besides the one that the host held last, for operators.
-    pub(super) fn beside(&self) -> String {
+    pub(super) fn describe_staged(&self) -> String {
         let staged = self.holding.staging.iter().filter(|model| !self.held_last(model));
         staged.map(|model| format!("+{model}")).collect()
     }
@@ -352,12 +353,15 @@
     }
 
     pub(super) fn is_free(&self, ended: &BTreeSet<u64>) -> bool {
-        self.group.is_none() && self.is_fit() && !self.pending && self.stray(ended).is_none()
+        self.group.is_none()
+            && self.is_eligible()
+            && !self.order_pending
+            && self.stray_membership(ended).is_none()
     }
 
     /// Returns the group that the host reports to be a member of, if that group may not have ended
     /// and is not managed by this leader.
-    pub(super) fn stray(&self, ended: &BTreeSet<u64>) -> Option<Membership> {
+    pub(super) fn stray_membership(&self, ended: &BTreeSet<u64>) -> Option<Membership> {
         if self.group.is_some() || self.is_lost() {
             return None;
         }
@@ -371,25 +375,31 @@
     /// Whether an unanswered order may have changed the host's state since its last report.
     pub(super) fn may_have_changed(&self, now: Millis) -> bool {
         self.unanswered.is_some()
-            && now < self.unanswered_at + LATE_MS
-            && now > self.heard_at + FRESH_MS
+            && now < self.unanswered_at + LATE_ORDER_MS
+            && now > self.reported_at + REPORT_FRESH_MS
     }
 
     /// Returns the order to leave another group that the host reports to be a member of, if that
     /// group may not have ended.
-    pub(super) fn belongs_elsewhere(&self, epoch: u64, ended: &BTreeSet<u64>) -> Option<Order> {
+    pub(super) fn order_to_leave_other_group(
+        &self,
+        epoch: u64,
+        ended: &BTreeSet<u64>,
+    ) -> Option<Order> {
         let member = self.holding.group.as_ref()?;
         let other = member.epoch != epoch && !ended.contains(&member.epoch);
         other.then(|| Order::Leave { group: member.name.clone(), epoch: member.epoch })
     }
 
     pub(super) fn may_order(&self, now: Millis) -> bool {
-        let again_at = self.ordered_at + ORDER_AGAIN_MS;
-        !self.pending && now >= again_at && (!self.ask_first || self.heard_at >= again_at)
+        let retry_at = self.ordered_at + ORDER_RETRY_MS;
+        !self.order_pending
+            && now >= retry_at
+            && (!self.probe_first || self.reported_at >= retry_at)
     }
 
     pub(super) fn order(&mut self, now: Millis, order: Order) -> Command {
-        self.pending = true;
+        self.order_pending = true;
         self.ordered_at = now;
         let expects = self.orders.filter(|_| order.is_bound());
         Command::Order {
@@ -400,14 +410,14 @@
         }
     }
 
-    pub(super) fn answered(&mut self, now: Millis, order: &Order, outcome: Outcome) {
-        self.pending = false;
-        self.ask_first = outcome == Outcome::Unanswered;
+    pub(super) fn apply_outcome(&mut self, now: Millis, order: &Order, outcome: Outcome) {
+        self.order_pending = false;
+        self.probe_first = outcome == Outcome::Unanswered;
         match outcome {
-            Outcome::Begun | Outcome::Holds => self.answers(),
+            Outcome::Begun | Outcome::Holds => self.mark_answering(),
             Outcome::Unfit | Outcome::Fenced => {
-                self.answers();
-                self.ask_first = true;
+                self.mark_answering();
+                self.probe_first = true;
                 self.wants_probe = true;
                 // The host has begun more or fewer orders than expected. The next probe returns the
                 // number.
@@ -416,7 +426,7 @@
             }
             Outcome::Gone => {
                 self.replaced = true;
-                self.silent(now, true);
+                self.record_silence(now, true);
                 return;
             }
             Outcome::Unanswered => {
@@ -429,15 +439,15 @@
             }
         }
         self.knows_fence = true;
-        if outcome == Outcome::Begun || self.leaves_by(order) {
+        if outcome == Outcome::Begun || self.is_leave_of_current_group(order) {
             self.orders = self.orders.map(|orders| orders + 1);
         }
         // The next order may follow at once.
         self.ordered_at = 0;
-        self.taken_at = Some(now);
+        self.accepted_at = Some(now);
         match order {
             Order::Join { epoch, model, .. } => {
-                self.join_loads = !self.has(model);
+                self.join_loads = !self.has_copy(model);
                 self.joined = Some(*epoch);
                 self.joined_at = now;
                 self.last_model = Some(model.clone());
@@ -466,7 +476,7 @@
 
     /// Whether an order removes the host from its current group. Such an order counts as begun
     /// although it completes at once.
-    fn leaves_by(&self, order: &Order) -> bool {
+    fn is_leave_of_current_group(&self, order: &Order) -> bool {
         let member = self.holding.group.as_ref();
         matches!(order, Order::Leave { epoch, .. } if member.is_some_and(|m| m.epoch == *epoch))
     }
@@ -477,27 +487,28 @@
         // spaced out.
         let waited = now.saturating_sub(self.joined_at);
         let every = (waited / 8).max(PROBE_EVERY_MS);
-        let first = JOIN_MS.min(model.warm_ms.max(1));
+        let first = WARM_JOIN_MS.min(model.warm_ms.max(1));
         self.wants_probe |= waited >= first && now >= self.probed_at + every;
     }
 
     /// Returns a probe if one is due. A probe is postponed while its answer, `lag_ms` old, would
     /// predate the last order, unless it is in doubt whether the host answers at all.
     pub(super) fn probe(&mut self, now: Millis, lag_ms: u64) -> Option<Command> {
-        if self.pace > USUAL_PACE && self.stays() {
-            self.slows(now);
+        if self.pace > USUAL_PACE && self.is_available() {
+            self.request_slow_probe(now);
         }
-        self.wants_probe |=
-            self.adopted_load && self.stays() && now >= self.probed_at + ADOPTED_PROBE_EVERY_MS;
+        self.wants_probe |= self.adopted_load
+            && self.is_available()
+            && now >= self.probed_at + ADOPTED_PROBE_EVERY_MS;
         let lost_due =
             self.is_lost() && !self.unlisted && now >= self.probed_at + LOST_PROBE_EVERY_MS;
-        let again_at = self.ordered_at + ORDER_AGAIN_MS;
-        let ask_first = self.ask_first && now >= again_at && self.heard_at < again_at;
-        if self.probing || !(self.wants_probe || lost_due || ask_first) {
+        let retry_at = self.ordered_at + ORDER_RETRY_MS;
+        let probe_first = self.probe_first && now >= retry_at && self.reported_at < retry_at;
+        if self.probing || !(self.wants_probe || lost_due || probe_first) {
             return None;
         }
-        let in_doubt = self.suspected || self.silences > 0;
-        if self.tells_of_before(now, lag_ms) && !in_doubt {
+        let in_doubt = self.suspected || self.missed_probes > 0;
+        if self.predates_last_order(now, lag_ms) && !in_doubt {
             return None;
         }
         self.wants_probe = false;
--- a/crates/oliveworks-gateway-core/src/planner/outage.rs
+++ b/crates/oliveworks-gateway-core/src/planner/outage.rs
@@ -17,9 +17,9 @@
 
 /// Number of silent hosts from which on a domain may be down. A rack failure or a release affects
 /// fewer at once.
-const SILENT_HOSTS: usize = 3;
+const SILENT_HOSTS_MIN: usize = 3;
 /// Time within which these hosts stop answering, in ms: the heartbeat interval of a host.
-const WITHIN_MS: u64 = 1_200;
+const SILENCE_WINDOW_MS: u64 = 1_200;
 
 /// Times at which hosts of each domain stopped answering while gateways observed no progress in
 /// their groups.
@@ -33,26 +33,26 @@
     }
 
     /// Returns the domains that may be down, each with the time of its first silent host.
-    fn dark(&mut self, now: Millis) -> BTreeMap<String, Millis> {
+    fn silent_domains(&mut self, now: Millis) -> BTreeMap<String, Millis> {
         self.0.retain(|_, silences| {
-            silences.retain(|at| now < *at + WITHIN_MS);
+            silences.retain(|at| now < *at + SILENCE_WINDOW_MS);
             !silences.is_empty()
         });
-        let dark = self.0.iter().filter(|(_, silences)| silences.len() >= SILENT_HOSTS);
-        dark.map(|(domain, silences)| (domain.clone(), silences[0])).collect()
+        let silent = self.0.iter().filter(|(_, silences)| silences.len() >= SILENT_HOSTS_MIN);
+        silent.map(|(domain, silences)| (domain.clone(), silences[0])).collect()
     }
 }
 
 impl Planner {
     /// Probes the hosts of domains that may be down, unless they were probed since the outage
     /// began.
-    pub(super) fn ask_dark_domains(&mut self, now: Millis) {
-        let dark = self.outages.dark(now);
-        if dark.is_empty() {
+    pub(super) fn probe_silent_domains(&mut self, now: Millis) {
+        let silent = self.outages.silent_domains(now);
+        if silent.is_empty() {
             return;
         }
         for host in self.hosts.values_mut().filter(|host| !host.is_lost()) {
-            let since = dark.get(&host.server.domain);
+            let since = silent.get(&host.server.domain);
             // The last report may stem from an old record of the list, so the time of the last
             // probe counts.
             if since.is_some_and(|since| host.probed_at < *since) {
--- a/crates/oliveworks-gateway-core/src/planner/parts.rs
+++ b/crates/oliveworks-gateway-core/src/planner/parts.rs
@@ -19,14 +19,14 @@
 
 /// Time between two searches for better shares, in ms. Each search recomputes the quotas, which
 /// takes 11 ms for 2,400 hosts.
-const LOOK_EVERY_MS: u64 = 500;
+const ADJUST_EVERY_MS: u64 = 500;
 /// Number of groups that a model should have beyond those that its requests fill. One group may be
 /// lost, and returns after a load.
-const GROUPS_BEYOND: f64 = 1.0;
+const EXTRA_GROUPS: f64 = 1.0;
 
 /// Demand for a model during the last load time, in groups.
 #[derive(Clone, Copy, Debug)]
-struct Lately {
+struct RecentDemand {
     lowest: f64,
     highest: f64,
     at: Millis,
@@ -35,40 +35,40 @@
 /// Recent demand and the times of the last change and search, from which the target shares are
 /// computed.
 #[derive(Clone, Debug)]
-pub(super) struct Parts {
-    lately: BTreeMap<String, Lately>,
+pub(super) struct ShareAdjuster {
+    recent: BTreeMap<String, RecentDemand>,
     changed_at: Millis,
-    looked_at: Millis,
+    checked_at: Millis,
 }
 
-impl Parts {
-    pub(super) fn new(now: Millis) -> Parts {
-        Parts { lately: BTreeMap::new(), changed_at: now, looked_at: now }
+impl ShareAdjuster {
+    pub(super) fn new(now: Millis) -> ShareAdjuster {
+        ShareAdjuster { recent: BTreeMap::new(), changed_at: now, checked_at: now }
     }
 
     /// Records the demand for a model, in groups. Past extremes decay by half within the time of a
     /// load.
-    pub(super) fn asked(&mut self, now: Millis, model: &str, groups: f64, load_ms: u64) {
-        let first = Lately { lowest: 0.0, highest: groups, at: now };
-        let lately = self.lately.entry(model.to_owned()).or_insert(first);
-        let loads = now.saturating_sub(lately.at) as f64 / load_ms.max(1) as f64;
+    pub(super) fn record_demand(&mut self, now: Millis, model: &str, groups: f64, load_ms: u64) {
+        let first = RecentDemand { lowest: 0.0, highest: groups, at: now };
+        let recent = self.recent.entry(model.to_owned()).or_insert(first);
+        let loads = now.saturating_sub(recent.at) as f64 / load_ms.max(1) as f64;
         let old = 0.5f64.powf(loads);
-        let faded = |past: f64| past * old + groups * (1.0 - old);
-        *lately = Lately {
-            lowest: groups.min(faded(lately.lowest)),
-            highest: groups.max(faded(lately.highest)),
+        let decayed = |past: f64| past * old + groups * (1.0 - old);
+        *recent = RecentDemand {
+            lowest: groups.min(decayed(recent.lowest)),
+            highest: groups.max(decayed(recent.highest)),
             at: now,
         };
     }
 
     /// Returns the highest demand for a model during the last load time, in groups.
     fn highest(&self, model: &str) -> f64 {
-        self.lately.get(model).map_or(0.0, |lately| lately.highest)
+        self.recent.get(model).map_or(0.0, |recent| recent.highest)
     }
 
     /// Returns the lowest demand for a model during the last load time, in groups.
     fn lowest(&self, model: &str) -> f64 {
-        self.lately.get(model).map_or(0.0, |lately| lately.lowest)
+        self.recent.get(model).map_or(0.0, |recent| recent.lowest)
     }
 }
 
@@ -86,49 +86,50 @@
 
     /// Adjusts the target shares to the demand, if a change is worth its cost. The next change is
     /// considered only after the time of a load.
-    pub(super) fn follow_callers(&mut self, now: Millis) {
-        let due = now >= self.parts.changed_at + self.load_ms()
-            && now >= self.parts.looked_at + LOOK_EVERY_MS;
+    pub(super) fn adjust_shares(&mut self, now: Millis) {
+        let due = now >= self.share_adjuster.changed_at + self.load_ms()
+            && now >= self.share_adjuster.checked_at + ADJUST_EVERY_MS;
         if !self.config.follows_callers || !self.traffic || !due || !self.any_stays_busy() {
             return;
         }
-        self.parts.looked_at = now;
-        let Some((shares, quotas)) = self.better_parts(&self.rooms) else { return };
+        self.share_adjuster.checked_at = now;
+        let Some((shares, quotas)) = self.better_shares(&self.rooms) else { return };
         for (model, share) in self.engine.models.iter_mut().zip(shares) {
             model.share = share;
         }
         self.quotas = quotas;
-        self.quotas_at = now;
-        self.parts.changed_at = now;
+        self.quotas_changed_at = now;
+        self.share_adjuster.changed_at = now;
     }
 
     /// Whether a model was busy throughout the time of a load.
     fn any_stays_busy(&self) -> bool {
         self.engine.models.iter().any(|model| {
             let groups = count(&self.quotas, &model.name);
-            self.parts.lowest(&model.name) > groups * self.config.crowded_load
+            self.share_adjuster.lowest(&model.name) > groups * self.config.crowded_load
         })
     }
 
     /// Returns the shares that match the demand and the quotas that result from them, if a model
     /// that stayed busy gains groups and no model that loses groups becomes as busy.
-    fn better_parts(&self, rooms: &BTreeMap<String, Room>) -> Option<(Vec<f64>, Quotas)> {
+    fn better_shares(&self, rooms: &BTreeMap<String, Room>) -> Option<(Vec<f64>, Quotas)> {
         let mut models = self.engine.models.clone();
         for model in &mut models {
-            let groups = self.parts.highest(&model.name) + GROUPS_BEYOND;
+            let groups = self.share_adjuster.highest(&model.name) + EXTRA_GROUPS;
             model.share = groups * model.size as f64;
         }
         let quotas = quota::spread_out(&models, rooms, &self.spread());
         let pressure = |demand: f64, quotas: &Quotas, name: &str| demand / count(quotas, name);
         // Highest sustained demand per group among the models that gain groups.
-        let bears = |name: &str| pressure(self.parts.lowest(name), &self.quotas, name);
+        let sustained_pressure =
+            |name: &str| pressure(self.share_adjuster.lowest(name), &self.quotas, name);
         let names = || models.iter().map(|model| model.name.as_str());
-        let gains = names().filter(|name| count(&quotas, name) > count(&self.quotas, name));
-        let before = gains.map(bears).fold(0.0, f64::max);
+        let gaining = names().filter(|name| count(&quotas, name) > count(&self.quotas, name));
+        let before = gaining.map(sustained_pressure).fold(0.0, f64::max);
         // Highest demand per group that the models that lose groups would have had.
-        let gives = names().filter(|name| count(&quotas, name) < count(&self.quotas, name));
-        let would = |name: &str| pressure(self.parts.highest(name), &quotas, name);
-        let after = gives.map(would).fold(0.0, f64::max);
+        let losing = names().filter(|name| count(&quotas, name) < count(&self.quotas, name));
+        let peak_pressure = |name: &str| pressure(self.share_adjuster.highest(name), &quotas, name);
+        let after = losing.map(peak_pressure).fold(0.0, f64::max);
         let config = &self.config;
         let better = before > config.crowded_load
             && (after <= config.crowded_load || after + config.yield_margin < before);
--- a/crates/oliveworks-gateway-core/src/planner/pressure.rs
+++ b/crates/oliveworks-gateway-core/src/planner/pressure.rs
@@ -7,10 +7,10 @@
 
 /// Half-life of a model's demand, in ms: longer than a pass of a group, and short compared with the
 /// second in which a group is repaired.
-const DEMAND_HALF_MS: f64 = 350.0;
+const DEMAND_HALF_LIFE_MS: f64 = 350.0;
 /// Upper bound on the fraction of refused requests that is used. Retried requests are counted
 /// again.
-const REFUSED_MAX: f64 = 0.8;
+const REFUSED_PART_MAX: f64 = 0.8;
 
 /// Demand per group above which requests are refused.
 pub(super) const FULL: f64 = 1.0;
@@ -26,14 +26,14 @@
     /// Records the load of a model's groups, of which `serving` serve. Callers leave out models without
     /// a serving group, so that their demand keeps its last value.
     pub fn set_load(&mut self, now: Millis, model: &str, load: ModelLoad, serving: usize) {
-        let found = 1.0 - load.refused_part.clamp(0.0, REFUSED_MAX);
+        let found = 1.0 - load.refused_part.clamp(0.0, REFUSED_PART_MAX);
         let groups = load.open_per_slot / found * serving as f64;
         let demand = self.demand.entry(model.to_owned()).or_insert(Demand { groups, at: now });
-        let old = 0.5f64.powf(now.saturating_sub(demand.at) as f64 / DEMAND_HALF_MS);
+        let old = 0.5f64.powf(now.saturating_sub(demand.at) as f64 / DEMAND_HALF_LIFE_MS);
         *demand = Demand { groups: demand.groups * old + groups * (1.0 - old), at: now };
         let groups = demand.groups;
         let load_ms = self.load_ms();
-        self.parts.asked(now, model, groups, load_ms);
+        self.share_adjuster.record_demand(now, model, groups, load_ms);
     }
 
     /// Returns the number of groups that a model's requests would fill, including the refused
@@ -80,15 +80,20 @@
         of_model.any(|group| matches!(group.phase, Phase::Open { .. }))
     }
 
-    /// Whether preempting `ended` groups of `giver` for one group of `needy` serves more requests,
+    /// Whether preempting `ended` groups of `preempted` for one group of `beneficiary` serves more requests,
     /// beyond what the quotas ask for. That holds for a model without any group, and for one that
     /// stays busier. The last group of a model is never preempted.
-    pub(super) fn is_worth(&self, needy: &Model, giver: &Model, ended: usize) -> bool {
-        let groups = self.groups_of(giver);
+    pub(super) fn is_worth_preempting(
+        &self,
+        beneficiary: &Model,
+        preempted: &Model,
+        ended: usize,
+    ) -> bool {
+        let groups = self.groups_of(preempted);
         if !self.config.yields_by_load || !self.traffic || groups <= ended {
             return false;
         }
-        let after = self.pressure(giver, groups - ended);
-        self.pressure_now(needy) > after + self.config.yield_margin
+        let after = self.pressure(preempted, groups - ended);
+        self.pressure_now(beneficiary) > after + self.config.yield_margin
     }
 }
--- a/crates/oliveworks-gateway-core/src/planner/shortage.rs
+++ b/crates/oliveworks-gateway-core/src/planner/shortage.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::Planner;
-use super::allot::need;
+use super::allot::hosts_per_share;
 use super::domain::Domain;
 use super::host::Host;
 use super::pressure::FULL;
@@ -20,20 +20,22 @@
     /// Demand per group of each model.
     pressures: BTreeMap<&'a str, f64>,
     /// Hosts of each model relative to its share.
-    needs: BTreeMap<&'a str, f64>,
+    share_ratios: BTreeMap<&'a str, f64>,
 }
 
 impl<'a> Shortage<'a> {
     pub(super) fn of(planner: &'a Planner, domains: &BTreeMap<&str, Domain<'_>>) -> Shortage<'a> {
         let models = || planner.engine.models.iter();
         let pressure = |model: &'a Model| {
-            let groups = domains.values().map(|domain| domain.count(model)).sum();
+            let groups = domains.values().map(|domain| domain.group_count(model)).sum();
             (model.name.as_str(), planner.pressure(model, groups))
         };
         Shortage {
             planner,
             pressures: models().map(pressure).collect(),
-            needs: models().map(|model| (model.name.as_str(), need(model, domains))).collect(),
+            share_ratios: models()
+                .map(|model| (model.name.as_str(), hosts_per_share(model, domains)))
+                .collect(),
         }
     }
 
@@ -47,7 +49,7 @@
     }
 
     /// Whether a model is about to refuse requests and lacks groups more than another.
-    fn outbids(&self, model: &Model, other: &Model) -> bool {
+    fn outranks(&self, model: &Model, other: &Model) -> bool {
         let config = &self.planner.config;
         let pressure = self.pressure(model);
         pressure > config.crowded_load && pressure > self.pressure(other) + config.yield_margin
@@ -55,34 +57,45 @@
 
     /// Whether a model takes precedence over all models that are below their quota in the domain,
     /// although its own quota there is filled.
-    pub(super) fn comes_first(&self, domain: &Domain<'_>, model: &Model) -> bool {
+    pub(super) fn takes_precedence(&self, domain: &Domain<'_>, model: &Model) -> bool {
         let others = self.planner.engine.models.iter().filter(|other| other.name != model.name);
-        let mut lacking = others.filter(|other| domain.lacks(self.planner, other) > 0);
+        let mut lacking = others.filter(|other| domain.missing_groups(self.planner, other) > 0);
         self.pressure(model) > self.planner.config.crowded_load
-            && lacking.all(|other| self.outbids(model, other))
+            && lacking.all(|other| self.outranks(model, other))
     }
 
     /// Whether a host is withheld from a group of a model because it is reserved for a larger one
     /// that it could serve sooner or repair. Joining any other group drops the larger model from
     /// the host's memory, and the next repair would take a load.
-    pub(super) fn is_kept(&self, domain: &Domain<'_>, host: &Host, model: &Model) -> bool {
+    pub(super) fn is_reserved(&self, domain: &Domain<'_>, host: &Host, model: &Model) -> bool {
         let models = self.planner.engine.models.iter();
-        let mut larger = models.filter(|other| other.size > model.size && host.has(&other.name));
-        larger.any(|other| !self.outbids(model, other) && self.is_for(domain, host, model, other))
+        let mut larger =
+            models.filter(|other| other.size > model.size && host.has_copy(&other.name));
+        larger.any(|other| {
+            !self.outranks(model, other) && self.is_reserved_for(domain, host, model, other)
+        })
     }
 
-    fn is_for(&self, domain: &Domain<'_>, host: &Host, model: &Model, larger: &Model) -> bool {
+    fn is_reserved_for(
+        &self,
+        domain: &Domain<'_>,
+        host: &Host,
+        model: &Model,
+        larger: &Model,
+    ) -> bool {
         if host.held_last(&larger.name) {
-            let need = |model: &Model| self.needs.get(model.name.as_str()).copied().unwrap_or(0.0);
-            return need(larger) < need(model) * SPARE_RATIO;
+            let hosts_per_share =
+                |model: &Model| self.share_ratios.get(model.name.as_str()).copied().unwrap_or(0.0);
+            return hosts_per_share(larger) < hosts_per_share(model) * SPARE_RATIO;
         }
-        let extra = domain.lacks(self.planner, model) == 0;
+        let extra = domain.missing_groups(self.planner, model) == 0;
         extra || self.can_complete(domain, larger)
     }
 
     /// Whether a domain lacks a group of a model and has, or will soon have, the hosts for it.
     fn can_complete(&self, domain: &Domain<'_>, model: &Model) -> bool {
-        let lacks = domain.lacks(self.planner, model) > 0;
-        lacks && domain.warm(model) + self.planner.freed_soon(domain.name, model) >= model.size
+        let lacks = domain.missing_groups(self.planner, model) > 0;
+        lacks
+            && domain.warm_hosts(model) + self.planner.freed_soon(domain.name, model) >= model.size
     }
 }
--- a/crates/oliveworks-gateway-core/src/planner/sooner.rs
+++ b/crates/oliveworks-gateway-core/src/planner/sooner.rs
@@ -50,7 +50,9 @@
         }
         let load_ms = (model.load_ms as f64 * queue) as u64;
         let hosts = group.members.iter().filter_map(|id| planner.hosts.get(id));
-        for host in hosts.filter(|host| host.is_fit() && host.loads_for(group.epoch, &model.name)) {
+        for host in
+            hosts.filter(|host| host.is_eligible() && host.loads_for(group.epoch, &model.name))
+        {
             let begun_at = if host.joined == Some(group.epoch) { host.joined_at } else { now };
             let left_ms = (begun_at + load_ms).saturating_sub(now);
             let here = found.entry(&host.server.domain).or_default();
@@ -65,13 +67,15 @@
 pub(super) fn serves_first(short: &Shortage<'_>, domain: &Domain<'_>, model: &Model) -> bool {
     let planner = short.planner;
     let others = planner.engine.models.iter().filter(|other| other.name != model.name);
-    let mut lacking = others.filter(|other| domain.lacks(planner, other) > 0);
-    planner.traffic && short.refuses(model) && lacking.all(|other| domain.warm(other) < other.size)
+    let mut lacking = others.filter(|other| domain.missing_groups(planner, other) > 0);
+    planner.traffic
+        && short.refuses(model)
+        && lacking.all(|other| domain.warm_hosts(other) < other.size)
 }
 
 /// Returns hosts that form a group of a model that refuses requests, if some of them abandon their
 /// loads of another model.
-pub(super) fn given_up<'a>(
+pub(super) fn hosts_abandoning_loads<'a>(
     short: &Shortage<'a>,
     domain: &Domain<'a>,
     loaders: &[Loader<'a>],
@@ -82,13 +86,13 @@
     }
     let warm = |host: &&Host| warmth(host, model) != Warmth::Cold;
     let mut hosts: Vec<&Host> = domain.free.iter().copied().filter(warm).collect();
-    hosts.retain(|host| !short.is_kept(domain, host, model));
+    hosts.retain(|host| !short.is_reserved(domain, host, model));
     if hosts.len() >= model.size {
         return None;
     }
     let change_ms = model.warm_ms + short.planner.engine.form_ms + SOONER_MS;
     let worth = loaders.iter().filter(|loader| loader.left_ms > change_ms);
-    let able = worth.filter(|loader| loader.host.keeps(&model.name));
+    let able = worth.filter(|loader| loader.host.has_in_memory(&model.name));
     hosts.extend(able.map(|loader| loader.host).take(model.size - hosts.len()));
     (hosts.len() == model.size).then_some(hosts)
 }
@@ -106,7 +110,7 @@
     /// Returns the model if a host that holds none takes it up: the host has the model, or a host
     /// that loads it is still missing.
     pub(super) fn takes(&mut self, host: &Host) -> Option<&'a Model> {
-        if host.has(&self.model.name) {
+        if host.has_copy(&self.model.name) {
             return Some(self.model);
         }
         let missing = self.missing > 0;
@@ -124,9 +128,9 @@
     let models = planner.engine.models.iter().filter(|model| model.size > 1);
     let refusing = models.filter(|model| short.refuses(model));
     let near = refusing.filter_map(|model| {
-        let warm = domain.warm(model);
+        let warm = domain.warm_hosts(model);
         let staging = domain.free.iter().filter(|host| host.is_staging(&model.name)).count();
-        let missing = model.size.saturating_sub(warm + staging + domain.loads(model));
+        let missing = model.size.saturating_sub(warm + staging + domain.loading_spares(model));
         let most_are_there = warm < model.size && warm * 2 > model.size;
         let enough = domain.free.len() >= warm + staging + missing;
         (most_are_there && enough).then_some(Nearest { model, missing })
--- a/crates/oliveworks-gateway-core/src/planner/spares.rs
+++ b/crates/oliveworks-gateway-core/src/planner/spares.rs
@@ -12,7 +12,7 @@
 
 use super::Planner;
 use super::allot::{NewGroup, new_group};
-use super::domain::{Domain, fits};
+use super::domain::{Domain, can_hold};
 use super::host::Host;
 use super::shortage::Shortage;
 use super::sooner::nearest;
@@ -22,7 +22,7 @@
 const MANY_GROUPS: usize = 9;
 
 /// Returns the model that spares hold.
-fn model_of_spares<'a>(planner: &Planner, grouped: &[&'a Model]) -> Option<&'a Model> {
+fn spare_model<'a>(planner: &Planner, grouped: &[&'a Model]) -> Option<&'a Model> {
     let smallest = grouped.iter().copied().min_by_key(|model| model.size)?;
     let wanted = planner.quotas.values().filter_map(|groups| groups.get(&smallest.name));
     match wanted.sum::<usize>() >= MANY_GROUPS {
@@ -32,9 +32,9 @@
 }
 
 /// Returns the models of which a domain can hold a group.
-fn of_domain<'a>(planner: &'a Planner, domain: &Domain<'_>) -> Vec<&'a Model> {
+fn models_for_domain<'a>(planner: &'a Planner, domain: &Domain<'_>) -> Vec<&'a Model> {
     let grouped = planner.engine.models.iter().filter(|model| model.size > 1);
-    grouped.filter(|model| fits(planner, domain, model)).collect()
+    grouped.filter(|model| can_hold(planner, domain, model)).collect()
 }
 
 /// Makes free hosts without a model load one, and free hosts with only a staged model take it up.
@@ -44,24 +44,26 @@
     plans: &mut Vec<NewGroup>,
 ) {
     // Before traffic the weight store is the bottleneck, and groups go first.
-    if !planner.traffic && (!plans.is_empty() || planner.waits_for_joins()) {
+    if !planner.traffic && (!plans.is_empty() || planner.has_outstanding_joins()) {
         return;
     }
     let short = Shortage::of(planner, domains);
     for domain in domains.values().filter(|domain| domain.steady) {
-        let grouped = of_domain(planner, domain);
+        let grouped = models_for_domain(planner, domain);
         let mut near = nearest(&short, domain);
-        let Some(held) = model_of_spares(planner, &grouped) else { continue };
-        let mut loading: BTreeMap<&str, usize> =
-            grouped.iter().map(|model| (model.name.as_str(), domain.loads(model))).collect();
+        let Some(held) = spare_model(planner, &grouped) else { continue };
+        let mut loading: BTreeMap<&str, usize> = grouped
+            .iter()
+            .map(|model| (model.name.as_str(), domain.loading_spares(model)))
+            .collect();
         for host in domain.free.iter().filter(|host| host.group.is_none()) {
             if grouped.iter().any(|model| host.held_last(&model.name)) {
                 continue;
             }
-            let spare = first_spare(planner, domain, &grouped, &loading, held);
+            let spare = next_spare_model(planner, domain, &grouped, &loading, held);
             let for_near = near.as_mut().and_then(|near| near.takes(host));
             let model = for_near
-                .unwrap_or_else(|| to_load(planner, domain, &grouped, &loading, host, spare));
+                .unwrap_or_else(|| model_to_load(planner, domain, &grouped, &loading, host, spare));
             *loading.entry(&model.name).or_default() += 1;
             plans.push(new_group(model, &[host]));
         }
@@ -74,7 +76,7 @@
 /// has in memory; the spare that the domain should have. With the fourth choice made earlier, seven
 /// of nine returning hosts were spares of a model that their domain did not lack, for 19 s and more
 /// (in the simulated pool).
-fn to_load<'a>(
+fn model_to_load<'a>(
     planner: &'a Planner,
     domain: &Domain<'_>,
     models: &[&'a Model],
@@ -84,11 +86,12 @@
 ) -> &'a Model {
     let grouped = || models.iter().copied();
     let short = |model: &&Model| {
-        let comes = domain.warm(model) + loading.get(model.name.as_str()).copied().unwrap_or(0);
-        comes < model.size * domain.lacks(planner, model)
+        let expected =
+            domain.warm_hosts(model) + loading.get(model.name.as_str()).copied().unwrap_or(0);
+        expected < model.size * domain.missing_groups(planner, model)
     };
-    let kept = |model: &&Model| host.has(&model.name);
-    let kept_spare = Some(spare).filter(|model| kept(model) && is_first(domain, loading, model));
+    let kept = |model: &&Model| host.has_copy(&model.name);
+    let kept_spare = Some(spare).filter(|model| kept(model) && lacks_spare(domain, loading, model));
     let kept_short = grouped().find(|model| kept(model) && short(model));
     let any_short = || grouped().find(short);
     let any_kept = || grouped().find(kept);
@@ -96,15 +99,15 @@
 }
 
 /// Whether a domain has no spare of a model, and none that loads it.
-fn is_first(domain: &Domain<'_>, loading: &BTreeMap<&str, usize>, model: &Model) -> bool {
+fn lacks_spare(domain: &Domain<'_>, loading: &BTreeMap<&str, usize>, model: &Model) -> bool {
     let held = domain.free.iter().any(|host| host.held_last(&model.name));
-    let comes = loading.get(model.name.as_str()).is_some_and(|count| *count > 0);
-    !held && !comes
+    let expected = loading.get(model.name.as_str()).is_some_and(|count| *count > 0);
+    !held && !expected
 }
 
 /// Returns the model that the next spare of a domain loads. The first spare holds the largest
 /// model, whose groups are the greatest loss and take longest to load.
-fn first_spare<'a>(
+fn next_spare_model<'a>(
     planner: &'a Planner,
     domain: &Domain<'_>,
     models: &[&'a Model],
@@ -114,6 +117,6 @@
     let Some(largest) = models.iter().copied().max_by_key(|model| model.size) else {
         return others;
     };
-    let largest_first = planner.config.first_spare_largest && is_first(domain, loading, largest);
+    let largest_first = planner.config.first_spare_largest && lacks_spare(domain, loading, largest);
     if largest_first { largest } else { others }
 }
--- a/crates/oliveworks-gateway-core/src/planner/stage.rs
+++ b/crates/oliveworks-gateway-core/src/planner/stage.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 
 use super::Planner;
-use super::domain::{Domain, domains, fits, quota};
+use super::domain::{Domain, can_hold, domains, quota};
 use super::group::Phase;
 use super::host::Host;
 use super::shortage::{SPARE_RATIO, Shortage};
@@ -52,23 +52,24 @@
     let domains = domains(now, planner);
     let mut staged: BTreeMap<(&str, &str), usize> = BTreeMap::new();
     let mut candidates = Vec::new();
-    for host in planner.hosts.values().filter(|host| host.is_fit()) {
+    for host in planner.hosts.values().filter(|host| host.is_eligible()) {
         let Some(holds) = grouped().find(|model| host.held_last(&model.name)) else { continue };
         let Some(domain) = domains.get(host.server.domain.as_str()) else { continue };
         for model in grouped().filter(|model| model.name != holds.name) {
-            if host.has(&model.name) || host.is_staging(&model.name) {
+            if host.has_copy(&model.name) || host.is_staging(&model.name) {
                 *staged.entry((&host.server.domain, &model.name)).or_default() += 1;
-            } else if !host.stages() && fits(planner, domain, model) {
+            } else if !host.is_staging_any() && can_hold(planner, domain, model) {
                 candidates.extend(candidate(planner, host, model));
             }
         }
     }
-    take_turns(&mut candidates, staged);
+    assign_turns(&mut candidates, staged);
     mark_completing(planner, &domains, &mut candidates);
     let most = if planner.traffic { planner.config.staged_max } else { usize::MAX };
     candidates.retain(|candidate| candidate.completes || candidate.turn < most);
-    let able: BTreeMap<&str, f64> =
-        grouped().map(|model| (model.name.as_str(), able_for_part(planner, model))).collect();
+    let able: BTreeMap<&str, f64> = grouped()
+        .map(|model| (model.name.as_str(), capable_hosts_per_share(planner, model)))
+        .collect();
     let least = able.values().copied().fold(f64::INFINITY, f64::min);
     let has_enough = |candidate: &Candidate<'_>| {
         able.get(candidate.model.name.as_str()).is_some_and(|able| *able > least * SPARE_RATIO)
@@ -95,15 +96,15 @@
 
 /// Returns the number of hosts that can serve a model without a load, now or soon, relative to its
 /// share.
-fn able_for_part(planner: &Planner, model: &Model) -> f64 {
-    let hosts = planner.hosts.values().filter(|host| host.is_fit());
-    let able = hosts.filter(|host| host.has(&model.name) || host.is_staging(&model.name));
+fn capable_hosts_per_share(planner: &Planner, model: &Model) -> f64 {
+    let hosts = planner.hosts.values().filter(|host| host.is_eligible());
+    let able = hosts.filter(|host| host.has_copy(&model.name) || host.is_staging(&model.name));
     per_weight(able.count(), model)
 }
 
 /// Assigns the turns of the candidates: idle hosts first, then the hosts of one group after the
 /// other.
-fn take_turns<'a>(
+fn assign_turns<'a>(
     candidates: &mut [Candidate<'a>],
     mut staged: BTreeMap<(&'a str, &'a str), usize>,
 ) {
@@ -122,7 +123,7 @@
     let Some(model) = planner.model(&group.model) else { return false };
     let head = planner.hosts.get(&group.members[0]);
     let domain = head.and_then(|head| domains.get(head.server.domain.as_str()));
-    domain.is_some_and(|domain| domain.count(model) > quota(planner, domain.name, model))
+    domain.is_some_and(|domain| domain.group_count(model) > quota(planner, domain.name, model))
 }
 
 /// Marks the candidates that complete groups which their domain lacks, as many as are missing.
@@ -139,8 +140,9 @@
         let near = sooner::nearest(&short_of, domain);
         for model in planner.engine.models.iter().filter(|model| model.size > 1) {
             let staging = domain.free.iter().filter(|host| host.is_staging(&model.name)).count();
-            let comes = domain.warm(model) + staging + domain.loads(model);
-            let lacks = (model.size * domain.lacks(planner, model)).saturating_sub(comes);
+            let expected = domain.warm_hosts(model) + staging + domain.loading_spares(model);
+            let lacks =
+                (model.size * domain.missing_groups(planner, model)).saturating_sub(expected);
             let of_near = near.filter(|near| near.model == model).map_or(0, |near| near.missing);
             let short = lacks.max(of_near);
             missing.insert((domain.name, &model.name), short);
--- a/crates/oliveworks-gateway-core/src/planner/waiting.rs
+++ b/crates/oliveworks-gateway-core/src/planner/waiting.rs
@@ -13,7 +13,7 @@
 
 /// Waiting time after which hosts are reported, in ms. A group of hosts with the model in memory
 /// forms in 2 s.
-const TOLD_AFTER_MS: u64 = 3_000;
+const REPORT_AFTER_MS: u64 = 3_000;
 
 /// Free hosts that wait for a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -42,16 +42,16 @@
         let found = self.find_waiting(now);
         let key = |waiting: &WaitingHosts| (waiting.domain.clone(), waiting.model.clone());
         self.waits.0.retain(|known, _| found.iter().any(|waiting| key(waiting) == *known));
-        let mut told = Vec::new();
+        let mut reported = Vec::new();
         for waiting in found {
-            let (since, is_told) = self.waits.0.entry(key(&waiting)).or_insert((now, false));
+            let (since, is_reported) = self.waits.0.entry(key(&waiting)).or_insert((now, false));
             let waited_ms = now.saturating_sub(*since);
-            if waited_ms >= TOLD_AFTER_MS && !*is_told {
-                *is_told = true;
-                told.push(WaitingHosts { waited_ms, ..waiting });
+            if waited_ms >= REPORT_AFTER_MS && !*is_reported {
+                *is_reported = true;
+                reported.push(WaitingHosts { waited_ms, ..waiting });
             }
         }
-        told
+        reported
     }
 
     fn find_waiting(&self, now: Millis) -> Vec<WaitingHosts> {
@@ -62,16 +62,16 @@
         let short = Shortage::of(self, &domains);
         let refusing: Vec<_> = self.engine.models.iter().filter(|m| short.refuses(m)).collect();
         let each = domains.values().flat_map(|domain| {
-            let near = refusing.iter().filter(|model| domain.warm(model) * 2 > model.size);
+            let near = refusing.iter().filter(|model| domain.warm_hosts(model) * 2 > model.size);
             near.map(|model| {
-                let hosts = domain.warm(model);
+                let hosts = domain.warm_hosts(model);
                 let staging = domain.free.iter().filter(|host| host.is_staging(&model.name));
                 WaitingHosts {
                     domain: domain.name.to_owned(),
                     model: model.name.clone(),
                     hosts,
                     missing: model.size.saturating_sub(hosts),
-                    loading: domain.loads(model) + staging.count(),
+                    loading: domain.loading_spares(model) + staging.count(),
                     waited_ms: 0,
                 }
             })
--- a/crates/oliveworks-gateway-core/src/planner/yielding.rs
+++ b/crates/oliveworks-gateway-core/src/planner/yielding.rs
@@ -8,71 +8,79 @@
 use crate::configuration::Model;
 
 /// Groups that are preempted so that a model with a greater shortage gets their hosts.
-pub(super) struct Yield {
+pub(super) struct Preemption {
     pub(super) epochs: Vec<u64>,
     pub(super) model: String,
 }
 
 /// Returns groups to preempt where the domain should hold a larger group instead and lacks only
 /// their hosts for it.
-pub(super) fn yielding(now: Millis, planner: &Planner) -> Option<Yield> {
+pub(super) fn find_preemption(now: Millis, planner: &Planner) -> Option<Preemption> {
     let domains = domains(now, planner);
     let mut models: Vec<&Model> = planner.engine.models.iter().filter(|m| m.size > 1).collect();
     models.sort_by_key(|model| std::cmp::Reverse(model.size));
-    let mut still = domains.values().filter(|domain| !domain.moving);
+    let mut still = domains.values().filter(|domain| !domain.in_transition);
     still.find_map(|domain| {
-        let needy = models.iter().find(|model| domain.lacks(planner, model) > 0)?;
-        let epochs = givers(planner, domain, needy)?;
-        Some(Yield { epochs, model: needy.name.clone() })
+        let beneficiary = models.iter().find(|model| domain.missing_groups(planner, model) > 0)?;
+        let epochs = preemptable_groups(planner, domain, beneficiary)?;
+        Some(Preemption { epochs, model: beneficiary.name.clone() })
     })
 }
 
-/// Returns the groups of smaller models whose hosts complete a group of `needy`, if the domain
+/// Returns the groups of smaller models whose hosts complete a group of `beneficiary`, if the domain
 /// keeps as many of them as its quota asks for. Hosts that are left over may form new groups at
 /// once.
-fn givers(planner: &Planner, domain: &Domain<'_>, needy: &Model) -> Option<Vec<u64>> {
-    let smaller = planner.engine.models.iter().filter(|m| m.size > 1 && m.size < needy.size);
-    let found = smaller.filter_map(|model| givers_of(planner, domain, needy, model)).next();
-    found.or_else(|| surplus_group(planner, domain, needy).map(|epoch| vec![epoch]))
+fn preemptable_groups(
+    planner: &Planner,
+    domain: &Domain<'_>,
+    beneficiary: &Model,
+) -> Option<Vec<u64>> {
+    let smaller = planner.engine.models.iter().filter(|m| m.size > 1 && m.size < beneficiary.size);
+    let found = smaller
+        .filter_map(|model| preemptable_groups_of(planner, domain, beneficiary, model))
+        .next();
+    found.or_else(|| surplus_group(planner, domain, beneficiary).map(|epoch| vec![epoch]))
 }
 
 /// Returns a group of a larger model that exceeds the domain's quota, if all its hosts have the
-/// model of `needy` in memory. Until then the group continues to serve.
-fn surplus_group(planner: &Planner, domain: &Domain<'_>, needy: &Model) -> Option<u64> {
-    let larger = |name: &str| planner.model(name).is_some_and(|model| model.size > needy.size);
+/// model of `beneficiary` in memory. Until then the group continues to serve.
+fn surplus_group(planner: &Planner, domain: &Domain<'_>, beneficiary: &Model) -> Option<u64> {
+    let larger =
+        |name: &str| planner.model(name).is_some_and(|model| model.size > beneficiary.size);
     let mut groups = planner.groups.values().filter(|group| larger(&group.model));
     groups.find_map(|group| {
         let model = planner.model(&group.model)?;
-        let surplus = domain.count(model) > quota(planner, domain.name, model);
+        let surplus = domain.group_count(model) > quota(planner, domain.name, model);
         let open = matches!(group.phase, Phase::Open { .. });
         let able = group.members.iter().all(|id| {
             let host = planner.hosts.get(id);
             host.is_some_and(|host| {
-                host.server.domain == domain.name && warmth(host, needy) < Warmth::Cold
+                host.server.domain == domain.name && warmth(host, beneficiary) < Warmth::Cold
             })
         });
         (surplus && open && able).then_some(group.epoch)
     })
 }
 
-fn givers_of(
+fn preemptable_groups_of(
     planner: &Planner,
     domain: &Domain<'_>,
-    needy: &Model,
+    beneficiary: &Model,
     model: &Model,
 ) -> Option<Vec<u64>> {
-    let mut lacking = needy.size.checked_sub(domain.warm(needy)).filter(|count| *count > 0)?;
+    let mut lacking =
+        beneficiary.size.checked_sub(domain.warm_hosts(beneficiary)).filter(|count| *count > 0)?;
     let unused = domain
         .free
         .iter()
-        .filter(|host| host.held_last(&model.name) && warmth(host, needy) == Warmth::Cold);
+        .filter(|host| host.held_last(&model.name) && warmth(host, beneficiary) == Warmth::Cold);
     let mut left_over = unused.count();
     let mut epochs = Vec::new();
     for group in planner.groups.values().filter(|group| group.model == model.name) {
         let members: Vec<&Host> =
             group.members.iter().filter_map(|id| planner.hosts.get(id)).collect();
         let here = members.iter().all(|host| host.server.domain == domain.name);
-        let able = members.iter().filter(|host| warmth(host, needy) < Warmth::Cold).count();
+        let able = members.iter().filter(|host| warmth(host, beneficiary) < Warmth::Cold).count();
         if lacking == 0 || !here || able == 0 || !matches!(group.phase, Phase::Open { .. }) {
             continue;
         }
@@ -81,8 +89,8 @@
         left_over += members.len() - taken;
         epochs.push(group.epoch);
     }
-    let keeps = domain.count(model) + left_over / model.size.max(1);
+    let keeps = domain.group_count(model) + left_over / model.size.max(1);
     let enough = keeps >= quota(planner, domain.name, model) + epochs.len()
-        || planner.is_worth(needy, model, epochs.len());
+        || planner.is_worth_preempting(beneficiary, model, epochs.len());
     (lacking == 0 && enough).then_some(epochs)
 }
--- a/crates/oliveworks-gateway-core/src/quota.rs
+++ b/crates/oliveworks-gateway-core/src/quota.rs
@@ -60,7 +60,7 @@
     let mut rooms = rooms.clone();
     loop {
         let found = fill(models, &rooms, spread);
-        let Some(domain) = gives_way(models, &rooms, &found) else { return found };
+        let Some(domain) = domain_to_release_spare(models, &rooms, &found) else { return found };
         let Some(room) = rooms.get_mut(&domain) else { return found };
         room.hosts += 1;
         room.spares -= 1;
@@ -69,7 +69,11 @@
 
 /// Returns the domain that should keep one spare less, because a model has no group and the hosts
 /// of the domain would suffice for one.
-fn gives_way(models: &[Model], rooms: &BTreeMap<String, Room>, found: &Quotas) -> Option<String> {
+fn domain_to_release_spare(
+    models: &[Model],
+    rooms: &BTreeMap<String, Room>,
+    found: &Quotas,
+) -> Option<String> {
     let has_group = |model: &Model| found.values().any(|groups| groups.contains_key(&model.name));
     let unserved = models.iter().filter(|model| model.size > 0 && !has_group(model));
     let fits = unserved.flat_map(|model| {
@@ -109,7 +113,7 @@
     let mut counts = counts.to_vec();
     let mut turns = Vec::new();
     for _ in 0..=most {
-        let next = neediest(models, open, &counts);
+        let next = most_underserved(models, open, &counts);
         counts[next] += 1;
         turns.push(next);
     }
@@ -140,7 +144,7 @@
     fitting
 }
 
-fn neediest(models: &[Model], open: &[usize], counts: &[usize]) -> usize {
+fn most_underserved(models: &[Model], open: &[usize], counts: &[usize]) -> usize {
     let need = |model: usize| per_weight(counts[model] * models[model].size, &models[model]);
     // If only one of two models without groups fits, the one with the larger share is served.
     let first = |model: usize| if need(model) > 0.0 { 0.0 } else { -models[model].share };
--- a/crates/oliveworks-gateway-core/src/quota/packing.rs
+++ b/crates/oliveworks-gateway-core/src/quota/packing.rs
@@ -19,7 +19,7 @@
     failure_domains: Vec<usize>,
     /// Number of groups of each model that are placed in separate failure domains; 0 for all models
     /// if no loss of a failure domain has to be tolerated.
-    apart: Vec<usize>,
+    separate: Vec<usize>,
     /// Existing groups by domain and model, and free hosts that hold the model.
     groups: Vec<Vec<usize>>,
     hot: Vec<Vec<usize>>,
@@ -48,13 +48,13 @@
             hosts: rooms.values().map(|room| room.hosts).collect(),
             spares: rooms.values().map(|room| room.spares).collect(),
             failure_domains: numbered(rooms, spread),
-            apart: vec![0; models.len()],
+            separate: vec![0; models.len()],
             groups: rooms.values().map(|room| by_model(&room.groups)).collect(),
             hot: rooms.values().map(|room| by_model(&room.hot)).collect(),
             largest_first,
         };
         if spread.lost > 0 {
-            pool.apart = pool.most_apart(spread.lost + 1);
+            pool.separate = pool.max_separate(spread.lost + 1);
         }
         pool
     }
@@ -62,26 +62,26 @@
     /// Returns the number of groups of each model that are placed before all others, in separate
     /// failure domains.
     pub(super) fn spread_groups(&self) -> &[usize] {
-        &self.apart
+        &self.separate
     }
 
     /// Returns in how many failure domains each model can have a group along with the other models,
     /// at most `wanted`. First every model gets one, then a second and so on, with models of a
     /// larger share first.
-    fn most_apart(&self, wanted: usize) -> Vec<usize> {
-        let mut apart = vec![0; self.models.len()];
+    fn max_separate(&self, wanted: usize) -> Vec<usize> {
+        let mut separate = vec![0; self.models.len()];
         let mut by_share: Vec<usize> = self.largest_first.clone();
         by_share.retain(|model| self.models[*model].size > 0);
         by_share.sort_by(|a, b| self.models[*b].share.total_cmp(&self.models[*a].share));
         for count in 1..=wanted {
             by_share.retain(|model| {
-                apart[*model] = count;
-                let fits = self.pack_apart(&apart, &apart).is_some();
-                apart[*model] -= usize::from(!fits);
+                separate[*model] = count;
+                let fits = self.pack_separate(&separate, &separate).is_some();
+                separate[*model] -= usize::from(!fits);
                 fits
             });
         }
-        apart
+        separate
     }
 
     /// Returns an upper bound on the number of groups, which never fits.
@@ -107,15 +107,15 @@
 
     /// Places `counts` groups of each model, the largest first. Returns `None` if they do not fit.
     pub(super) fn pack(&self, counts: &[usize]) -> Option<Packed> {
-        self.pack_apart(counts, &self.apart)
+        self.pack_separate(counts, &self.separate)
     }
 
-    /// Like [`pack`](Pool::pack), with `apart` groups of each model in separate failure domains.
-    fn pack_apart(&self, counts: &[usize], apart: &[usize]) -> Option<Packed> {
+    /// Like [`pack`](Pool::pack), with `separate` groups of each model in separate failure domains.
+    fn pack_separate(&self, counts: &[usize], separate: &[usize]) -> Option<Packed> {
         let needed: usize =
             self.models.iter().zip(counts).map(|(model, count)| model.size * count).sum();
         let given: usize =
-            if apart.iter().any(|count| *count > 0) { self.spares.iter().sum() } else { 0 };
+            if separate.iter().any(|count| *count > 0) { self.spares.iter().sum() } else { 0 };
         if needed > self.hosts.iter().sum::<usize>() + given {
             return None;
         }
@@ -124,15 +124,15 @@
             left: self.hosts.clone(),
             spares: self.spares.clone(),
             packed: vec![vec![0; self.models.len()]; self.hosts.len()],
-            together: vec![vec![0; self.models.len()]; self.hosts.len()],
+            per_failure_domain: vec![vec![0; self.models.len()]; self.hosts.len()],
         };
         for model in self.largest_first.iter().copied() {
-            for _ in 0..apart[model] {
-                packing.place_apart(model)?;
+            for _ in 0..separate[model] {
+                packing.place_separate(model)?;
             }
         }
         for model in self.largest_first.iter().copied() {
-            for _ in apart[model]..counts[model] {
+            for _ in separate[model]..counts[model] {
                 packing.place(model)?;
             }
         }
@@ -159,17 +159,18 @@
     spares: Vec<usize>,
     packed: Packed,
     /// Number of groups by failure domain and model.
-    together: Packed,
+    per_failure_domain: Packed,
 }
 
 impl Packing<'_> {
     /// Places a group of a model in a failure domain without one, if there is room. The criteria
     /// for the domain are, in this order: a group of the model exists, no spare is released, most
     /// hosts hold the model, most hosts remain.
-    fn place_apart(&mut self, model: usize) -> Option<()> {
+    fn place_separate(&mut self, model: usize) -> Option<()> {
         let size = self.pool.models[model].size;
         let fitting = (0..self.left.len()).filter(|domain| {
-            self.beside(*domain)[model] == 0 && self.left[*domain] + self.spares[*domain] >= size
+            self.in_failure_domain(*domain)[model] == 0
+                && self.left[*domain] + self.spares[*domain] >= size
         });
         let most = std::cmp::Reverse;
         let domain = fitting.min_by_key(|domain| {
@@ -191,7 +192,7 @@
     /// remain.
     fn place(&mut self, model: usize) -> Option<()> {
         let size = self.pool.models[model].size;
-        let spreads = self.pool.apart[model] > 0;
+        let spreads = self.pool.separate[model] > 0;
         let fitting = (0..self.left.len()).filter(|domain| self.left[*domain] >= size);
         let most = std::cmp::Reverse;
         let domain = fitting.min_by_key(|domain| {
@@ -200,8 +201,9 @@
             let new = placed.saturating_sub(groups) * size;
             let hot = self.pool.hot[*domain][model].saturating_sub(new);
             let exists = placed < groups;
-            let beside = if spreads { self.beside(*domain)[model] } else { 0 };
-            (!exists, most(hot.min(size)), beside, placed, most(self.left[*domain]))
+            let in_failure_domain =
+                if spreads { self.in_failure_domain(*domain)[model] } else { 0 };
+            (!exists, most(hot.min(size)), in_failure_domain, placed, most(self.left[*domain]))
         })?;
         self.left[domain] -= size;
         self.count(domain, model);
@@ -209,12 +211,12 @@
     }
 
     /// Returns the groups in the failure domain of a domain, by model.
-    fn beside(&self, domain: usize) -> &[usize] {
-        &self.together[self.pool.failure_domains[domain]]
+    fn in_failure_domain(&self, domain: usize) -> &[usize] {
+        &self.per_failure_domain[self.pool.failure_domains[domain]]
     }
 
     fn count(&mut self, domain: usize, model: usize) {
         self.packed[domain][model] += 1;
-        self.together[self.pool.failure_domains[domain]][model] += 1;
+        self.per_failure_domain[self.pool.failure_domains[domain]][model] += 1;
     }
 }
--- a/crates/oliveworks-gateway-core/src/speed.rs
+++ b/crates/oliveworks-gateway-core/src/speed.rs
@@ -11,11 +11,11 @@
 use crate::balance::Target;
 
 /// Weight of a new pause in the moving average.
-const WEIGHT: f64 = 0.15;
+const SAMPLE_WEIGHT: f64 = 0.15;
 /// Minimum number of observed pauses.
-const SAMPLES: u32 = 8;
+const SAMPLES_MIN: u32 = 8;
 /// Maximum age of the last pause, in ms.
-const YOUNG_MS: u64 = 1_000;
+const SAMPLE_MAX_AGE_MS: u64 = 1_000;
 /// Ratio to the median pause of the other groups of the model above which a group is slow.
 const SLOW_RATIO: f64 = 2.0;
 
@@ -34,10 +34,10 @@
     /// Records a pause between two events of a stream at a target.
     pub fn paused(&mut self, now: Millis, target: Target, pause_ms: u64) {
         let speed = self.0.entry(target).or_default();
-        if now > speed.at + YOUNG_MS {
+        if now > speed.at + SAMPLE_MAX_AGE_MS {
             *speed = Speed { pause_ms: pause_ms as f64, ..Speed::default() };
         }
-        speed.pause_ms += (pause_ms as f64 - speed.pause_ms) * WEIGHT;
+        speed.pause_ms += (pause_ms as f64 - speed.pause_ms) * SAMPLE_WEIGHT;
         speed.samples += 1;
         speed.at = now;
     }
@@ -48,7 +48,8 @@
     pub fn slow(&self, now: Millis, targets: &[Target], longest_pass_ms: u64) -> Vec<Target> {
         let known = |target: &Target| {
             let speed = self.0.get(target)?;
-            (speed.samples >= SAMPLES && now <= speed.at + YOUNG_MS).then_some(speed.pause_ms)
+            (speed.samples >= SAMPLES_MIN && now <= speed.at + SAMPLE_MAX_AGE_MS)
+                .then_some(speed.pause_ms)
         };
         let pauses: Vec<(Target, f64)> =
             targets.iter().filter_map(|target| Some((*target, known(target)?))).collect();
