--- a/crates/oliveworks-core/src/admit.rs
+++ b/crates/oliveworks-core/src/admit.rs
@@ -134,12 +134,12 @@
         let wait = self.expected_wait_ms(&request.template, request.priority);
         let retry_after = self.retry_after_ms(&request.template);
         if now.plus(wait + self.config.least_ms) >= request.deadline {
-            let reason = format!("expected wait of {wait} ms exceeds the request's deadline");
+            let reason = format!("it would wait {wait} ms, past its deadline");
             let refusal = Refusal::new(ErrorKind::DeadlineExceeded, Ran::No, reason);
             return vec![(request.id, refusal.after(retry_after))];
         }
         if wait > self.config.wait_ms {
-            let reason = format!("expected wait of {wait} ms exceeds the limit of the entry");
+            let reason = format!("it would wait {wait} ms");
             let refusal = Refusal::new(ErrorKind::Overloaded, Ran::No, reason);
             return vec![(request.id, refusal.after(retry_after))];
         }
@@ -167,7 +167,7 @@
             () => None,
         };
         let refusal = |id: RequestId| {
-            let reason = "the queue for waiting requests is full";
+            let reason = "more waits than can be served in time";
             (id, Refusal::new(ErrorKind::Overloaded, Ran::No, reason).after(retry_after))
         };
         shed.map(|w| refusal(w.id)).into_iter().collect()
@@ -240,7 +240,7 @@
         let mut refused = Vec::new();
         for (id, retry_after) in ids {
             self.remove(id);
-            let reason = "the request waited too long to meet its deadline";
+            let reason = "its deadline came while it waited";
             let refusal = Refusal::new(ErrorKind::DeadlineExceeded, Ran::No, reason);
             refused.push((id, refusal.after(retry_after)));
         }
--- a/crates/oliveworks-core/src/agent/gate.rs
+++ b/crates/oliveworks-core/src/agent/gate.rs
@@ -42,7 +42,7 @@
         let view = self.leads().map(|(_, view)| view);
         let begin = match (self.refusal_unless_serving(now.mono, epoch, handed), view) {
             (None, Some(_)) => self.ledger.begin(now, handed),
-            (None, None) => Begin::Refuse(unavailable("this host leads no view")),
+            (None, None) => Begin::Refuse(unavailable("no view")),
             (Some(refusal), _) => Begin::Refuse(refusal),
         };
         match (begin, view) {
@@ -65,19 +65,19 @@
     ) -> Option<Refusal> {
         let assigned = match &self.assigned {
             Some(a) if a.epoch == epoch => a,
-            _ => return Some(unavailable("the group has ended or is not known to this agent yet")),
+            _ => return Some(unavailable("the group has ended or is not known here yet")),
         };
         if self.machine.is("draining") || self.machine.is("drained") || self.leaving {
             return Some(unavailable("the group is draining"));
         }
         if !self.is_serving(now) {
-            return Some(unavailable("the group is incomplete or this host does not lead it"));
+            return Some(unavailable("the group is not whole or not led here"));
         }
         if handed.key.is_some_and(|key| key.homes_at != assigned.homes_at) {
-            return Some(unavailable("the homes of the keys were reassigned"));
+            return Some(unavailable("the keys' homes were dealt out anew"));
         }
         if self.ledger.running() >= assigned.concurrent {
-            let reason = "the replica has reached its limit of concurrent requests";
+            let reason = "the replica runs as much as it may";
             return Some(Refusal::new(ErrorKind::Overloaded, Ran::No, reason));
         }
         None
--- a/crates/oliveworks-core/src/ledger.rs
+++ b/crates/oliveworks-core/src/ledger.rs
@@ -247,15 +247,15 @@
     pub fn recall(&mut self, now: Millis, handed: &Handed) -> Option<Begin> {
         self.expire(now);
         if handed.incarnation != self.incarnation {
-            let reason = "the request is addressed to another incarnation of this agent";
+            let reason = "meant for an earlier run of this agent";
             return Some(refuse(ErrorKind::Unavailable, Ran::Unknown, reason));
         }
         if now >= handed.not_after {
-            let reason = "the request arrived after the latest time at which it may start";
+            let reason = "arrived after the latest time at which it may start";
             return Some(refuse(ErrorKind::DeadlineExceeded, Ran::Unknown, reason));
         }
         if self.revoked.contains(&(handed.id, handed.attempt)) {
-            let reason = "this attempt was stopped before it began";
+            let reason = "this try was stopped before it began";
             return Some(refuse(ErrorKind::ContactLost, Ran::No, reason));
         }
         self.entries.get(&handed.id).map(|entry| decision_on(entry, handed))
@@ -265,7 +265,7 @@
     pub fn begin(&mut self, now: Now, handed: &Handed) -> Begin {
         debug_assert!(!self.entries.contains_key(&handed.id), "recall must be called first");
         if self.len() >= self.config.entries {
-            return refuse(ErrorKind::Overloaded, Ran::No, "the agent's request ledger is full");
+            return refuse(ErrorKind::Overloaded, Ran::No, "the agent's memory is full");
         }
         if let Some(refusal) = handed.key.and_then(|key| self.check_key(now, key)) {
             return Begin::Refuse(refusal);
@@ -319,9 +319,8 @@
             return None;
         }
         let left = self.config.key_window_ms - now.mono.since(since);
-        let reason = "the request may have run at the key's former home, whose records are not \
-                   available; a new key that carries its creation time (UUID version 7) is \
-                   accepted earlier";
+        let reason = "the key may have run at its former home, whose memory is gone; a new key that \
+                   carries its time (UUID version 7) is accepted sooner";
         let left_ms = u32::try_from(left).unwrap_or(u32::MAX);
         Some(Refusal::new(ErrorKind::OutcomeForgotten, Ran::Unknown, reason).after(left_ms))
     }
@@ -423,14 +422,12 @@
             refuse(ErrorKind::KeyReused, Ran::No, "the key was used for another request")
         }
         State::Running if entry.attempt == handed.attempt => {
-            refuse(ErrorKind::InProgress, Ran::Unknown, "this attempt has already arrived")
-        }
-        State::Running => {
-            refuse(ErrorKind::InProgress, Ran::Unknown, "a request with the same key is running")
+            refuse(ErrorKind::InProgress, Ran::Unknown, "this very try arrived before")
         }
+        State::Running => refuse(ErrorKind::InProgress, Ran::Unknown, "the same key runs now"),
         State::Done(Some(kept)) => Begin::Kept(kept.clone()),
         State::Done(None) => {
-            refuse(ErrorKind::AnswerGone, Ran::Yes, "the request ran; its answer is not kept")
+            refuse(ErrorKind::AnswerGone, Ran::Yes, "it ran; its answer is not kept")
         }
     }
 }
--- a/crates/oliveworks-core/src/pool.rs
+++ b/crates/oliveworks-core/src/pool.rs
@@ -250,7 +250,7 @@
                 Author::System,
             ) => {
                 if addresses.len() != hosts.len() + spares.len() {
-                    return Err(Ignored::Invalid("wrong number of addresses".into()));
+                    return Err(Ignored::Invalid("the number of addresses".into()));
                 }
                 let shape = self.check_group(slot, *template_at, hosts, spares, *basis)?;
                 let published = self.templates.get_mut(&slot.template).ok_or(Ignored::Missing)?;
@@ -343,9 +343,7 @@
         let sum: u32 = shares.values().map(|s| u32::from(*s)).sum();
         let names_all = shares.keys().eq(self.partners.iter());
         if !names_all || sum != 100 {
-            return Err(Ignored::Invalid(
-                "shares must name every partner and add up to 100".into(),
-            ));
+            return Err(Ignored::Invalid("shares name every partner and add up to 100".into()));
         }
         self.shares.insert(author.clone(), shares.clone());
         Ok(())
@@ -370,7 +368,7 @@
         }
         let spares_max = usize::from(template.spares.min(template.hosts - 1));
         if hosts.len() != usize::from(template.hosts) || spares.len() > spares_max {
-            return Err(Ignored::Invalid("wrong number of hosts".into()));
+            return Err(Ignored::Invalid("the number of hosts".into()));
         }
         self.check_basis(slot, template.shape(), basis)?;
         let replaced = match basis {
@@ -450,7 +448,7 @@
         for group in self.groups.values() {
             let spares = group.ranked.len() - group.width().min(group.ranked.len());
             if group.width() > group.ranked.len() || spares >= group.width() {
-                return Err(format!("{} has an invalid number of spares: {}", group.epoch, spares));
+                return Err(format!("{} has {} spares", group.epoch, spares));
             }
             for host in &group.ranked {
                 if let Some(other) = seen.insert(*host, group.epoch) {
@@ -460,7 +458,7 @@
         }
         match seen == self.hosts {
             true => Ok(()),
-            false => Err("the host index does not match the groups".into()),
+            false => Err("the index of hosts differs from the groups".into()),
         }
     }
 
@@ -506,7 +504,7 @@
     /// # Errors
     /// If the bytes are not a snapshot. [`Snapshot::open`] checks the digest and the invariants.
     pub fn from_bytes(bytes: &[u8]) -> Result<Snapshot, String> {
-        postcard::from_bytes(bytes).map_err(|e| format!("not a valid snapshot: {e}"))
+        postcard::from_bytes(bytes).map_err(|e| format!("no snapshot: {e}"))
     }
 
     /// Returns the pool after checking its digest and invariants.
--- a/crates/oliveworks-core/src/record.rs
+++ b/crates/oliveworks-core/src/record.rs
@@ -150,13 +150,13 @@
 impl fmt::Display for Ignored {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Ignored::Repeated => f.write_str("the same record was applied before"),
-            Ignored::NoRight => f.write_str("the author may not write this record"),
+            Ignored::Repeated => f.write_str("the same record came before"),
+            Ignored::NoRight => f.write_str("the author has no right to it"),
             Ignored::Invalid(why) => write!(f, "invalid: {why}"),
-            Ignored::Stale => f.write_str("the record is based on an outdated version"),
-            Ignored::Missing => f.write_str("the template, group or host does not exist"),
+            Ignored::Stale => f.write_str("another version was published since"),
+            Ignored::Missing => f.write_str("there is no such thing"),
             Ignored::HostNotFree(host) => write!(f, "{host} is not free"),
-            Ignored::SlotTaken => f.write_str("the replica already has a group"),
+            Ignored::SlotTaken => f.write_str("the replica has a group already"),
         }
     }
 }
--- a/crates/oliveworks-core/src/relay.rs
+++ b/crates/oliveworks-core/src/relay.rs
@@ -121,7 +121,7 @@
                 Next::Answered
             }
             Take::Drop => Next::Wait,
-            Take::Gap => self.failed(now, "a piece of the answer is missing", budget),
+            Take::Gap => self.failed(now, "the answer had a gap", budget),
         }
     }
 
@@ -177,7 +177,7 @@
             self.machine.fire("retry");
             return Next::Send;
         }
-        let reason = "contact was lost before the request began, and the request was stopped";
+        let reason = "contact was lost before it began, and it was stopped from beginning";
         self.give_up(Refusal::new(ErrorKind::ContactLost, Ran::No, reason))
     }
 
--- a/crates/oliveworks-core/src/template.rs
+++ b/crates/oliveworks-core/src/template.rs
@@ -184,7 +184,7 @@
             Kind::Service => 1..=1,
         };
         if !range.contains(&self.hosts) {
-            let why = format!("must be {} to {} for this kind", range.start(), range.end());
+            let why = format!("{} to {} for this kind", range.start(), range.end());
             return Err(TemplateError::new("hosts", why));
         }
         // Any two choices of `hosts` members out of `hosts + spares` must share a host. The lease
@@ -193,19 +193,19 @@
             return Err(TemplateError::new("spares", "must be fewer than hosts"));
         }
         if self.replicas > REPLICAS_MAX {
-            return Err(TemplateError::new("replicas", format!("must be at most {REPLICAS_MAX}")));
+            return Err(TemplateError::new("replicas", format!("at most {REPLICAS_MAX}")));
         }
         if self.priority > PRIORITY_MAX {
-            return Err(TemplateError::new("priority", format!("must be 0 to {PRIORITY_MAX}")));
+            return Err(TemplateError::new("priority", format!("0 to {PRIORITY_MAX}")));
         }
         if self.limits.concurrent == 0 {
-            return Err(TemplateError::new("limits.concurrent", "must be at least 1"));
+            return Err(TemplateError::new("limits.concurrent", "at least 1"));
         }
         if self.limits.deadline_ms == 0 {
-            return Err(TemplateError::new("limits.deadline_ms", "must be at least 1"));
+            return Err(TemplateError::new("limits.deadline_ms", "at least 1"));
         }
         if self.limits.max_tokens == 0 {
-            return Err(TemplateError::new("limits.max_tokens", "must be at least 1"));
+            return Err(TemplateError::new("limits.max_tokens", "at least 1"));
         }
         Ok(())
     }
@@ -257,13 +257,10 @@
                 && t.chars().all(|c| c.is_ascii_hexdigit() && !c.is_ascii_uppercase())
         };
         if !self.tokens.iter().all(hex) {
-            return Err(TemplateError::new(
-                "tokens",
-                "each digest must have 64 lower-case hexadecimal digits",
-            ));
+            return Err(TemplateError::new("tokens", "each is 64 lower-case hexadecimal digits"));
         }
         if self.weight == 0 {
-            return Err(TemplateError::new("weight", "must be at least 1"));
+            return Err(TemplateError::new("weight", "at least 1"));
         }
         Ok(())
     }
--- a/crates/oliveworks-core/tests/pool.rs
+++ b/crates/oliveworks-core/tests/pool.rs
@@ -62,7 +62,7 @@
 #[test_case(1, &[5, 5, 6, 7], Basis::Fresh, Ignored::HostNotFree(HostId(5)); "a host stands twice")]
 #[test_case(1, &[5, 6, 7, 9], Basis::Fresh, Ignored::HostNotFree(HostId(9)); "a host is drained")]
 #[test_case(2, &[5, 6, 7, 8], Basis::Fresh, Ignored::Missing; "no such replica")]
-#[test_case(1, &[5, 6, 7], Basis::Fresh, Ignored::Invalid("wrong number of hosts".into()); "too few")]
+#[test_case(1, &[5, 6, 7], Basis::Fresh, Ignored::Invalid("the number of hosts".into()); "too few")]
 #[test_case(1, &[5, 6, 7, 8], Basis::Supersedes(Epoch(77)), Ignored::Missing; "nothing to supersede")]
 #[test_case(0, &[4, 5, 6, 7], Basis::Alongside(Epoch(2)), Ignored::HostNotFree(HostId(4)); "shares a host")]
 fn a_group_that_does_not_fit_is_ignored(index: u16, hosts: &[u32], basis: Basis, why: Ignored) {
