--- a/crates/oliveworks-core/src/agent/gate.rs
+++ b/crates/oliveworks-core/src/agent/gate.rs
@@ -30,7 +30,7 @@
 impl Agent {
     /// Returns whether the group serves through this host at `now`.
     pub fn is_serving(&self, now: Millis) -> bool {
-        self.machine.is("serving") && self.holder.as_ref().is_some_and(|h| h.is_whole(now))
+        self.machine.is("serving") && self.holder.as_ref().is_some_and(|h| h.is_complete(now))
     }
 
     /// Decides whether a request may be handed to the engine. [`Begin::Run`] comes with a pass, and
@@ -86,7 +86,7 @@
     /// Returns whether a piece of an answer may be sent back. The view that began the request must
     /// still be complete at `now`, which the caller reads after the piece arrived from the engine.
     pub fn may_pass(&self, now: Millis, pass: &Pass) -> bool {
-        let same = |h: &Holder| h.epoch == pass.epoch && h.view == pass.view && h.is_whole(now);
+        let same = |h: &Holder| h.epoch == pass.epoch && h.view == pass.view && h.is_complete(now);
         self.holder.as_ref().is_some_and(same)
     }
 
--- a/crates/oliveworks-core/src/agent/leading.rs
+++ b/crates/oliveworks-core/src/agent/leading.rs
@@ -24,7 +24,9 @@
                     self.propose(now, &assigned, out);
                 }
             }
-            Some(holder) if !holder.is_whole(now) => self.handle_lost_members(now, &assigned, out),
+            Some(holder) if !holder.is_complete(now) => {
+                self.handle_lost_members(now, &assigned, out)
+            }
             Some(_) => {}
         }
         self.ask_members(now, &assigned, out);
@@ -123,7 +125,7 @@
         self.grantor.release(holder.epoch, holder.view, self.config.host);
         self.resign_home_if_shared();
         self.machine.fire("lease_lost");
-        self.reported_whole = false;
+        self.reported_complete = false;
     }
 
     pub(super) fn ask_members(&mut self, now: Millis, assigned: &Assigned, out: &mut Vec<Command>) {
@@ -219,7 +221,7 @@
             return refuse(NoGrant::Promised, highest);
         }
         // A leader that does not serve yields to a later view.
-        let yields = |h: &Holder| h.epoch == epoch && h.view < view && !h.is_whole(now);
+        let yields = |h: &Holder| h.epoch == epoch && h.view < view && !h.is_complete(now);
         if self.holder.as_ref().is_some_and(yields) {
             self.stop_leading(&mut out);
         }
@@ -248,7 +250,7 @@
         highest: View,
     ) -> Vec<Command> {
         let mut out = Vec::new();
-        let outdated = |h: &Holder| h.epoch == epoch && h.view < highest && !h.is_whole(now);
+        let outdated = |h: &Holder| h.epoch == epoch && h.view < highest && !h.is_complete(now);
         if self.holder.as_ref().is_some_and(outdated) {
             self.stop_leading(&mut out);
             self.grantor.observe(epoch, highest);
--- a/crates/oliveworks-core/src/agent/mod.rs
+++ b/crates/oliveworks-core/src/agent/mod.rs
@@ -128,7 +128,7 @@
     last_tick: Millis,
     backoff_until: Millis,
     suspected: BTreeSet<HostId>,
-    reported_whole: bool,
+    reported_complete: bool,
     /// Whether this run of the agent saw its host free before the group was formed there. No
     /// earlier run can then have been the home of the group's keys.
     seen_unassigned: bool,
@@ -159,7 +159,7 @@
             last_tick: now,
             backoff_until: now,
             suspected: BTreeSet::new(),
-            reported_whole: false,
+            reported_complete: false,
             seen_unassigned: false,
             config,
         }
@@ -277,19 +277,19 @@
 
     /// Updates the group's state (serving, not serving, drained) from the state of the lease.
     fn tick_state(&mut self, now: Millis, out: &mut Vec<Command>) {
-        let whole = self.holder.as_ref().is_some_and(|h| h.is_whole(now));
-        if whole != self.reported_whole {
-            self.reported_whole = whole;
+        let complete = self.holder.as_ref().is_some_and(|h| h.is_complete(now));
+        if complete != self.reported_complete {
+            self.reported_complete = complete;
             let members = self.view_members();
-            let name = if whole { "serving" } else { "not_serving" };
+            let name = if complete { "serving" } else { "not_serving" };
             out.push(Command::Note(name, format!("{members:?}")));
-            if !whole {
+            if !complete {
                 // Pieces cannot be passed on any more, so the answers would only be thrown away.
                 out.push(Command::CutRequests);
                 self.resign_home_if_shared();
             }
         }
-        self.machine.fire(if whole { "all_granted" } else { "lease_lost" });
+        self.machine.fire(if complete { "all_granted" } else { "lease_lost" });
         if self.assigned.as_ref().is_some_and(|a| a.draining) {
             self.machine.fire("drain"); // The record may have arrived before the engine was bound.
         }
@@ -314,8 +314,8 @@
 
     /// Makes a serving agent a home of keys. The runtime calls it with each tick.
     pub fn tick_home(&mut self, now: Now) {
-        let whole = self.holder.as_ref().is_some_and(|h| h.is_whole(now.mono));
-        if !whole || !self.machine.is("serving") || self.ledger.is_home() {
+        let complete = self.holder.as_ref().is_some_and(|h| h.is_complete(now.mono));
+        if !complete || !self.machine.is("serving") || self.ledger.is_home() {
             return;
         }
         // These keys never had another home: the group has one host, is the first in its slot, and
@@ -335,7 +335,7 @@
     pub fn report(&self, now: Millis) -> Option<GroupReport> {
         let holder = self.holder.as_ref()?;
         // Only the leader of a complete view knows that no other host of the group runs requests.
-        let drained = self.machine.is("drained") && holder.is_whole(now);
+        let drained = self.machine.is("drained") && holder.is_complete(now);
         Some(GroupReport {
             epoch: holder.epoch,
             from: self.config.host,
--- a/crates/oliveworks-core/src/answer.rs
+++ b/crates/oliveworks-core/src/answer.rs
@@ -10,7 +10,7 @@
 
 /// Identifies one attempt of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct TryId {
+pub struct AttemptId {
     /// Id of the request.
     pub request: RequestId,
     /// Random number of the attempt.
@@ -19,7 +19,7 @@
 
 /// Decision on a received piece.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Take {
+pub enum PieceAction {
     /// Pass the piece on.
     Pass,
     /// Drop the piece: it was passed on before, or belongs to another attempt.
@@ -31,15 +31,15 @@
 /// Pieces of one request's answer, across all attempts.
 #[derive(Clone, Debug)]
 pub struct Assembly {
-    current: TryId,
+    current: AttemptId,
     passed: u64,
-    whole: bool,
+    complete: bool,
 }
 
 impl Assembly {
     /// Returns an assembly that has received nothing.
-    pub fn new(current: TryId) -> Assembly {
-        Assembly { current, passed: 0, whole: false }
+    pub fn new(current: AttemptId) -> Assembly {
+        Assembly { current, passed: 0, complete: false }
     }
 
     /// Returns the number of pieces passed on. The next attempt continues after them.
@@ -48,8 +48,8 @@
     }
 
     /// Returns whether the end has arrived and no piece is missing.
-    pub fn is_whole(&self) -> bool {
-        self.whole
+    pub fn is_complete(&self) -> bool {
+        self.complete
     }
 
     /// Continues with another attempt after the pieces that were passed on.
@@ -58,26 +58,26 @@
     }
 
     /// Handles the piece `number`, counted from zero across all attempts.
-    pub fn piece(&mut self, from: TryId, number: u64) -> Take {
-        if from != self.current || self.whole || number < self.passed {
-            return Take::Drop;
+    pub fn piece(&mut self, from: AttemptId, number: u64) -> PieceAction {
+        if from != self.current || self.complete || number < self.passed {
+            return PieceAction::Drop;
         }
         if number > self.passed {
-            return Take::Gap;
+            return PieceAction::Gap;
         }
         self.passed += 1;
-        Take::Pass
+        PieceAction::Pass
     }
 
     /// Handles the end, which states the total number of pieces.
-    pub fn end(&mut self, from: TryId, pieces: u64) -> Take {
-        if from != self.current || self.whole {
-            return Take::Drop;
+    pub fn end(&mut self, from: AttemptId, pieces: u64) -> PieceAction {
+        if from != self.current || self.complete {
+            return PieceAction::Drop;
         }
         if pieces != self.passed {
-            return Take::Gap;
+            return PieceAction::Gap;
         }
-        self.whole = true;
-        Take::Pass
+        self.complete = true;
+        PieceAction::Pass
     }
 }
--- a/crates/oliveworks-core/src/lease.rs
+++ b/crates/oliveworks-core/src/lease.rs
@@ -251,7 +251,7 @@
             return false;
         }
         // A forming view asks more often, because its members may become ready at any time.
-        let forming = !self.is_whole(now);
+        let forming = !self.is_complete(now);
         let interval = if forming { config.renew_ms / FORMING_ASK_FACTOR } else { config.renew_ms };
         self.next_ask = now.plus(interval);
         let slot = (seq % ASKS_KEPT as u64) as usize;
@@ -293,7 +293,7 @@
 
     /// Returns whether every member's promise is in force and its engine is ready. A leader serves
     /// under no other condition.
-    pub fn is_whole(&self, now: Millis) -> bool {
+    pub fn is_complete(&self, now: Millis) -> bool {
         self.members.values().all(|h| h.ready && h.live_until > now)
     }
 
--- a/crates/oliveworks-core/src/relay.rs
+++ b/crates/oliveworks-core/src/relay.rs
@@ -8,7 +8,7 @@
 //! request with a caller's key is never reported as "not run": an earlier request with the same key
 //! may have run, and only the key's home can know.
 
-use crate::answer::{Assembly, Take, TryId};
+use crate::answer::{Assembly, AttemptId, PieceAction};
 use crate::chart::Machine;
 use crate::charts;
 use crate::error::{ErrorKind, Ran, Refusal};
@@ -65,7 +65,7 @@
             terms,
             id,
             machine,
-            assembly: Assembly::new(TryId { request: id, attempt: 0 }),
+            assembly: Assembly::new(AttemptId { request: id, attempt: 0 }),
             tried: Vec::new(),
             tries: 0,
             may_have_run: false,
@@ -94,34 +94,34 @@
     }
 
     /// Records that the request was handed to a group.
-    pub fn sent(&mut self, epoch: Epoch, attempt: u64) -> TryId {
+    pub fn sent(&mut self, epoch: Epoch, attempt: u64) -> AttemptId {
         self.tries += 1;
         self.tried.push(epoch);
         self.lost = None;
         self.assembly.retry(attempt);
         self.machine.fire("send");
-        TryId { request: self.id, attempt }
+        AttemptId { request: self.id, attempt }
     }
 
-    /// Records a piece of the answer. The caller passes it on if the result is [`Take::Pass`], and
-    /// calls [`Relay::failed`] after [`Take::Gap`].
-    pub fn piece(&mut self, from: TryId, number: u64) -> Take {
-        let take = self.assembly.piece(from, number);
-        if take == Take::Pass {
+    /// Records a piece of the answer. The caller passes it on if the result is
+    /// [`PieceAction::Pass`], and calls [`Relay::failed`] after [`PieceAction::Gap`].
+    pub fn piece(&mut self, from: AttemptId, number: u64) -> PieceAction {
+        let action = self.assembly.piece(from, number);
+        if action == PieceAction::Pass {
             self.machine.fire("piece");
         }
-        take
+        action
     }
 
     /// Records the end of the answer.
-    pub fn end(&mut self, now: Millis, from: TryId, pieces: u64, budget: bool) -> Next {
+    pub fn end(&mut self, now: Millis, from: AttemptId, pieces: u64, budget: bool) -> Next {
         match self.assembly.end(from, pieces) {
-            Take::Pass => {
+            PieceAction::Pass => {
                 self.machine.fire("end");
                 Next::Answered
             }
-            Take::Drop => Next::Wait,
-            Take::Gap => self.failed(now, "the answer had a gap", budget),
+            PieceAction::Drop => Next::Wait,
+            PieceAction::Gap => self.failed(now, "the answer had a gap", budget),
         }
     }
 
--- a/crates/oliveworks-core/tests/lease.rs
+++ b/crates/oliveworks-core/tests/lease.rs
@@ -75,8 +75,8 @@
     assert!(holder.ask(START, 41, &config));
     let late = START.plus(config.leader_ttl_ms() - 1);
     holder.granted(late, HostId(1), 41, true, false, &config);
-    assert!(holder.is_whole(late));
-    assert!(!holder.is_whole(late.plus(1)), "counted from the answer instead");
+    assert!(holder.is_complete(late));
+    assert!(!holder.is_complete(late.plus(1)), "counted from the answer instead");
 }
 
 #[test_case(41, true; "the ask's own number")]
@@ -87,7 +87,7 @@
     let mut holder = Holder::new(START, Epoch(1), View(1), &[HostId(1)]);
     assert!(holder.ask(START, 41, &config));
     holder.granted(START, HostId(1), seq, true, false, &config);
-    assert_eq!(holder.is_whole(START), counts);
+    assert_eq!(holder.is_complete(START), counts);
 }
 
 #[test]
@@ -96,11 +96,11 @@
     let mut holder = Holder::new(START, Epoch(1), View(1), &[HostId(1), HostId(2)]);
     assert!(holder.ask(START, 1, &config));
     holder.granted(START, HostId(1), 1, true, false, &config);
-    assert!(!holder.is_whole(START));
+    assert!(!holder.is_complete(START));
     holder.granted(START, HostId(2), 1, false, false, &config);
-    assert!(!holder.is_whole(START));
+    assert!(!holder.is_complete(START));
     holder.granted(START, HostId(2), 1, true, false, &config);
-    assert!(holder.is_whole(START));
+    assert!(holder.is_complete(START));
     assert_eq!(holder.lost(START.plus(config.lost_ms + 1), &config), [HostId(1), HostId(2)]);
 }
 
@@ -113,5 +113,5 @@
     holder.reset_silence(later);
     assert!(holder.lost(later, &config).is_empty());
     assert!(holder.ask(later, 7, &config), "it asks at once");
-    assert!(!holder.is_whole(later), "and serves nothing before it is answered");
+    assert!(!holder.is_complete(later), "and serves nothing before it is answered");
 }
--- a/crates/oliveworks-core/tests/lease_machine.rs
+++ b/crates/oliveworks-core/tests/lease_machine.rs
@@ -163,7 +163,7 @@
     fn check_invariants(world: &World, (): &()) {
         let mut owner: BTreeMap<HostId, u32> = BTreeMap::new();
         for (leader, holder) in &world.holders {
-            if !holder.is_whole(world.clock(*leader)) {
+            if !holder.is_complete(world.clock(*leader)) {
                 continue;
             }
             for member in holder.members() {
--- a/crates/oliveworks-core/tests/requests.rs
+++ b/crates/oliveworks-core/tests/requests.rs
@@ -4,7 +4,7 @@
 
 use common::name;
 use oliveworks_core::admit::{Admission, AdmitConfig, Owner, Waiting};
-use oliveworks_core::answer::{Assembly, Take, TryId};
+use oliveworks_core::answer::{Assembly, AttemptId, PieceAction};
 use oliveworks_core::error::{ANSWERS, ErrorKind, Ran, Refusal};
 use oliveworks_core::id::{Epoch, Millis, RequestId};
 use oliveworks_core::ledger::Revoked;
@@ -19,8 +19,8 @@
 
 const ID: RequestId = RequestId(1);
 
-fn try_id(attempt: u64) -> TryId {
-    TryId { request: ID, attempt }
+fn try_id(attempt: u64) -> AttemptId {
+    AttemptId { request: ID, attempt }
 }
 
 #[test]
@@ -44,34 +44,34 @@
         let mut passed = Vec::new();
         for (who, number) in deliveries {
             let from = match who {
-                0 => TryId { request: RequestId(2), attempt: 1 },
+                0 => AttemptId { request: RequestId(2), attempt: 1 },
                 attempt => try_id(attempt),
             };
             if number < total {
-                if assembly.piece(from, number) == Take::Pass {
+                if assembly.piece(from, number) == PieceAction::Pass {
                     prop_assert_eq!(from, try_id(1));
                     passed.push(number);
                 }
-            } else if assembly.end(from, total) == Take::Pass {
-                prop_assert!(assembly.is_whole());
+            } else if assembly.end(from, total) == PieceAction::Pass {
+                prop_assert!(assembly.is_complete());
             }
         }
         prop_assert!(passed.iter().copied().eq(0..passed.len() as u64));
-        prop_assert_eq!(assembly.is_whole() && passed.len() as u64 != total, false);
+        prop_assert_eq!(assembly.is_complete() && passed.len() as u64 != total, false);
     }
 }
 
 #[test]
 fn a_resumed_answer_neither_repeats_nor_skips() {
     let mut assembly = Assembly::new(try_id(1));
-    assert_eq!(assembly.piece(try_id(1), 0), Take::Pass);
+    assert_eq!(assembly.piece(try_id(1), 0), PieceAction::Pass);
     assembly.retry(2);
-    assert_eq!(assembly.piece(try_id(1), 1), Take::Drop, "a late piece of the first try");
-    assert_eq!(assembly.piece(try_id(2), 0), Take::Drop, "was passed on before");
-    assert_eq!(assembly.piece(try_id(2), 2), Take::Gap);
-    assert_eq!(assembly.piece(try_id(2), 1), Take::Pass);
-    assert_eq!(assembly.end(try_id(2), 3), Take::Gap, "the end names more than came");
-    assert_eq!(assembly.end(try_id(2), 2), Take::Pass);
+    assert_eq!(assembly.piece(try_id(1), 1), PieceAction::Drop, "a late piece of the first try");
+    assert_eq!(assembly.piece(try_id(2), 0), PieceAction::Drop, "was passed on before");
+    assert_eq!(assembly.piece(try_id(2), 2), PieceAction::Gap);
+    assert_eq!(assembly.piece(try_id(2), 1), PieceAction::Pass);
+    assert_eq!(assembly.end(try_id(2), 3), PieceAction::Gap, "the end names more than came");
+    assert_eq!(assembly.end(try_id(2), 2), PieceAction::Pass);
 }
 
 fn relay(repeatable: bool, keyed: bool) -> Relay {
--- a/crates/oliveworks-entry/src/driver.rs
+++ b/crates/oliveworks-entry/src/driver.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use futures_util::StreamExt;
-use oliveworks_core::answer::{Take, TryId};
+use oliveworks_core::answer::{AttemptId, PieceAction};
 use oliveworks_core::error::{ErrorKind, Ran, Refusal};
 use oliveworks_core::id::{Epoch, HostId, Millis, RequestId};
 use oliveworks_core::ledger::{Handed, Kept, Key};
@@ -76,7 +76,7 @@
 }
 
 struct Current {
-    id: TryId,
+    id: AttemptId,
     epoch: Epoch,
     reader: Reader,
     // Dropping it tells the agent that nobody waits any more.
@@ -364,9 +364,9 @@
                 Some(Ok(Out::Head(status, headers)))
             }
             Reply::Piece { id, number, data } => match self.relay.piece(id, number) {
-                Take::Pass => Some(Ok(Out::Piece(data))),
-                Take::Drop => None,
-                Take::Gap => Some(Err(self.failed("a piece is missing"))),
+                PieceAction::Pass => Some(Ok(Out::Piece(data))),
+                PieceAction::Drop => None,
+                PieceAction::Gap => Some(Err(self.failed("a piece is missing"))),
             },
             Reply::End { id, pieces, finish_reason, usage, load } => {
                 match self.relay.end(now, id, pieces, false) {
--- a/crates/oliveworks-lab/src/prove/agents.rs
+++ b/crates/oliveworks-lab/src/prove/agents.rs
@@ -1,7 +1,7 @@
 //! Agents and engines of a proof run.
 
 use oliveworks_core::agent::Assigned;
-use oliveworks_core::answer::TryId;
+use oliveworks_core::answer::AttemptId;
 use oliveworks_core::error::{ErrorKind, Ran, Refusal};
 use oliveworks_core::id::{Epoch, HostId};
 use oliveworks_core::ledger::{Begin, Handed, Kept, Now, Revoked};
@@ -119,7 +119,7 @@
         &mut self,
         host: HostId,
         entry: Node,
-        id: TryId,
+        id: AttemptId,
         epoch: Epoch,
         handed: Handed,
         from: u64,
@@ -167,7 +167,7 @@
     fn hand_to_engine(
         &mut self,
         host: HostId,
-        id: TryId,
+        id: AttemptId,
         fence: Fence,
         from: u64,
         total: u64,
@@ -185,7 +185,7 @@
         self.queue.push(self.now + delay, Event::EngineStart { host, life, id });
     }
 
-    pub(super) fn engine_start(&mut self, host: HostId, life: u64, id: TryId) {
+    pub(super) fn engine_start(&mut self, host: HostId, life: u64, id: AttemptId) {
         let Some(engine) = self.engines.get_mut(&host).filter(|e| e.life == life) else {
             return;
         };
@@ -200,7 +200,7 @@
         self.queue.push(self.now + 8, Event::EngineStep { host, life, id });
     }
 
-    pub(super) fn engine_step(&mut self, host: HostId, life: u64, id: TryId) {
+    pub(super) fn engine_step(&mut self, host: HostId, life: u64, id: AttemptId) {
         let Some(engine) = self.engines.get_mut(&host).filter(|e| e.life == life) else {
             return;
         };
@@ -227,7 +227,7 @@
     }
 
     /// The agent has a piece from its engine: the second gate.
-    fn agent_piece(&mut self, host: HostId, id: TryId, number: u64, total: u64) {
+    fn agent_piece(&mut self, host: HostId, id: AttemptId, number: u64, total: u64) {
         let node = Node::Agent(host);
         let now = self.clock(node);
         let broken = self.broken;
--- a/crates/oliveworks-lab/src/prove/entries.rs
+++ b/crates/oliveworks-lab/src/prove/entries.rs
@@ -1,6 +1,6 @@
 //! Entries and callers of a proof run.
 
-use oliveworks_core::answer::{Take, TryId};
+use oliveworks_core::answer::{AttemptId, PieceAction};
 use oliveworks_core::error::Ran;
 use oliveworks_core::fleet::Listed;
 use oliveworks_core::id::{Epoch, HostId, Millis, Offset, RecordId, RequestId};
@@ -238,7 +238,7 @@
     fn with_current(
         &mut self,
         entry: usize,
-        id: TryId,
+        id: AttemptId,
         apply: impl FnOnce(&mut Open) -> Next,
     ) -> Next {
         let proc = self.entries.get_mut(&entry);
@@ -249,7 +249,7 @@
         }
     }
 
-    fn entry_piece(&mut self, entry: usize, id: TryId, number: u64, content: u64) {
+    fn entry_piece(&mut self, entry: usize, id: AttemptId, number: u64, content: u64) {
         let now = self.clock(Node::Entry(entry));
         let mixes = self.broken == Broken::MixesTries;
         let proc = self.entries.get_mut(&entry);
@@ -259,14 +259,14 @@
         if open.current.is_some() {
             open.lost_at = now.plus(LOST_MS);
         }
-        let mut take = open.relay.piece(id, number);
-        if mixes && take != Take::Pass {
-            take = Take::Pass;
+        let mut action = open.relay.piece(id, number);
+        if mixes && action != PieceAction::Pass {
+            action = PieceAction::Pass;
         }
-        match take {
-            Take::Pass => self.check.passed.entry(id.request).or_default().push(content),
-            Take::Drop => {}
-            Take::Gap => {
+        match action {
+            PieceAction::Pass => self.check.passed.entry(id.request).or_default().push(content),
+            PieceAction::Drop => {}
+            PieceAction::Gap => {
                 let next = open.relay.failed(now, "a piece is missing", true);
                 self.follow(entry, id.request, next);
             }
--- a/crates/oliveworks-lab/src/prove/net.rs
+++ b/crates/oliveworks-lab/src/prove/net.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashSet};
 use std::rc::Rc;
 
-use oliveworks_core::answer::TryId;
+use oliveworks_core::answer::AttemptId;
 use oliveworks_core::error::Refusal;
 use oliveworks_core::id::{Epoch, HostId, Incarnation, Millis, Offset};
 use oliveworks_core::ledger::{Handed, Revoked};
@@ -33,17 +33,17 @@
     /// An agent's incarnation, clock, and the epoch that it leads.
     Hello { incarnation: Incarnation, clock: Millis, leads: Option<Epoch> },
     /// An entry hands a request over.
-    Run { id: TryId, epoch: Epoch, handed: Handed, from: u64, total: u64 },
+    Run { id: AttemptId, epoch: Epoch, handed: Handed, from: u64, total: u64 },
     /// A piece of an answer.
-    Piece { id: TryId, number: u64, content: u64 },
+    Piece { id: AttemptId, number: u64, content: u64 },
     /// An answer's end.
-    End { id: TryId, pieces: u64 },
+    End { id: AttemptId, pieces: u64 },
     /// A try is refused.
-    Refused { id: TryId, refusal: Refusal, leader: Option<HostId> },
+    Refused { id: AttemptId, refusal: Refusal, leader: Option<HostId> },
     /// A try is to be stopped before it begins.
-    Revoke { id: TryId, handed: Handed },
+    Revoke { id: AttemptId, handed: Handed },
     /// What became of it.
-    Revoked { id: TryId, outcome: Revoked },
+    Revoked { id: AttemptId, outcome: Revoked },
     /// A group's report to a decider.
     Report(GroupReport),
     /// A process asks for records from an offset on; `number` comes back.
@@ -72,9 +72,9 @@
     /// An engine finished an order.
     OrderDone { host: HostId, life: u64, number: u64, done: bool },
     /// A request reaches an engine, after the gate.
-    EngineStart { host: HostId, life: u64, id: TryId },
+    EngineStart { host: HostId, life: u64, id: AttemptId },
     /// An engine makes its next piece.
-    EngineStep { host: HostId, life: u64, id: TryId },
+    EngineStep { host: HostId, life: u64, id: AttemptId },
     /// A caller asks.
     Arrive,
     /// The platform's list is read by the entries.
--- a/crates/oliveworks-lab/src/prove/world.rs
+++ b/crates/oliveworks-lab/src/prove/world.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use oliveworks_core::agent::{Agent, AgentConfig, Command, Pass};
-use oliveworks_core::answer::TryId;
+use oliveworks_core::answer::AttemptId;
 use oliveworks_core::decider::{Decider, DeciderConfig};
 use oliveworks_core::feed::{self, EntryAt, Feed, FeedConfig, Source};
 use oliveworks_core::fleet::Listed;
@@ -66,7 +66,7 @@
     /// The log as known here.
     pub reader: Reader,
     /// What runs.
-    pub runs: BTreeMap<TryId, Running>,
+    pub runs: BTreeMap<AttemptId, Running>,
     /// When to report again.
     pub report_at: u64,
 }
@@ -80,9 +80,9 @@
     /// Whether it refuses orders and requests with a lower fence.
     pub checks: bool,
     /// What runs: the next piece and the total.
-    pub runs: BTreeMap<TryId, (u64, u64)>,
+    pub runs: BTreeMap<AttemptId, (u64, u64)>,
     /// Requests on their way to it.
-    pub coming: BTreeMap<TryId, (Fence, u64, u64, bool)>,
+    pub coming: BTreeMap<AttemptId, (Fence, u64, u64, bool)>,
 }
 
 /// A request at its entry.
@@ -100,7 +100,7 @@
     /// When the request, or its key, was first used, in real time.
     pub first: u64,
     /// The present try.
-    pub current: Option<(TryId, HostId, Handed)>,
+    pub current: Option<(AttemptId, HostId, Handed)>,
     /// When the present try, or its revocation, counts as lost.
     pub lost_at: Millis,
     /// Waiting for the answer to a revocation.
--- a/crates/oliveworks-net/src/wire.rs
+++ b/crates/oliveworks-net/src/wire.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use oliveworks_core::answer::TryId;
+use oliveworks_core::answer::AttemptId;
 use oliveworks_core::error::Refusal;
 use oliveworks_core::id::{Epoch, HostId, Incarnation, Millis, Offset};
 use oliveworks_core::ledger::{Handed, Kept, Revoked};
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Run {
     /// The try.
-    pub id: TryId,
+    pub id: AttemptId,
     /// The group.
     pub epoch: Epoch,
     /// What the agent's ledger needs.
@@ -173,7 +173,7 @@
     /// A piece of an answer: a token's text, or bytes of a service's body.
     Piece {
         /// The try.
-        id: TryId,
+        id: AttemptId,
         /// Counted from zero over all tries.
         number: u64,
         /// What it says.
@@ -182,7 +182,7 @@
     /// The answer's end.
     End {
         /// The try.
-        id: TryId,
+        id: AttemptId,
         /// Pieces in all.
         pieces: u64,
         /// Why the model stopped.
@@ -197,7 +197,7 @@
     /// The try is refused.
     Refused {
         /// The try.
-        id: TryId,
+        id: AttemptId,
         /// Why.
         refusal: Refusal,
         /// Whom to ask instead.
