--- a/crates/oliveworks-core/src/agent/gate.rs
+++ b/crates/oliveworks-core/src/agent/gate.rs
@@ -5,7 +5,7 @@
 use crate::error::{ErrorKind, Ran, Refusal};
 use crate::id::{Epoch, Millis, View};
 use crate::lease::Holder;
-use crate::ledger::{Begin, Handed, Kept, Now, Revoked};
+use crate::ledger::{Begin, Handover, Kept, Now, Revoked};
 use crate::message::Fence;
 
 /// Permission to run a request, valid only in the view in which it was given.
@@ -35,7 +35,7 @@
 
     /// Decides whether a request may be handed to the engine. [`Begin::Run`] comes with a pass, and
     /// the request counts as having run from then on.
-    pub fn gate(&mut self, now: Now, epoch: Epoch, handed: &Handed) -> (Begin, Option<Pass>) {
+    pub fn gate(&mut self, now: Now, epoch: Epoch, handed: &Handover) -> (Begin, Option<Pass>) {
         if let Some(known) = self.ledger.recall(now.mono, handed) {
             return (known, None);
         }
@@ -61,7 +61,7 @@
         &self,
         now: Millis,
         epoch: Epoch,
-        handed: &Handed,
+        handed: &Handover,
     ) -> Option<Refusal> {
         let assigned = match &self.assigned {
             Some(a) if a.epoch == epoch => a,
@@ -91,12 +91,12 @@
     }
 
     /// Records the end of a request.
-    pub fn finish(&mut self, now: Millis, handed: &Handed, kept: Option<Kept>) {
+    pub fn finish(&mut self, now: Millis, handed: &Handover, kept: Option<Kept>) {
         self.ledger.finish(now, handed.id, kept);
     }
 
     /// Handles the request of an entry that lost contact to prevent a request from running.
-    pub fn revoke(&mut self, now: Millis, handed: &Handed) -> Revoked {
+    pub fn revoke(&mut self, now: Millis, handed: &Handover) -> Revoked {
         self.ledger.revoke(now, handed)
     }
 }
--- a/crates/oliveworks-core/src/agent/leading.rs
+++ b/crates/oliveworks-core/src/agent/leading.rs
@@ -5,7 +5,7 @@
 
 use super::{Agent, Assigned, Command, Place};
 use crate::id::{Epoch, HostId, Millis, View};
-use crate::lease::{Holder, NoGrant};
+use crate::lease::{GrantRefusal, Holder};
 use crate::message::LeaseMsg;
 
 impl Agent {
@@ -212,13 +212,13 @@
         };
         let highest = self.grantor.highest(epoch);
         let Some(assigned) = &self.assigned else {
-            return refuse(NoGrant::OtherEpoch, highest);
+            return refuse(GrantRefusal::OtherEpoch, highest);
         };
         if assigned.epoch != epoch || !assigned.ranked.contains(&from) {
-            return refuse(NoGrant::OtherEpoch, highest);
+            return refuse(GrantRefusal::OtherEpoch, highest);
         }
         if self.machine.is("withdrawing") {
-            return refuse(NoGrant::Promised, highest);
+            return refuse(GrantRefusal::Promised, highest);
         }
         // A leader that does not serve yields to a later view.
         let yields = |h: &Holder| h.epoch == epoch && h.view < view && !h.is_complete(now);
--- a/crates/oliveworks-core/src/decider.rs
+++ b/crates/oliveworks-core/src/decider.rs
@@ -10,7 +10,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::fleet::{Fleet, FleetConfig, Listed};
+use crate::fleet::{Fleet, FleetConfig, ListedHost};
 use crate::id::{Millis, RecordId};
 use crate::message::GroupReport;
 use crate::placement::{self, Missing, PlacementConfig, Plan};
@@ -98,7 +98,7 @@
     }
 
     /// Records the platform's list of hosts.
-    pub fn list(&mut self, now: Millis, listed: &[Listed]) {
+    pub fn list(&mut self, now: Millis, listed: &[ListedHost]) {
         self.list_received = true;
         self.fleet.list(now, listed);
     }
--- a/crates/oliveworks-core/src/feed.rs
+++ b/crates/oliveworks-core/src/feed.rs
@@ -51,7 +51,7 @@
 
 /// Entry as listed in the settings of other processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EntryAt {
+pub struct EntryLocation {
     /// Id of the entry.
     pub entry: EntryId,
     /// Region of the entry.
@@ -77,7 +77,12 @@
 
 /// Returns an entry's sources, best first: its ancestors from its parent to the root of the tree,
 /// then the log, then the first readers of other regions.
-pub fn entry_sources(me: EntryId, region: &str, all: &[EntryAt], fan_out: usize) -> Vec<Source> {
+pub fn entry_sources(
+    me: EntryId,
+    region: &str,
+    all: &[EntryLocation],
+    fan_out: usize,
+) -> Vec<Source> {
     let local = all.iter().filter(|e| e.region == region).map(|e| e.entry);
     let order = order(region, local);
     let mut rank = order.iter().position(|e| *e == me).unwrap_or(0);
@@ -94,7 +99,7 @@
 }
 
 /// Returns the first reader of every other region.
-fn first_readers(region: &str, all: &[EntryAt]) -> Vec<EntryId> {
+fn first_readers(region: &str, all: &[EntryLocation]) -> Vec<EntryId> {
     let mut regions: Vec<&str> = all.iter().map(|e| e.region.as_str()).collect();
     regions.sort_unstable();
     regions.dedup();
@@ -107,7 +112,7 @@
 
 /// Returns an agent's sources, best first: up to three entries of its region in an order specific
 /// to the agent, two entries of other regions, and the log.
-pub fn agent_sources(me: HostId, region: &str, all: &[EntryAt]) -> Vec<Source> {
+pub fn agent_sources(me: HostId, region: &str, all: &[EntryLocation]) -> Vec<Source> {
     let salt = me.to_string();
     let local = all.iter().filter(|e| e.region == region).map(|e| e.entry);
     let remote = all.iter().filter(|e| e.region != region).map(|e| e.entry);
--- a/crates/oliveworks-core/src/fleet.rs
+++ b/crates/oliveworks-core/src/fleet.rs
@@ -13,7 +13,7 @@
 
 /// Entry of the platform's list of hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedHost {
     /// Host.
     pub host: HostId,
     /// Fabric domain of the host.
@@ -107,7 +107,7 @@
     }
 
     /// Records the platform's list of hosts.
-    pub fn list(&mut self, now: Millis, listed: &[Listed]) {
+    pub fn list(&mut self, now: Millis, listed: &[ListedHost]) {
         let mut absent: BTreeSet<HostId> = self.hosts.keys().copied().collect();
         for listed_host in listed {
             absent.remove(&listed_host.host);
@@ -121,7 +121,7 @@
         self.tick(now);
     }
 
-    fn update_host(&mut self, now: Millis, listed_host: &Listed) {
+    fn update_host(&mut self, now: Millis, listed_host: &ListedHost) {
         let view = self.hosts.entry(listed_host.host).or_insert_with(|| HostView {
             domain: listed_host.domain,
             address: listed_host.address,
--- a/crates/oliveworks-core/src/lease.rs
+++ b/crates/oliveworks-core/src/lease.rs
@@ -105,7 +105,7 @@
 
 /// Reason for refusing a promise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum NoGrant {
+pub enum GrantRefusal {
     /// The process has just started, and an earlier run may have given a promise.
     Quiet,
     /// Another promise is in force.
@@ -157,18 +157,18 @@
         view: View,
         leader: HostId,
         config: &LeaseConfig,
-    ) -> Result<(), NoGrant> {
+    ) -> Result<(), GrantRefusal> {
         if self.is_quiet(now) {
-            return Err(NoGrant::Quiet);
+            return Err(GrantRefusal::Quiet);
         }
         if view < self.highest(epoch) {
-            return Err(NoGrant::OldView);
+            return Err(GrantRefusal::OldView);
         }
         if let Some(p) = self.promise(now) {
             // A leader abandons its earlier view before it asks for a later one.
             let same_holder = p.epoch == epoch && p.leader == leader && p.view <= view;
             if !same_holder {
-                return Err(NoGrant::Promised);
+                return Err(GrantRefusal::Promised);
             }
         }
         self.highest = Some((epoch, view));
--- a/crates/oliveworks-core/src/ledger.rs
+++ b/crates/oliveworks-core/src/ledger.rs
@@ -84,7 +84,7 @@
 
 /// Request as an entry hands it over to an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Handed {
+pub struct Handover {
     /// Id of the request.
     pub id: RequestId,
     /// Random number of this handover. A caller may repeat a key after an attempt was revoked, so a
@@ -244,7 +244,7 @@
     /// A message may arrive twice: the first copy may have run in an earlier incarnation, or its
     /// record may have expired. A refusal therefore reports "not run" only if this attempt was
     /// stopped here, or if its key was used for a different request.
-    pub fn recall(&mut self, now: Millis, handed: &Handed) -> Option<Begin> {
+    pub fn recall(&mut self, now: Millis, handed: &Handover) -> Option<Begin> {
         self.expire(now);
         if handed.incarnation != self.incarnation {
             let reason = "meant for an earlier run of this agent";
@@ -262,7 +262,7 @@
     }
 
     /// Begins an unknown request, or rejects it.
-    pub fn begin(&mut self, now: Now, handed: &Handed) -> Begin {
+    pub fn begin(&mut self, now: Now, handed: &Handover) -> Begin {
         debug_assert!(!self.entries.contains_key(&handed.id), "recall must be called first");
         if self.len() >= self.config.entries {
             return refuse(ErrorKind::Overloaded, Ran::No, "the agent's memory is full");
@@ -277,7 +277,7 @@
 
     /// Records that a rejected attempt must stay rejected if the same message arrives again.
     /// Returns whether the ledger had room for the record.
-    pub fn stop(&mut self, handed: &Handed) -> bool {
+    pub fn stop(&mut self, handed: &Handover) -> bool {
         if self.len() >= self.config.entries {
             return false;
         }
@@ -348,7 +348,7 @@
     }
 
     /// Prevents a request from running if it has not begun.
-    pub fn revoke(&mut self, now: Millis, handed: &Handed) -> Revoked {
+    pub fn revoke(&mut self, now: Millis, handed: &Handover) -> Revoked {
         self.expire(now);
         if handed.incarnation != self.incarnation {
             return Revoked::Unknown;
@@ -369,7 +369,7 @@
         Revoked::NotRun
     }
 
-    fn insert(&mut self, now: Millis, handed: &Handed) {
+    fn insert(&mut self, now: Millis, handed: &Handover) {
         // A key is kept for its whole window from the start, in case its run never ends.
         let window = handed.key.map_or(now, |_| now.plus(self.config.key_window_ms));
         let expires_at = handed.not_after.max(window);
@@ -416,7 +416,7 @@
     Begin::Refuse(Refusal::new(kind, ran, reason))
 }
 
-fn decision_on(entry: &Entry, handed: &Handed) -> Begin {
+fn decision_on(entry: &Entry, handed: &Handover) -> Begin {
     match &entry.state {
         _ if entry.digest != handed.key.map(|k| k.digest) => {
             refuse(ErrorKind::KeyReused, Ran::No, "the key was used for another request")
--- a/crates/oliveworks-core/src/message.rs
+++ b/crates/oliveworks-core/src/message.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::id::{Epoch, HostId, View};
-use crate::lease::NoGrant;
+use crate::lease::GrantRefusal;
 
 /// Message from one agent to another. Messages may be lost, duplicated or late.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -39,7 +39,7 @@
         /// View of the ask.
         view: View,
         /// Reason for the refusal.
-        why: NoGrant,
+        why: GrantRefusal,
         /// Highest view of this epoch that the member knows.
         highest: View,
     },
--- a/crates/oliveworks-core/tests/feed.rs
+++ b/crates/oliveworks-core/tests/feed.rs
@@ -1,10 +1,14 @@
 //! Feed: guards against cycles in the trees of sources and against ages that are too low.
 
-use oliveworks_core::feed::{EntryAt, Feed, FeedConfig, Source, agent_sources, entry_sources};
+use oliveworks_core::feed::{
+    EntryLocation, Feed, FeedConfig, Source, agent_sources, entry_sources,
+};
 use oliveworks_core::id::{EntryId, HostId, Millis, Offset};
 
-fn entries(n: u32, regions: u32) -> Vec<EntryAt> {
-    (0..n).map(|e| EntryAt { entry: EntryId(e), region: format!("r{}", e % regions) }).collect()
+fn entries(n: u32, regions: u32) -> Vec<EntryLocation> {
+    (0..n)
+        .map(|e| EntryLocation { entry: EntryId(e), region: format!("r{}", e % regions) })
+        .collect()
 }
 
 #[test]
--- a/crates/oliveworks-core/tests/lease.rs
+++ b/crates/oliveworks-core/tests/lease.rs
@@ -2,7 +2,7 @@
 //! member's.
 
 use oliveworks_core::id::{Epoch, HostId, Millis, View};
-use oliveworks_core::lease::{Grantor, Holder, LeaseConfig, NoGrant};
+use oliveworks_core::lease::{GrantRefusal, Grantor, Holder, LeaseConfig};
 use test_case::test_case;
 
 const START: Millis = Millis(1_000);
@@ -16,23 +16,26 @@
     let config = LeaseConfig::default();
     let (mut grantor, awake) = awake(&config);
     let early = Millis(awake.0 - 1);
-    assert_eq!(grantor.grant(early, Epoch(1), View(1), HostId(1), &config), Err(NoGrant::Quiet));
+    assert_eq!(
+        grantor.grant(early, Epoch(1), View(1), HostId(1), &config),
+        Err(GrantRefusal::Quiet)
+    );
     assert_eq!(grantor.grant(awake, Epoch(1), View(1), HostId(1), &config), Ok(()));
 }
 
 #[test_case(Epoch(1), View(1), HostId(1), 0, Ok(()); "renewed")]
 #[test_case(Epoch(1), View(2), HostId(1), 0, Ok(()); "same leader, later view")]
-#[test_case(Epoch(1), View(2), HostId(2), 0, Err(NoGrant::Promised); "another leader")]
-#[test_case(Epoch(2), View(1), HostId(1), 0, Err(NoGrant::Promised); "another epoch")]
-#[test_case(Epoch(1), View(0), HostId(2), 2_000, Err(NoGrant::OldView); "an older view after the end")]
-#[test_case(Epoch(2), View(1), HostId(2), 1_599, Err(NoGrant::Promised); "a moment before the end")]
+#[test_case(Epoch(1), View(2), HostId(2), 0, Err(GrantRefusal::Promised); "another leader")]
+#[test_case(Epoch(2), View(1), HostId(1), 0, Err(GrantRefusal::Promised); "another epoch")]
+#[test_case(Epoch(1), View(0), HostId(2), 2_000, Err(GrantRefusal::OldView); "an older view after the end")]
+#[test_case(Epoch(2), View(1), HostId(2), 1_599, Err(GrantRefusal::Promised); "a moment before the end")]
 #[test_case(Epoch(2), View(1), HostId(2), 1_600, Ok(()); "at the end")]
 fn a_promise_is_given_to_one(
     epoch: Epoch,
     view: View,
     leader: HostId,
     later: u64,
-    wanted: Result<(), NoGrant>,
+    wanted: Result<(), GrantRefusal>,
 ) {
     let config = LeaseConfig::default();
     let (mut grantor, now) = awake(&config);
--- a/crates/oliveworks-core/tests/ledger.rs
+++ b/crates/oliveworks-core/tests/ledger.rs
@@ -3,7 +3,7 @@
 use oliveworks_core::error::{ErrorKind, Ran};
 use oliveworks_core::id::{Incarnation, Millis, Offset, RequestId};
 use oliveworks_core::ledger::{
-    Begin, EarlierHome, Handed, Kept, Key, Ledger, LedgerConfig, Now, Revoked,
+    Begin, EarlierHome, Handover, Kept, Key, Ledger, LedgerConfig, Now, Revoked,
 };
 use test_case::test_case;
 
@@ -23,8 +23,8 @@
     Now { mono: Millis(ms), wall_ms: WALL + ms, config_age_ms: 0 }
 }
 
-fn handed(attempt: u64, key: Option<Key>) -> Handed {
-    Handed { id: RequestId(7), attempt, incarnation: ME, not_after: Millis(5_000), key }
+fn handed(attempt: u64, key: Option<Key>) -> Handover {
+    Handover { id: RequestId(7), attempt, incarnation: ME, not_after: Millis(5_000), key }
 }
 
 fn key(born_ms: Option<u64>) -> Option<Key> {
@@ -32,7 +32,7 @@
 }
 
 /// Decides in the gate's order: first from the records, then whether the request may begin.
-fn gate(ledger: &mut Ledger, now: Now, handed: &Handed) -> Begin {
+fn gate(ledger: &mut Ledger, now: Now, handed: &Handover) -> Begin {
     ledger.recall(now.mono, handed).unwrap_or_else(|| ledger.begin(now, handed))
 }
 
@@ -68,7 +68,7 @@
 #[test_case(ME, 4_999, Revoked::NotRun; "before its time")]
 fn a_revocation_says_only_what_is_known(incarnation: Incarnation, now: u64, wanted: Revoked) {
     let mut ledger = Ledger::new(ME, config());
-    let handed = Handed { incarnation, ..handed(1, None) };
+    let handed = Handover { incarnation, ..handed(1, None) };
     assert_eq!(ledger.revoke(Millis(now), &handed), wanted);
 }
 
@@ -83,7 +83,7 @@
     // "not run".
     assert_eq!(ran(gate(&mut ledger, at(5_001), &handed(1, None))).unwrap().1, Ran::Unknown);
     assert!(ledger.is_empty());
-    let earlier = Handed { incarnation: Incarnation(4), ..handed(1, None) };
+    let earlier = Handover { incarnation: Incarnation(4), ..handed(1, None) };
     assert_eq!(ran(gate(&mut ledger, at(1), &earlier)).unwrap().1, Ran::Unknown);
 }
 
@@ -104,10 +104,10 @@
     assert_eq!(busy, Some((ErrorKind::InProgress, Ran::Unknown)));
     let kept = Kept { status: 200, content_type: "text/plain".into(), body: b"ran".to_vec() };
     ledger.finish(Millis(2), RequestId(7), Some(kept.clone()));
-    let late = Handed { not_after: Millis(70_000), ..handed(3, key(None)) };
+    let late = Handover { not_after: Millis(70_000), ..handed(3, key(None)) };
     assert_eq!(gate(&mut ledger, at(50_000), &late), Begin::Kept(kept));
     let other = Some(Key { digest: 2, ..key(None).unwrap() });
-    let other = Handed { not_after: Millis(70_000), ..handed(4, other) };
+    let other = Handover { not_after: Millis(70_000), ..handed(4, other) };
     assert_eq!(ran(gate(&mut ledger, at(3), &other)).unwrap().0, ErrorKind::KeyReused);
 }
 
@@ -128,7 +128,7 @@
 ) {
     let mut ledger = Ledger::new(ME, config());
     ledger.become_home(at(0), before);
-    let handed = Handed { not_after: Millis(200_000), ..handed(1, key(born)) };
+    let handed = Handover { not_after: Millis(200_000), ..handed(1, key(born)) };
     match gate(&mut ledger, at(now), &handed) {
         Begin::Run => assert!(runs),
         Begin::Refuse(refusal) => {
@@ -154,13 +154,13 @@
 fn memory_is_bounded() {
     let mut ledger = Ledger::new(ME, LedgerConfig { entries: 2, ..config() });
     for id in 0..2 {
-        let handed = Handed { id: RequestId(id), ..handed(1, None) };
+        let handed = Handover { id: RequestId(id), ..handed(1, None) };
         assert_eq!(gate(&mut ledger, at(0), &handed), Begin::Run);
     }
-    let full = Handed { id: RequestId(9), ..handed(1, None) };
+    let full = Handover { id: RequestId(9), ..handed(1, None) };
     assert_eq!(ran(gate(&mut ledger, at(0), &full)).unwrap().0, ErrorKind::Overloaded);
     assert_eq!(ledger.revoke(Millis(0), &full), Revoked::Unknown);
     ledger.finish(Millis(1), RequestId(0), None);
-    let later = Handed { id: RequestId(9), not_after: Millis(9_000), ..handed(1, None) };
+    let later = Handover { id: RequestId(9), not_after: Millis(9_000), ..handed(1, None) };
     assert_eq!(gate(&mut ledger, at(5_001), &later), Begin::Run);
 }
--- a/crates/oliveworks-core/tests/placement.rs
+++ b/crates/oliveworks-core/tests/placement.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Log, form, name, partner, template};
-use oliveworks_core::fleet::{Fleet, FleetConfig, Listed};
+use oliveworks_core::fleet::{Fleet, FleetConfig, ListedHost};
 use oliveworks_core::id::{DomainId, Epoch, HostId, Millis, Offset, View};
 use oliveworks_core::message::GroupReport;
 use oliveworks_core::placement::{PlacementConfig, plan};
@@ -20,10 +20,10 @@
     fleet
 }
 
-fn listed(gone: &[u32]) -> Vec<Listed> {
+fn listed(gone: &[u32]) -> Vec<ListedHost> {
     let there = (1..=20).filter(|h| !gone.contains(h));
     there
-        .map(|h| Listed {
+        .map(|h| ListedHost {
             host: HostId(h),
             domain: DomainId(if h <= 10 { 1 } else { 2 }),
             address: ([127, 0, 0, 1], 7000).into(),
@@ -206,7 +206,8 @@
         let mut log = Log::new();
         log.publish(&template("saffah", "assistant", 8, 1, 5));
         let mut fleet = Fleet::new(FleetConfig::default());
-        let line = |h| Listed { host: HostId(h), domain: DomainId(1), ..listed(&[])[0].clone() };
+        let line =
+            |h| ListedHost { host: HostId(h), domain: DomainId(1), ..listed(&[])[0].clone() };
         fleet.list(Millis(0), &(1..=hosts).map(line).collect::<Vec<_>>());
         planned(&log, &fleet).iter().map(|r| formed(r).1.len()).sum::<usize>()
     };
--- a/crates/oliveworks-entry/src/driver.rs
+++ b/crates/oliveworks-entry/src/driver.rs
@@ -10,7 +10,7 @@
 use oliveworks_core::answer::{AttemptId, PieceAction};
 use oliveworks_core::error::{ErrorKind, Ran, Refusal};
 use oliveworks_core::id::{Epoch, HostId, Millis, RequestId};
-use oliveworks_core::ledger::{Handed, Kept, Key};
+use oliveworks_core::ledger::{Handover, Kept, Key};
 use oliveworks_core::pool::GroupState;
 use oliveworks_core::relay::{Next, Relay, Terms};
 use oliveworks_core::route::home;
@@ -90,7 +90,7 @@
     relay: Relay,
     current: Option<Current>,
     /// To whom the present try was handed: whom to ask to stop it.
-    handed_to: Option<(HostId, SocketAddr, Handed)>,
+    handed_to: Option<(HostId, SocketAddr, Handover)>,
     counted: Option<Epoch>,
     begun: bool,
     head_passed: bool,
@@ -243,7 +243,7 @@
         let left = self.job.terms.deadline.since(now);
         let not_after = known.clock.plus(now.since(known.heard) + left.min(START_MAX_MS));
         let attempt = rand::rng().random();
-        let handed = Handed {
+        let handed = Handover {
             id: self.job.id,
             attempt,
             incarnation: known.incarnation,
--- a/crates/oliveworks-lab/src/placement.rs
+++ b/crates/oliveworks-lab/src/placement.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-use oliveworks_core::fleet::{Fleet, FleetConfig, Listed};
+use oliveworks_core::fleet::{Fleet, FleetConfig, ListedHost};
 use oliveworks_core::id::{DomainId, Epoch, HostId, Millis, Name, Offset, RecordId};
 use oliveworks_core::message::GroupReport;
 use oliveworks_core::placement::{PlacementConfig, plan};
@@ -209,11 +209,11 @@
 }
 
 impl Run<'_> {
-    fn listed(&self) -> Vec<Listed> {
+    fn listed(&self) -> Vec<ListedHost> {
         let there =
             (0..self.trace.hosts).filter(|h| self.up[*h as usize] || !self.noticed[*h as usize]);
         there
-            .map(|h| Listed {
+            .map(|h| ListedHost {
                 host: HostId(h),
                 domain: DomainId(domain_of(self.trace, h) as u16),
                 address: ([127, 0, 0, 1], 7000).into(),
--- a/crates/oliveworks-lab/src/prove/agents.rs
+++ b/crates/oliveworks-lab/src/prove/agents.rs
@@ -4,7 +4,7 @@
 use oliveworks_core::answer::AttemptId;
 use oliveworks_core::error::{ErrorKind, Ran, Refusal};
 use oliveworks_core::id::{Epoch, HostId};
-use oliveworks_core::ledger::{Begin, Handed, Kept, Now, Revoked};
+use oliveworks_core::ledger::{Begin, Handover, Kept, Now, Revoked};
 use oliveworks_core::message::{Fence, LeaseMsg};
 use oliveworks_core::record::{Author, Body};
 use rand::RngExt;
@@ -121,7 +121,7 @@
         entry: Node,
         id: AttemptId,
         epoch: Epoch,
-        handed: Handed,
+        handed: Handover,
         from: u64,
         total: u64,
     ) {
@@ -171,7 +171,7 @@
         fence: Fence,
         from: u64,
         total: u64,
-        handed: Handed,
+        handed: Handover,
     ) {
         let repeatable = handed.key.is_none() && !is_service(host);
         // A pause of the process between the gate and the engine is a late arrival there.
--- a/crates/oliveworks-lab/src/prove/entries.rs
+++ b/crates/oliveworks-lab/src/prove/entries.rs
@@ -2,9 +2,9 @@
 
 use oliveworks_core::answer::{AttemptId, PieceAction};
 use oliveworks_core::error::Ran;
-use oliveworks_core::fleet::Listed;
+use oliveworks_core::fleet::ListedHost;
 use oliveworks_core::id::{Epoch, HostId, Millis, Offset, RecordId, RequestId};
-use oliveworks_core::ledger::{Handed, Key};
+use oliveworks_core::ledger::{Handover, Key};
 use oliveworks_core::pool::{GroupState, Snapshot};
 use oliveworks_core::relay::{Next, Relay, Terms};
 use oliveworks_core::route;
@@ -183,7 +183,7 @@
         };
         let left = open.deadline.since(now).min(LOST_MS * 2);
         let not_after = clock.plus(now.since(heard) + left);
-        let handed = Handed { id, attempt, incarnation, not_after, key: open.key };
+        let handed = Handover { id, attempt, incarnation, not_after, key: open.key };
         let current = open.relay.sent(epoch, attempt);
         open.current = Some((current, host, handed));
         open.lost_at = now.plus(LOST_MS);
@@ -363,10 +363,10 @@
         }
     }
 
-    fn true_list(&self) -> Vec<Listed> {
+    fn true_list(&self) -> Vec<ListedHost> {
         let hosts = self.engines.iter().filter(|(h, e)| e.life > 0 && !self.list_wrong.contains(h));
         hosts
-            .map(|(host, _)| Listed {
+            .map(|(host, _)| ListedHost {
                 host: *host,
                 domain: World::domain(*host),
                 address: ([127, 0, 0, 1], 7000).into(),
--- a/crates/oliveworks-lab/src/prove/net.rs
+++ b/crates/oliveworks-lab/src/prove/net.rs
@@ -7,7 +7,7 @@
 use oliveworks_core::answer::AttemptId;
 use oliveworks_core::error::Refusal;
 use oliveworks_core::id::{Epoch, HostId, Incarnation, Millis, Offset};
-use oliveworks_core::ledger::{Handed, Revoked};
+use oliveworks_core::ledger::{Handover, Revoked};
 use oliveworks_core::message::{GroupReport, LeaseMsg};
 use oliveworks_core::pool::Snapshot;
 use oliveworks_core::record::Record;
@@ -33,7 +33,7 @@
     /// An agent's incarnation, clock, and the epoch that it leads.
     Hello { incarnation: Incarnation, clock: Millis, leads: Option<Epoch> },
     /// An entry hands a request over.
-    Run { id: AttemptId, epoch: Epoch, handed: Handed, from: u64, total: u64 },
+    Run { id: AttemptId, epoch: Epoch, handed: Handover, from: u64, total: u64 },
     /// A piece of an answer.
     Piece { id: AttemptId, number: u64, content: u64 },
     /// An answer's end.
@@ -41,7 +41,7 @@
     /// A try is refused.
     Refused { id: AttemptId, refusal: Refusal, leader: Option<HostId> },
     /// A try is to be stopped before it begins.
-    Revoke { id: AttemptId, handed: Handed },
+    Revoke { id: AttemptId, handed: Handover },
     /// What became of it.
     Revoked { id: AttemptId, outcome: Revoked },
     /// A group's report to a decider.
--- a/crates/oliveworks-lab/src/prove/world.rs
+++ b/crates/oliveworks-lab/src/prove/world.rs
@@ -6,13 +6,13 @@
 use oliveworks_core::agent::{Agent, AgentConfig, Command, Pass};
 use oliveworks_core::answer::AttemptId;
 use oliveworks_core::decider::{Decider, DeciderConfig};
-use oliveworks_core::feed::{self, EntryAt, Feed, FeedConfig, Source};
-use oliveworks_core::fleet::Listed;
+use oliveworks_core::feed::{self, EntryLocation, Feed, FeedConfig, Source};
+use oliveworks_core::fleet::ListedHost;
 use oliveworks_core::id::{
     DomainId, EntryId, Epoch, HostId, Incarnation, Millis, Name, Offset, RecordId, RequestId,
 };
 use oliveworks_core::lease::LeaseConfig;
-use oliveworks_core::ledger::{Handed, LedgerConfig};
+use oliveworks_core::ledger::{Handover, LedgerConfig};
 use oliveworks_core::message::Fence;
 use oliveworks_core::pool::Pool;
 use oliveworks_core::record::{Author, Body, Record};
@@ -54,7 +54,7 @@
     /// The entry that waits.
     pub entry: Node,
     /// What was handed over.
-    pub handed: Handed,
+    pub handed: Handover,
     /// The view that began it.
     pub pass: Pass,
 }
@@ -100,7 +100,7 @@
     /// When the request, or its key, was first used, in real time.
     pub first: u64,
     /// The present try.
-    pub current: Option<(AttemptId, HostId, Handed)>,
+    pub current: Option<(AttemptId, HostId, Handover)>,
     /// When the present try, or its revocation, counts as lost.
     pub lost_at: Millis,
     /// Waiting for the answer to a revocation.
@@ -166,7 +166,7 @@
     /// What hosts truly promised.
     pub promises: BTreeMap<HostId, TruePromise>,
     /// The platform's list, as it will be shown.
-    pub list: Vec<Listed>,
+    pub list: Vec<ListedHost>,
     /// The platform's list is stuck.
     pub list_stuck: bool,
     /// Hosts that the platform wrongly leaves out.
@@ -269,8 +269,8 @@
 
     fn reader(&mut self, node: Node, now: Millis) -> Reader {
         let nonce = self.rng.next_u64();
-        let all: Vec<EntryAt> = (0..ENTRIES)
-            .map(|e| EntryAt { entry: EntryId(e as u32), region: "one".into() })
+        let all: Vec<EntryLocation> = (0..ENTRIES)
+            .map(|e| EntryLocation { entry: EntryId(e as u32), region: "one".into() })
             .collect();
         let sources = match node {
             Node::Agent(host) => feed::agent_sources(host, "one", &all),
--- a/crates/oliveworks-lab/src/slopes.rs
+++ b/crates/oliveworks-lab/src/slopes.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use oliveworks_core::fleet::{Fleet, FleetConfig, Listed};
+use oliveworks_core::fleet::{Fleet, FleetConfig, ListedHost};
 use oliveworks_core::id::{DomainId, Epoch, HostId, Millis, Name, Offset, RecordId, View};
 use oliveworks_core::message::{GroupReport, LeaseMsg};
 use oliveworks_core::placement::{PlacementConfig, plan};
@@ -48,10 +48,10 @@
     Name::new(text).expect("a constant name")
 }
 
-fn listed(hosts: u32, gone: &dyn Fn(u32) -> bool) -> Vec<Listed> {
+fn listed(hosts: u32, gone: &dyn Fn(u32) -> bool) -> Vec<ListedHost> {
     let there = (0..hosts).filter(|h| !gone(*h));
     there
-        .map(|h| Listed {
+        .map(|h| ListedHost {
             host: HostId(h),
             domain: DomainId((h / DOMAIN_HOSTS) as u16),
             address: ([10, 1, (h >> 8) as u8, h as u8], 7000).into(),
--- a/crates/oliveworks-net/src/wire.rs
+++ b/crates/oliveworks-net/src/wire.rs
@@ -5,7 +5,7 @@
 use oliveworks_core::answer::AttemptId;
 use oliveworks_core::error::Refusal;
 use oliveworks_core::id::{Epoch, HostId, Incarnation, Millis, Offset};
-use oliveworks_core::ledger::{Handed, Kept, Revoked};
+use oliveworks_core::ledger::{Handover, Kept, Revoked};
 use oliveworks_core::message::{GroupReport, LeaseMsg};
 use oliveworks_core::route::Load;
 use oliveworks_runtime::timeline::Filter;
@@ -30,7 +30,7 @@
     /// The request's body is complete.
     BodyEnd,
     /// An entry lost contact and asks that a try not begin.
-    Revoke(Handed),
+    Revoke(Handover),
     /// A process asks for what follows an offset; the answer may be held back for a while.
     Feed(FeedQuestion),
     /// A group's report to a decider.
@@ -62,7 +62,7 @@
     /// The group.
     pub epoch: Epoch,
     /// What the agent's ledger needs.
-    pub handed: Handed,
+    pub handed: Handover,
     /// The first piece wanted; the caller has those before it.
     pub from: u64,
     /// The time left to the request, in milliseconds.
--- a/crates/oliveworks-platform/src/client.rs
+++ b/crates/oliveworks-platform/src/client.rs
@@ -4,7 +4,7 @@
 use ntex::client::{Client, ClientResponse, Connector};
 use ntex::http::StatusCode;
 use ntex::time::Millis;
-use oliveworks_core::fleet::Listed;
+use oliveworks_core::fleet::ListedHost;
 use oliveworks_core::id::Offset;
 use serde::{Deserialize, Serialize};
 
@@ -140,7 +140,7 @@
     ///
     /// # Errors
     /// If the platform does not answer.
-    pub async fn hosts(&self) -> anyhow::Result<Vec<Listed>> {
+    pub async fn hosts(&self) -> anyhow::Result<Vec<ListedHost>> {
         let mut response = self
             .http
             .get(format!("{}/hosts", self.base))
--- a/crates/oliveworks-runtime/src/fleet.rs
+++ b/crates/oliveworks-runtime/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use oliveworks_core::feed::EntryAt;
+use oliveworks_core::feed::EntryLocation;
 use oliveworks_core::id::EntryId;
 use serde::{Deserialize, Serialize};
 
@@ -20,7 +20,7 @@
 
 impl EntryPeer {
     /// The entry's place among all.
-    pub fn at(&self) -> EntryAt {
-        EntryAt { entry: self.entry, region: self.region.clone() }
+    pub fn at(&self) -> EntryLocation {
+        EntryLocation { entry: self.entry, region: self.region.clone() }
     }
 }
--- a/crates/oliveworks-standin/src/main.rs
+++ b/crates/oliveworks-standin/src/main.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 
 use clap::{Args, Parser, Subcommand};
-use oliveworks_core::fleet::Listed;
+use oliveworks_core::fleet::ListedHost;
 use oliveworks_core::id::{DomainId, HostId};
 use oliveworks_runtime::logs::{self, LogConfig};
 
@@ -51,7 +51,7 @@
 impl HostOptions {
     /// Tells the platform once a second that the host is there.
     fn keep_listed(&self, service: Option<String>) {
-        let listed = Listed {
+        let listed = ListedHost {
             host: self.host,
             domain: self.domain,
             address: self.agent,
--- a/crates/oliveworks-standin/src/platform.rs
+++ b/crates/oliveworks-standin/src/platform.rs
@@ -10,7 +10,7 @@
 use ntex::time::{Millis, sleep};
 use ntex::web::types::{Json, Path, Query, State};
 use ntex::web::{self, App, HttpResponse, HttpServer};
-use oliveworks_core::fleet::Listed;
+use oliveworks_core::fleet::ListedHost;
 use oliveworks_core::id::{HostId, Offset};
 use oliveworks_platform::client::{Appended, LogPage, LogRecord};
 use serde::{Deserialize, Serialize};
@@ -78,8 +78,8 @@
 
 struct Inner {
     streams: BTreeMap<String, Stream>,
-    hosts: BTreeMap<HostId, (Listed, Instant)>,
-    shown: Vec<Listed>,
+    hosts: BTreeMap<HostId, (ListedHost, Instant)>,
+    shown: Vec<ListedHost>,
     faults: Faults,
     second: Instant,
     appended: u32,
@@ -189,7 +189,7 @@
     LogPage { start: Offset(stream.start), next: Offset(stream.next()), records: records.collect() }
 }
 
-async fn beat(platform: Shared, listed: Json<Listed>) -> HttpResponse {
+async fn beat(platform: Shared, listed: Json<ListedHost>) -> HttpResponse {
     let listed = listed.into_inner();
     platform.lock().hosts.insert(listed.host, (listed, Instant::now()));
     HttpResponse::NoContent().finish()
@@ -202,8 +202,8 @@
         let Inner { hosts, faults, .. } = &*inner;
         let there =
             hosts.values().filter(|(l, at)| at.elapsed() < lag && !faults.hidden.contains(&l.host));
-        let shown =
-            there.map(|(l, _)| Listed { leaving: faults.leaving.contains(&l.host), ..l.clone() });
+        let shown = there
+            .map(|(l, _)| ListedHost { leaving: faults.leaving.contains(&l.host), ..l.clone() });
         inner.shown = shown.collect();
     }
     HttpResponse::Ok().json(&inner.shown)
