--- a/crates/oliveworks-agent/src/run.rs
+++ b/crates/oliveworks-agent/src/run.rs
@@ -5,7 +5,7 @@
 
 use futures_util::StreamExt;
 use ntex::util::Bytes;
-use oliveworks_core::agent::Pass;
+use oliveworks_core::agent::RunPermit;
 use oliveworks_core::error::{ErrorKind, Ran, Refusal};
 use oliveworks_core::ledger::{Begin, Kept};
 use oliveworks_net::frame::{Reader, Writer};
@@ -52,7 +52,7 @@
 struct Job<'a> {
     process: &'a Arc<Process>,
     run: &'a Run,
-    pass: Pass,
+    permit: RunPermit,
     cuts: watch::Receiver<u64>,
     writer: Writer,
     kept: Option<Kept>,
@@ -68,9 +68,9 @@
 ) -> anyhow::Result<()> {
     let now = process.moment();
     let cuts = process.cuts();
-    let (begin, pass) = process.with_agent(|agent| agent.gate(now, run.epoch, &run.handed));
-    let pass = match (begin, pass) {
-        (Begin::Run, Some(pass)) => pass,
+    let (begin, permit) = process.with_agent(|agent| agent.gate(now, run.epoch, &run.handed));
+    let permit = match (begin, permit) {
+        (Begin::Run, Some(permit)) => permit,
         (Begin::Kept(kept), _) => {
             writer.send(&Reply::Kept(kept)).await?;
             writer.finish();
@@ -85,7 +85,7 @@
         (Begin::Run, None) => anyhow::bail!("a request runs only with a pass"),
     };
     note(process, &run, "began");
-    let mut job = Job { process, run: &run, pass, cuts, writer, kept: None, pieces: run.from };
+    let mut job = Job { process, run: &run, permit, cuts, writer, kept: None, pieces: run.from };
     let outcome = match &run.call {
         Call::Completion { chat, body } => job.complete(*chat, body).await,
         Call::Service { method, path, headers, has_body } => {
@@ -144,7 +144,7 @@
     /// The second gate: what the backend server said may go back only while the group is whole.
     fn check_pass(&self) -> Result<(), Stop> {
         let now = self.process.clock.now();
-        match self.process.with_agent(|agent| agent.may_pass(now, &self.pass)) {
+        match self.process.with_agent(|agent| agent.may_pass(now, &self.permit)) {
             true => Ok(()),
             false => Err(group_ended()),
         }
@@ -172,7 +172,7 @@
         let process = self.process.clone();
         let completion = Completion {
             request: self.run.id.request.to_string(),
-            fence: self.pass.fence(),
+            fence: self.permit.fence(),
             chat,
             from: self.run.from,
             priority: self.run.priority,
@@ -210,7 +210,7 @@
         let process = self.process.clone();
         let call = ServiceCall {
             request: self.run.id.request.to_string(),
-            fence: self.pass.fence(),
+            fence: self.permit.fence(),
             method,
             path,
             headers,
--- a/crates/oliveworks-core/src/agent/gate.rs
+++ b/crates/oliveworks-core/src/agent/gate.rs
@@ -10,12 +10,12 @@
 
 /// Permission to run a request, valid only in the view in which it was given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pass {
+pub struct RunPermit {
     epoch: Epoch,
     view: View,
 }
 
-impl Pass {
+impl RunPermit {
     /// Returns the fence for the engine.
     pub fn fence(&self) -> Fence {
         Fence::new(self.epoch, self.view)
@@ -33,9 +33,14 @@
         self.machine.is("serving") && self.holder.as_ref().is_some_and(|h| h.is_complete(now))
     }
 
-    /// Decides whether a request may be handed to the engine. [`Begin::Run`] comes with a pass, and
-    /// the request counts as having run from then on.
-    pub fn gate(&mut self, now: Now, epoch: Epoch, handed: &Handover) -> (Begin, Option<Pass>) {
+    /// Decides whether a request may be handed to the engine. [`Begin::Run`] comes with a permit,
+    /// and the request counts as having run from then on.
+    pub fn gate(
+        &mut self,
+        now: Now,
+        epoch: Epoch,
+        handed: &Handover,
+    ) -> (Begin, Option<RunPermit>) {
         if let Some(known) = self.ledger.recall(now.mono, handed) {
             return (known, None);
         }
@@ -46,7 +51,7 @@
             (Some(refusal), _) => Begin::Refuse(refusal),
         };
         match (begin, view) {
-            (Begin::Run, Some(view)) => (Begin::Run, Some(Pass { epoch, view })),
+            (Begin::Run, Some(view)) => (Begin::Run, Some(RunPermit { epoch, view })),
             (Begin::Refuse(mut refusal), _) => {
                 if refusal.ran == Ran::No && !self.ledger.stop(handed) {
                     refusal.ran = Ran::Unknown;
@@ -85,8 +90,9 @@
 
     /// Returns whether a piece of an answer may be sent back. The view that began the request must
     /// still be complete at `now`, which the caller reads after the piece arrived from the engine.
-    pub fn may_pass(&self, now: Millis, pass: &Pass) -> bool {
-        let same = |h: &Holder| h.epoch == pass.epoch && h.view == pass.view && h.is_complete(now);
+    pub fn may_pass(&self, now: Millis, permit: &RunPermit) -> bool {
+        let same =
+            |h: &Holder| h.epoch == permit.epoch && h.view == permit.view && h.is_complete(now);
         self.holder.as_ref().is_some_and(same)
     }
 
--- a/crates/oliveworks-core/src/agent/mod.rs
+++ b/crates/oliveworks-core/src/agent/mod.rs
@@ -20,7 +20,7 @@
 use crate::pool::{Group, GroupState, Pool};
 use crate::template::SlotId;
 
-pub use self::gate::Pass;
+pub use self::gate::RunPermit;
 
 /// Group to which the log assigns this host.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/oliveworks-lab/src/prove/agents.rs
+++ b/crates/oliveworks-lab/src/prove/agents.rs
@@ -130,14 +130,14 @@
         let Some(proc) = self.agents.get_mut(&host) else {
             return;
         };
-        let (begin, pass) = proc.agent.gate(now, epoch, &handed);
+        let (begin, permit) = proc.agent.gate(now, epoch, &handed);
         let leader = proc.agent.leader(now.mono).filter(|l| *l != host);
         let members = proc.agent.view_members();
-        match (begin, pass) {
-            (Begin::Run, Some(pass)) => {
-                proc.runs.insert(id, Running { entry, handed, pass });
+        match (begin, permit) {
+            (Begin::Run, Some(permit)) => {
+                proc.runs.insert(id, Running { entry, handed, permit });
                 self.check_leaving(&members);
-                self.hand_to_engine(host, id, pass.fence(), from, total, handed);
+                self.hand_to_engine(host, id, permit.fence(), from, total, handed);
             }
             (Begin::Kept(kept), _) => {
                 for (number, piece) in kept.body.chunks(8).enumerate() {
@@ -237,8 +237,8 @@
         let Some(run) = proc.runs.get(&id) else {
             return;
         };
-        let (entry, pass, handed) = (run.entry, run.pass, run.handed);
-        if !proc.agent.may_pass(now, &pass) && broken != Broken::PassesUnchecked {
+        let (entry, permit, handed) = (run.entry, run.permit, run.handed);
+        if !proc.agent.may_pass(now, &permit) && broken != Broken::PassesUnchecked {
             let commands = proc.agent.tick(now);
             self.obey(host, commands);
             return;
@@ -254,7 +254,7 @@
             proc.agent.finish(now, &handed, Some(kept));
             self.send(node, entry, Msg::End { id, pieces: total });
         }
-        self.check_whole(host, pass.epoch(), &members);
+        self.check_whole(host, permit.epoch(), &members);
     }
 
     /// Whoever passes an answer on has every member's true promise.
--- a/crates/oliveworks-lab/src/prove/world.rs
+++ b/crates/oliveworks-lab/src/prove/world.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-use oliveworks_core::agent::{Agent, AgentConfig, Command, Pass};
+use oliveworks_core::agent::{Agent, AgentConfig, Command, RunPermit};
 use oliveworks_core::answer::AttemptId;
 use oliveworks_core::decider::{Decider, DeciderConfig};
 use oliveworks_core::feed::{self, EntryLocation, Feed, FeedConfig, Source};
@@ -56,7 +56,7 @@
     /// What was handed over.
     pub handed: Handover,
     /// The view that began it.
-    pub pass: Pass,
+    pub permit: RunPermit,
 }
 
 /// An agent process.
