--- a/crates/oliveworks-agent/src/process.rs
+++ b/crates/oliveworks-agent/src/process.rs
@@ -7,7 +7,7 @@
 use anyhow::Context;
 use ntex::time::{Millis as Wait, sleep};
 use oliveworks_core::agent::{Agent, AgentConfig, Assigned, Command};
-use oliveworks_core::feed::{agent_sources, order};
+use oliveworks_core::feed::{agent_sources, rank_entries};
 use oliveworks_core::id::{HostId, Incarnation};
 use oliveworks_core::ledger::Now;
 use oliveworks_core::message::GroupReport;
@@ -257,7 +257,7 @@
 /// Tells the deciders of this host's group: at once when something changed, and now and then.
 async fn report(process: Arc<Process>) {
     let mut told: Option<(GroupReport, u64)> = None;
-    let deciders = order("decider", process.settings.entries.iter().map(|e| e.entry));
+    let deciders = rank_entries("decider", process.settings.entries.iter().map(|e| e.entry));
     let deciders: Vec<_> = deciders.into_iter().take(DECIDERS).collect();
     loop {
         sleep(Wait(TICK_MS * 2)).await;
--- a/crates/oliveworks-core/src/agent/leading.rs
+++ b/crates/oliveworks-core/src/agent/leading.rs
@@ -176,7 +176,7 @@
             }
             LeaseMsg::Refuse { epoch, view, highest, .. } => {
                 if let Some(holder) = self.holder_of(epoch, view) {
-                    holder.heard(now, from);
+                    holder.record_answer(now, from);
                 }
                 self.observe_later_view(now, epoch, highest)
             }
--- a/crates/oliveworks-core/src/feed.rs
+++ b/crates/oliveworks-core/src/feed.rs
@@ -69,7 +69,7 @@
 
 /// Sorts entries by a hash that every process computes alike. `salt` separates orders for different
 /// uses.
-pub fn order(salt: &str, entries: impl IntoIterator<Item = EntryId>) -> Vec<EntryId> {
+pub fn rank_entries(salt: &str, entries: impl IntoIterator<Item = EntryId>) -> Vec<EntryId> {
     let mut entries: Vec<EntryId> = entries.into_iter().collect();
     entries.sort_by_key(|e| (xxh3_64(format!("{salt}/{e}").as_bytes()), *e));
     entries
@@ -84,12 +84,12 @@
     fan_out: usize,
 ) -> Vec<Source> {
     let local = all.iter().filter(|e| e.region == region).map(|e| e.entry);
-    let order = order(region, local);
-    let mut rank = order.iter().position(|e| *e == me).unwrap_or(0);
+    let ranked = rank_entries(region, local);
+    let mut rank = ranked.iter().position(|e| *e == me).unwrap_or(0);
     let mut sources = Vec::new();
     while rank > 0 {
         rank = (rank - 1) / fan_out.max(1);
-        sources.push(Source::Entry(order[rank]));
+        sources.push(Source::Entry(ranked[rank]));
     }
     sources.push(Source::Log);
     // An entry that cannot reach the log asks the first readers of other regions. Two first readers
@@ -105,7 +105,7 @@
     regions.dedup();
     let first = |r: &&str| {
         let remote = all.iter().filter(|e| e.region == **r).map(|e| e.entry);
-        order(r, remote).first().copied()
+        rank_entries(r, remote).first().copied()
     };
     regions.iter().filter(|r| **r != region).filter_map(first).collect()
 }
@@ -117,8 +117,8 @@
     let local = all.iter().filter(|e| e.region == region).map(|e| e.entry);
     let remote = all.iter().filter(|e| e.region != region).map(|e| e.entry);
     let mut sources: Vec<Source> =
-        order(&salt, local).into_iter().take(3).map(Source::Entry).collect();
-    sources.extend(order(&salt, remote).into_iter().take(2).map(Source::Entry));
+        rank_entries(&salt, local).into_iter().take(3).map(Source::Entry).collect();
+    sources.extend(rank_entries(&salt, remote).into_iter().take(2).map(Source::Entry));
     sources.push(Source::Log);
     sources
 }
@@ -189,7 +189,7 @@
     /// Records a source's answer to the question `number`: the source knows no record at or after
     /// `next`, and its proof of that is at most `age_ms` old. `held` is the next offset of the
     /// local pool.
-    pub fn heard(
+    pub fn record_answer(
         &mut self,
         now: Millis,
         source: Source,
--- a/crates/oliveworks-core/src/lease.rs
+++ b/crates/oliveworks-core/src/lease.rs
@@ -285,7 +285,7 @@
     }
 
     /// Records that a member answered without granting.
-    pub fn heard(&mut self, now: Millis, host: HostId) {
+    pub fn record_answer(&mut self, now: Millis, host: HostId) {
         if let Some(member) = self.members.get_mut(&host) {
             member.last_answer = now;
         }
--- a/crates/oliveworks-core/tests/feed.rs
+++ b/crates/oliveworks-core/tests/feed.rs
@@ -68,10 +68,10 @@
     let from = feed.source();
     assert_eq!(feed.age_ms(Millis(5)), None);
     let asked = feed.ask(Millis(10));
-    feed.heard(Millis(400), from, asked, Offset(3), Some(50), Offset(3));
+    feed.record_answer(Millis(400), from, asked, Offset(3), Some(50), Offset(3));
     assert_eq!(feed.age_ms(Millis(400)), Some(440));
     let again = feed.ask(Millis(500));
-    feed.heard(Millis(600), from, again, Offset(3), Some(900), Offset(3));
+    feed.record_answer(Millis(600), from, again, Offset(3), Some(900), Offset(3));
     assert_eq!(feed.age_ms(Millis(600)), Some(640), "an older proof replaces no newer one");
 }
 
@@ -80,9 +80,9 @@
     let mut feed = feed();
     let from = feed.source();
     let asked = feed.ask(Millis(10));
-    feed.heard(Millis(20), from, asked, Offset(9), Some(0), Offset(8));
+    feed.record_answer(Millis(20), from, asked, Offset(9), Some(0), Offset(8));
     assert_eq!(feed.age_ms(Millis(20)), None);
-    feed.heard(Millis(20), from, asked ^ 64, Offset(8), Some(0), Offset(8));
+    feed.record_answer(Millis(20), from, asked ^ 64, Offset(8), Some(0), Offset(8));
     assert_eq!(feed.age_ms(Millis(20)), None, "an answer to a question never asked");
 }
 
@@ -96,7 +96,7 @@
     let mut changed = None;
     while changed.is_none() && now < 9_000 {
         let asked = feed.ask(Millis(now));
-        feed.heard(
+        feed.record_answer(
             Millis(now + 5),
             Source::Entry(EntryId(2)),
             asked,
@@ -112,7 +112,7 @@
     let mut back = None;
     while back.is_none() && now < 60_000 {
         let asked = feed.ask(Millis(now));
-        feed.heard(Millis(now + 5), Source::Log, asked, Offset(0), Some(0), Offset(0));
+        feed.record_answer(Millis(now + 5), Source::Log, asked, Offset(0), Some(0), Offset(0));
         now += 100;
         back = feed.tick(Millis(now));
     }
--- a/crates/oliveworks-entry/src/process.rs
+++ b/crates/oliveworks-entry/src/process.rs
@@ -8,7 +8,7 @@
 use anyhow::Context;
 use ntex::time::{Millis as Wait, sleep};
 use oliveworks_core::decider::Decider;
-use oliveworks_core::feed::{entry_sources, order};
+use oliveworks_core::feed::{entry_sources, rank_entries};
 use oliveworks_core::id::{Epoch, HostId, Millis};
 use oliveworks_core::template::TemplateKey;
 use oliveworks_feed::{Links, Store, follow};
@@ -151,7 +151,7 @@
     let partners = keys.partners.keys().cloned();
     let store =
         Arc::new(Store::new(clock.now(), rng.random(), partners, ring, sources, settings.feed));
-    let deciders = order("decider", settings.entries.iter().map(|e| e.entry));
+    let deciders = rank_entries("decider", settings.entries.iter().map(|e| e.entry));
     let rank = deciders.iter().position(|e| *e == settings.entry).unwrap_or(0) as u64;
     let decider = Decider::new(clock.now(), rank, settings.decider);
     let core = Core::new(settings.admission, &settings.callers, decider);
--- a/crates/oliveworks-feed/src/lib.rs
+++ b/crates/oliveworks-feed/src/lib.rs
@@ -187,7 +187,7 @@
             inner.apply(offset, text, &self.keys, &mut applied);
         }
         let held = inner.pool.next();
-        inner.feed.heard(now, source, answer.number, answer.next, answer.age_ms, held);
+        inner.feed.record_answer(now, source, answer.number, answer.next, answer.age_ms, held);
         drop(inner);
         self.changed.send_if_modified(|next| std::mem::replace(next, held) != held);
         Ok(applied)
--- a/crates/oliveworks-lab/src/prove/reading.rs
+++ b/crates/oliveworks-lab/src/prove/reading.rs
@@ -92,7 +92,7 @@
             let what = format!("{node:?} went back from {before} to {held}");
             self.check.breach("configuration", what);
         }
-        reader.feed.heard(now, source, number, next, age_ms, held);
+        reader.feed.record_answer(now, source, number, next, age_ms, held);
         if let Err(e) = reader.pool.verify() {
             self.check.breach("two groups", e);
         }
--- a/crates/oliveworks-lab/src/prove/world.rs
+++ b/crates/oliveworks-lab/src/prove/world.rs
@@ -317,7 +317,7 @@
                 self.agents.insert(host, proc);
             }
             Node::Entry(entry) => {
-                let rank = feed::order("decider", (0..ENTRIES as u32).map(EntryId))
+                let rank = feed::rank_entries("decider", (0..ENTRIES as u32).map(EntryId))
                     .iter()
                     .position(|e| e.0 as usize == entry)
                     .unwrap_or(0);
