--- a/crates/oliveworks-core/src/route.rs
+++ b/crates/oliveworks-core/src/route.rs
@@ -131,7 +131,7 @@
     load: Load,
     sent_since_report: u32,
     prefill_since_report: u32,
-    open: u32,
+    in_flight: u32,
     prefixes: Prefixes,
     breaker: Breaker,
 }
@@ -165,8 +165,8 @@
     }
 
     /// Returns the number of requests of this entry that are in flight at a group.
-    pub fn open(&self, epoch: Epoch) -> u32 {
-        self.targets.get(&epoch).map_or(0, |t| t.open)
+    pub fn in_flight(&self, epoch: Epoch) -> u32 {
+        self.targets.get(&epoch).map_or(0, |t| t.in_flight)
     }
 
     /// Returns whether any group can run one more request or let it wait for a short time.
@@ -288,7 +288,7 @@
             let covered = (target.prefixes.covered(blocks) * block) as u32;
             target.sent_since_report += 1;
             target.prefill_since_report += tokens.saturating_sub(covered);
-            target.open += 1;
+            target.in_flight += 1;
             target.prefixes.insert(blocks, max_blocks);
         }
     }
@@ -296,7 +296,7 @@
     /// Records the end of a request. `fault` is set if the group caused a failure.
     pub fn ended(&mut self, now: Millis, epoch: Epoch, fault: bool) {
         if let Some(target) = self.targets.get_mut(&epoch) {
-            target.open = target.open.saturating_sub(1);
+            target.in_flight = target.in_flight.saturating_sub(1);
             match fault {
                 true => target.breaker.failure(now),
                 false => target.breaker.success(),
@@ -316,7 +316,7 @@
 
 /// Returns the home replica of a caller's key, out of `replicas`. Every process computes the same
 /// result. Rendezvous hashing moves the fewest possible keys when the number of replicas changes.
-pub fn home(key: u128, replicas: u16) -> u16 {
+pub fn home_replica(key: u128, replicas: u16) -> u16 {
     let score = |index: &u16| xxh3_64_with_seed(&key.to_be_bytes(), u64::from(*index));
     (0..replicas).max_by_key(score).unwrap_or(0)
 }
@@ -324,7 +324,7 @@
 /// Returns the groups of a template that an entry uses, at most `max_groups`. The groups are spread
 /// evenly over the entries, so that no entry receives reports from every group and no group reports
 /// to every entry.
-pub fn subset(
+pub fn groups_for_entry(
     entry: u32,
     groups: impl IntoIterator<Item = Epoch>,
     max_groups: usize,
--- a/crates/oliveworks-core/tests/requests.rs
+++ b/crates/oliveworks-core/tests/requests.rs
@@ -10,7 +10,9 @@
 use oliveworks_core::ledger::Revoked;
 use oliveworks_core::relay::{Next, Relay, Terms};
 use oliveworks_core::retry::{Breaker, RetryBudget};
-use oliveworks_core::route::{Load, Policy, RouteConfig, Router, home, prefix_blocks, subset};
+use oliveworks_core::route::{
+    Load, Policy, RouteConfig, Router, groups_for_entry, home_replica, prefix_blocks,
+};
 use oliveworks_core::template::TemplateKey;
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -277,16 +279,18 @@
 
 #[test]
 fn keys_keep_their_homes_when_replicas_are_added() {
-    let moved = (0..1_000u128).filter(|k| home(*k, 4) != home(*k, 5)).count();
+    let moved = (0..1_000u128).filter(|k| home_replica(*k, 4) != home_replica(*k, 5)).count();
     assert!((100..320).contains(&moved), "{moved} of 1000 moved");
-    assert!((0..1_000u128).all(|k| home(k, 5) == home(k, 4) || home(k, 5) == 4));
+    assert!(
+        (0..1_000u128).all(|k| home_replica(k, 5) == home_replica(k, 4) || home_replica(k, 5) == 4)
+    );
 }
 
 #[test]
 fn entries_share_groups_evenly() {
     let mut uses = vec![0u32; 64];
     for entry in 0..340 {
-        for epoch in subset(entry, (0..64).map(Epoch), 16) {
+        for epoch in groups_for_entry(entry, (0..64).map(Epoch), 16) {
             uses[epoch.0 as usize] += 1;
         }
     }
--- a/crates/oliveworks-entry/src/driver.rs
+++ b/crates/oliveworks-entry/src/driver.rs
@@ -13,7 +13,7 @@
 use oliveworks_core::ledger::{Handover, Kept, Key};
 use oliveworks_core::pool::GroupState;
 use oliveworks_core::relay::{Next, Relay, Terms};
-use oliveworks_core::route::home;
+use oliveworks_core::route::home_replica;
 use oliveworks_core::template::{SlotId, TemplateKey};
 use oliveworks_net::frame::{Reader, Writer};
 use oliveworks_net::wire::{Call, Question, Reply, Run, Usage};
@@ -199,7 +199,7 @@
             return self.entry.store.with_pool(|pool| {
                 let published = pool.template(template)?;
                 key.homes_at = published.homes_at;
-                let index = home(id.0, published.template.replicas);
+                let index = home_replica(id.0, published.template.replicas);
                 let slot = SlotId { template: template.clone(), index };
                 let groups = pool.groups_in(&slot);
                 groups.filter(|g| g.state == GroupState::Active).last().map(|g| g.epoch)
--- a/crates/oliveworks-entry/src/state.rs
+++ b/crates/oliveworks-entry/src/state.rs
@@ -9,7 +9,7 @@
 use oliveworks_core::id::{EntryId, Epoch, HostId, Incarnation, Millis, Name, Offset, RequestId};
 use oliveworks_core::pool::{GroupState, Pool};
 use oliveworks_core::retry::RetryBudget;
-use oliveworks_core::route::{Router, subset};
+use oliveworks_core::route::{Router, groups_for_entry};
 use oliveworks_core::template::{Kind, TemplateKey};
 use oliveworks_net::wire::Hello;
 use rand::SeedableRng;
@@ -131,7 +131,7 @@
             let service = pool.template(&key).is_some_and(|p| p.template.kind == Kind::Service);
             let most = if service { usize::MAX } else { most };
             let router = self.routers.entry(key).or_insert_with(|| Router::new(routing));
-            router.set_groups(subset(me.0, epochs, most));
+            router.set_groups(groups_for_entry(me.0, epochs, most));
         }
         self.leaders.retain(|epoch, _| pool.group(*epoch).is_some());
     }
--- a/crates/oliveworks-lab/src/prove/entries.rs
+++ b/crates/oliveworks-lab/src/prove/entries.rs
@@ -381,7 +381,7 @@
 /// The group that is a key's home now, if its slot has one.
 fn home_of(pool: &oliveworks_core::pool::Pool, id: RequestId) -> Option<(Epoch, Offset)> {
     let published = pool.templates().find(|p| p.template.kind == Kind::Service)?;
-    let index = route::home(id.0, published.template.replicas);
+    let index = route::home_replica(id.0, published.template.replicas);
     let slot = oliveworks_core::template::SlotId { template: published.template.key(), index };
     let active = |g: &&oliveworks_core::pool::Group| g.state == GroupState::Active;
     pool.groups_in(&slot).filter(active).last().map(|g| (g.epoch, published.homes_at))
