--- a/crates/oliveworks-core/src/relay.rs
+++ b/crates/oliveworks-core/src/relay.rs
@@ -32,33 +32,33 @@
 
 /// Conditions under which a request may be attempted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct RequestTerms {
     /// Whether the request may run again after it may have run.
     pub repeatable: bool,
     /// Whether the request has a caller's key.
-    pub keyed: bool,
+    pub has_key: bool,
     /// Latest time at which the request may end.
     pub deadline: Millis,
     /// Maximum number of attempts.
-    pub tries: u32,
+    pub max_attempts: u32,
 }
 
 /// State of one request.
 #[derive(Clone, Debug)]
 pub struct Relay {
-    terms: Terms,
+    terms: RequestTerms,
     id: RequestId,
     machine: Machine,
     assembly: Assembly,
     tried: Vec<Epoch>,
-    tries: u32,
+    attempts: u32,
     may_have_run: bool,
     lost: Option<Refusal>,
 }
 
 impl Relay {
     /// Returns the state of a request that was admitted.
-    pub fn new(id: RequestId, terms: Terms) -> Relay {
+    pub fn new(id: RequestId, terms: RequestTerms) -> Relay {
         let mut machine = Machine::new(charts::request());
         machine.fire("admit");
         Relay {
@@ -67,7 +67,7 @@
             machine,
             assembly: Assembly::new(AttemptId { request: id, attempt: 0 }),
             tried: Vec::new(),
-            tries: 0,
+            attempts: 0,
             may_have_run: false,
             lost: None,
         }
@@ -89,13 +89,13 @@
     }
 
     /// Returns the number of attempts made.
-    pub fn tries(&self) -> u32 {
-        self.tries
+    pub fn attempts(&self) -> u32 {
+        self.attempts
     }
 
     /// Records that the request was handed to a group.
     pub fn sent(&mut self, epoch: Epoch, attempt: u64) -> AttemptId {
-        self.tries += 1;
+        self.attempts += 1;
         self.tried.push(epoch);
         self.lost = None;
         self.assembly.retry(attempt);
@@ -199,12 +199,12 @@
     }
 
     fn may_retry(&self, now: Millis, budget: bool) -> bool {
-        budget && self.tries < self.terms.tries && now < self.terms.deadline
+        budget && self.attempts < self.terms.max_attempts && now < self.terms.deadline
     }
 
     /// Returns the final refusal. Uncertainty about any attempt makes the whole request uncertain.
     fn give_up(&mut self, mut refusal: Refusal) -> Next {
-        let uncertain = self.may_have_run || self.terms.keyed;
+        let uncertain = self.may_have_run || self.terms.has_key;
         if refusal.ran == Ran::No && uncertain {
             refusal.ran = Ran::Unknown;
         }
--- a/crates/oliveworks-core/tests/requests.rs
+++ b/crates/oliveworks-core/tests/requests.rs
@@ -8,7 +8,7 @@
 use oliveworks_core::error::{ANSWERS, ErrorKind, Ran, Refusal};
 use oliveworks_core::id::{Epoch, Millis, RequestId};
 use oliveworks_core::ledger::Revoked;
-use oliveworks_core::relay::{Next, Relay, Terms};
+use oliveworks_core::relay::{Next, Relay, RequestTerms};
 use oliveworks_core::retry::{Breaker, RetryBudget};
 use oliveworks_core::route::{
     Load, Policy, RouteConfig, Router, groups_for_entry, home_replica, prefix_blocks,
@@ -76,8 +76,8 @@
     assert_eq!(assembly.end(try_id(2), 2), PieceAction::Pass);
 }
 
-fn relay(repeatable: bool, keyed: bool) -> Relay {
-    Relay::new(ID, Terms { repeatable, keyed, deadline: Millis(1_000), tries: 3 })
+fn relay(repeatable: bool, has_key: bool) -> Relay {
+    Relay::new(ID, RequestTerms { repeatable, has_key, deadline: Millis(1_000), max_attempts: 3 })
 }
 
 fn refusal(kind: ErrorKind, ran: Ran) -> Refusal {
@@ -93,8 +93,8 @@
 
 #[test_case(true, false, Ran::Unknown, true; "repeatable: tried again, and then uncertain")]
 #[test_case(false, false, Ran::Unknown, false; "not repeatable: ends at once")]
-fn a_try_that_may_have_run(repeatable: bool, keyed: bool, ran: Ran, again: bool) {
-    let mut relay = relay(repeatable, keyed);
+fn a_try_that_may_have_run(repeatable: bool, has_key: bool, ran: Ran, again: bool) {
+    let mut relay = relay(repeatable, has_key);
     relay.sent(Epoch(1), 1);
     let unknown = refusal(ErrorKind::ContactLost, Ran::Unknown);
     let mut next = relay.refused(Millis(1), unknown, false, true);
@@ -112,8 +112,12 @@
 #[test_case(Some(Revoked::Begun), false, Some(Ran::Unknown); "begun")]
 #[test_case(Some(Revoked::Unknown), false, Some(Ran::Unknown); "not known")]
 #[test_case(None, false, Some(Ran::Unknown); "no word")]
-fn lost_contact_with_what_must_not_repeat(outcome: Option<Revoked>, keyed: bool, ran: Option<Ran>) {
-    let mut relay = relay(false, keyed);
+fn lost_contact_with_what_must_not_repeat(
+    outcome: Option<Revoked>,
+    has_key: bool,
+    ran: Option<Ran>,
+) {
+    let mut relay = relay(false, has_key);
     relay.sent(Epoch(1), 1);
     assert_eq!(relay.failed(Millis(1), "lost", true), Next::Revoke);
     let next = relay.revoked(Millis(1), outcome, false);
--- a/crates/oliveworks-entry/src/callers.rs
+++ b/crates/oliveworks-entry/src/callers.rs
@@ -13,7 +13,7 @@
 use oliveworks_core::id::{Epoch, Offset, RequestId};
 use oliveworks_core::ledger::Key;
 use oliveworks_core::pool::Published;
-use oliveworks_core::relay::Terms;
+use oliveworks_core::relay::RequestTerms;
 use oliveworks_core::template::{Kind, TemplateKey};
 use rand::RngExt;
 use xxhash_rust::xxh3::xxh3_128;
@@ -47,7 +47,7 @@
     /// The caller's key.
     pub key: Option<Key>,
     /// What may be done with it.
-    pub terms: Terms,
+    pub terms: RequestTerms,
     /// Its template.
     pub template: TemplateKey,
     /// Its template's priority.
@@ -114,11 +114,11 @@
             false => key(headers, &template.key(), digest)?,
         };
         let id = key.map_or_else(|| RequestId(rand::rng().random()), |(id, _)| id);
-        let terms = Terms {
+        let terms = RequestTerms {
             repeatable,
-            keyed: key.is_some(),
+            has_key: key.is_some(),
             deadline: entry.clock.now().plus(left_ms),
-            tries: entry.settings.callers.tries,
+            max_attempts: entry.settings.callers.tries,
         };
         Ok(Intake {
             id,
--- a/crates/oliveworks-entry/src/driver.rs
+++ b/crates/oliveworks-entry/src/driver.rs
@@ -12,7 +12,7 @@
 use oliveworks_core::id::{Epoch, HostId, Millis, RequestId};
 use oliveworks_core::ledger::{Handover, Kept, Key};
 use oliveworks_core::pool::GroupState;
-use oliveworks_core::relay::{Next, Relay, Terms};
+use oliveworks_core::relay::{Next, Relay, RequestTerms};
 use oliveworks_core::route::home_replica;
 use oliveworks_core::template::{SlotId, TemplateKey};
 use oliveworks_net::frame::{Reader, Writer};
@@ -49,7 +49,7 @@
     /// Its template.
     pub template: TemplateKey,
     /// What may be done with it.
-    pub terms: Terms,
+    pub terms: RequestTerms,
     /// The caller's key.
     pub key: Option<Key>,
     /// Its template's priority.
@@ -260,7 +260,7 @@
             priority: self.job.priority,
             call: self.job.call.clone(),
         };
-        self.note("sent", Some(epoch), format!("{host}, try {}", self.relay.tries()));
+        self.note("sent", Some(epoch), format!("{host}, try {}", self.relay.attempts()));
         self.handed_to = Some((host, at, handed));
         self.begun = true;
         let question = Question::Run(Box::new(run));
--- a/crates/oliveworks-lab/src/prove/entries.rs
+++ b/crates/oliveworks-lab/src/prove/entries.rs
@@ -6,7 +6,7 @@
 use oliveworks_core::id::{Epoch, HostId, Millis, Offset, RecordId, RequestId};
 use oliveworks_core::ledger::{Handover, Key};
 use oliveworks_core::pool::{GroupState, Snapshot};
-use oliveworks_core::relay::{Next, Relay, Terms};
+use oliveworks_core::relay::{Next, Relay, RequestTerms};
 use oliveworks_core::route;
 use oliveworks_core::template::Kind;
 use rand::{Rng, RngExt};
@@ -322,7 +322,7 @@
         }
         let repeatable = !service || self.broken == Broken::RepeatsAll;
         let deadline = now.plus(self.rng.random_range(2_000..8_000));
-        let terms = Terms { repeatable, keyed: key.is_some(), deadline, tries: 4 };
+        let terms = RequestTerms { repeatable, has_key: key.is_some(), deadline, max_attempts: 4 };
         let open = Open {
             relay: Relay::new(id, terms),
             kind: if service { Kind::Service } else { Kind::Model },
