--- a/crates/oliveworks-core/src/admit.rs
+++ b/crates/oliveworks-core/src/admit.rs
@@ -38,7 +38,7 @@
 
 /// Workspace that a request belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Owner {
+pub struct WorkspaceKey {
     /// Partner.
     pub partner: Name,
     /// Workspace of the partner.
@@ -47,7 +47,7 @@
 
 /// Waiting request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Waiting {
+pub struct WaitingRequest {
     /// Id of the request.
     pub id: RequestId,
     /// Template of the request. The request is sent only when its template has room.
@@ -62,7 +62,7 @@
 
 #[derive(Clone, Debug)]
 struct Queue {
-    waiting: VecDeque<Waiting>,
+    waiting: VecDeque<WaitingRequest>,
     weight: u32,
     /// Service received, divided by the weight. The queue with the lowest value is served next.
     service: u64,
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug)]
 pub struct Admission {
     config: AdmitConfig,
-    queues: BTreeMap<Owner, Queue>,
+    queues: BTreeMap<WorkspaceKey, Queue>,
     len: usize,
     departure_rates: BTreeMap<TemplateKey, DepartureRate>,
 }
@@ -112,7 +112,7 @@
     /// Returns the expected wait of a request of this template and priority, in milliseconds.
     /// Requests of other templates wait for other groups and are not counted.
     pub fn expected_wait_ms(&self, template: &TemplateKey, priority: u8) -> u64 {
-        let before = |w: &&Waiting| w.template == *template && w.priority >= priority;
+        let before = |w: &&WaitingRequest| w.template == *template && w.priority >= priority;
         let ahead: usize =
             self.queues.values().map(|q| q.waiting.iter().filter(before).count()).sum();
         ahead as u64 * self.gap_us(template) / 1000
@@ -124,12 +124,12 @@
 
     /// Adds a request to its queue. Returns the requests that are rejected as a result, possibly
     /// the new request itself.
-    pub fn enter(
+    pub fn enqueue(
         &mut self,
         now: Millis,
-        owner: &Owner,
+        owner: &WorkspaceKey,
         weight: u32,
-        request: Waiting,
+        request: WaitingRequest,
     ) -> Vec<(RequestId, Refusal)> {
         let wait = self.expected_wait_ms(&request.template, request.priority);
         let retry_after = self.retry_after_ms(&request.template);
@@ -185,13 +185,14 @@
             .queues
             .values()
             .flat_map(|q| q.waiting.iter().map(move |w| (q.waiting.len() / q.weight as usize, w)));
-        let key =
-            |(len, w): &(usize, &Waiting)| (w.priority, std::cmp::Reverse(*len), w.deadline, w.id);
+        let key = |(len, w): &(usize, &WaitingRequest)| {
+            (w.priority, std::cmp::Reverse(*len), w.deadline, w.id)
+        };
         all.min_by_key(key).map(|(_, w)| w.id)
     }
 
     /// Removes a request whose caller left or that is rejected.
-    pub fn remove(&mut self, id: RequestId) -> Option<Waiting> {
+    pub fn remove(&mut self, id: RequestId) -> Option<WaitingRequest> {
         for queue in self.queues.values_mut() {
             if let Some(at) = queue.waiting.iter().position(|w| w.id == id) {
                 self.len -= 1;
@@ -220,7 +221,7 @@
             .min();
         let Some((std::cmp::Reverse(top), _, owner)) = best else { return (None, late) };
         let Some(queue) = self.queues.get_mut(&owner) else { return (None, late) };
-        let fits = |w: &Waiting| w.priority == top && has_room(&w.template);
+        let fits = |w: &WaitingRequest| w.priority == top && has_room(&w.template);
         let at = queue.waiting.iter().position(fits);
         let next = at.and_then(|at| queue.waiting.remove(at));
         queue.service += UNIT / u64::from(queue.weight);
@@ -233,7 +234,7 @@
 
     fn reject_late(&mut self, now: Millis) -> Vec<(RequestId, Refusal)> {
         let least = self.config.least_ms;
-        let is_late = |w: &&Waiting| now.plus(least) >= w.deadline;
+        let is_late = |w: &&WaitingRequest| now.plus(least) >= w.deadline;
         let all = self.queues.values().flat_map(|q| q.waiting.iter().filter(is_late));
         let ids: Vec<(RequestId, u32)> =
             all.map(|w| (w.id, self.retry_after_ms(&w.template))).collect();
--- a/crates/oliveworks-core/tests/requests.rs
+++ b/crates/oliveworks-core/tests/requests.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::name;
-use oliveworks_core::admit::{Admission, AdmitConfig, Owner, Waiting};
+use oliveworks_core::admit::{Admission, AdmitConfig, WaitingRequest, WorkspaceKey};
 use oliveworks_core::answer::{Assembly, AttemptId, PieceAction};
 use oliveworks_core::error::{ANSWERS, ErrorKind, Ran, Refusal};
 use oliveworks_core::id::{Epoch, Millis, RequestId};
@@ -163,14 +163,14 @@
     assert!(breaker.allows(Millis(1_500)));
 }
 
-fn owner(text: &str) -> Owner {
-    Owner { partner: name("saffah"), workspace: name(text) }
+fn owner(text: &str) -> WorkspaceKey {
+    WorkspaceKey { partner: name("saffah"), workspace: name(text) }
 }
 
-fn waiting(id: u128, priority: u8, deadline: u64) -> Waiting {
+fn waiting(id: u128, priority: u8, deadline: u64) -> WaitingRequest {
     let template =
         TemplateKey { partner: name("saffah"), workspace: name("main"), name: name("a") };
-    Waiting { id: RequestId(id), template, priority, deadline: Millis(deadline), limit: 10 }
+    WaitingRequest { id: RequestId(id), template, priority, deadline: Millis(deadline), limit: 10 }
 }
 
 fn admission(queue: usize) -> Admission {
@@ -185,10 +185,10 @@
 fn workspaces_take_turns_by_weight() {
     let mut admission = admission(100);
     for i in 0..6 {
-        assert!(admission.enter(Millis(0), &owner("large"), 1, waiting(i, 5, 99_000)).is_empty());
+        assert!(admission.enqueue(Millis(0), &owner("large"), 1, waiting(i, 5, 99_000)).is_empty());
     }
     for i in 10..13 {
-        assert!(admission.enter(Millis(0), &owner("small"), 2, waiting(i, 5, 99_000)).is_empty());
+        assert!(admission.enqueue(Millis(0), &owner("small"), 2, waiting(i, 5, 99_000)).is_empty());
     }
     let order = order(&mut admission);
     let small: Vec<usize> = (10..13).map(|i| order.iter().position(|o| *o == i).unwrap()).collect();
@@ -198,17 +198,17 @@
 #[test]
 fn the_higher_priority_goes_first() {
     let mut admission = admission(100);
-    admission.enter(Millis(0), &owner("a"), 1, waiting(1, 2, 99_000));
-    admission.enter(Millis(0), &owner("a"), 1, waiting(2, 8, 99_000));
+    admission.enqueue(Millis(0), &owner("a"), 1, waiting(1, 2, 99_000));
+    admission.enqueue(Millis(0), &owner("a"), 1, waiting(2, 8, 99_000));
     assert_eq!(order(&mut admission), [2, 1]);
 }
 
 #[test]
 fn overload_refuses_the_least_worth_at_once() {
     let mut admission = admission(2);
-    admission.enter(Millis(0), &owner("a"), 1, waiting(1, 5, 99_000));
-    admission.enter(Millis(0), &owner("b"), 1, waiting(2, 1, 99_000));
-    let refused = admission.enter(Millis(0), &owner("c"), 1, waiting(3, 5, 99_000));
+    admission.enqueue(Millis(0), &owner("a"), 1, waiting(1, 5, 99_000));
+    admission.enqueue(Millis(0), &owner("b"), 1, waiting(2, 1, 99_000));
+    let refused = admission.enqueue(Millis(0), &owner("c"), 1, waiting(3, 5, 99_000));
     assert_eq!(refused.len(), 1);
     assert_eq!(refused[0].0, RequestId(2));
     assert_eq!((refused[0].1.kind, refused[0].1.ran), (ErrorKind::Overloaded, Ran::No));
@@ -219,9 +219,9 @@
 fn a_deadline_that_cannot_be_met_is_refused_on_entry() {
     let mut admission = admission(100);
     for i in 0..20 {
-        admission.enter(Millis(0), &owner("a"), 1, waiting(i, 5, 99_000));
+        admission.enqueue(Millis(0), &owner("a"), 1, waiting(i, 5, 99_000));
     }
-    let refused = admission.enter(Millis(0), &owner("a"), 1, waiting(99, 5, 50));
+    let refused = admission.enqueue(Millis(0), &owner("a"), 1, waiting(99, 5, 50));
     assert_eq!(refused[0].1.kind, ErrorKind::DeadlineExceeded);
 }
 
@@ -230,8 +230,8 @@
     let mut admission = admission(100);
     let mut full = waiting(1, 9, 99_000);
     full.template.name = name("full");
-    admission.enter(Millis(0), &owner("a"), 1, full);
-    admission.enter(Millis(0), &owner("a"), 1, waiting(2, 1, 99_000));
+    admission.enqueue(Millis(0), &owner("a"), 1, full);
+    admission.enqueue(Millis(0), &owner("a"), 1, waiting(2, 1, 99_000));
     let (next, _) = admission.next(Millis(0), |t| t.name != name("full"));
     assert_eq!(next, Some(RequestId(2)));
     assert_eq!(admission.len(), 1);
--- a/crates/oliveworks-entry/src/callers.rs
+++ b/crates/oliveworks-entry/src/callers.rs
@@ -8,7 +8,7 @@
 use ntex::http::header::HeaderMap;
 use ntex::web::types::{Payload, State};
 use ntex::web::{self, App, HttpRequest, HttpResponse, HttpServer};
-use oliveworks_core::admit::Waiting;
+use oliveworks_core::admit::WaitingRequest;
 use oliveworks_core::error::{ErrorKind, Ran, Refusal};
 use oliveworks_core::id::{Epoch, Offset, RequestId};
 use oliveworks_core::ledger::Key;
@@ -175,7 +175,7 @@
         if none {
             return Err(refuse(ErrorKind::Unavailable, "no replica group serves this now"));
         }
-        let waiting = Waiting {
+        let waiting = WaitingRequest {
             id: intake.id,
             template: intake.template.clone(),
             priority: intake.priority,
--- a/crates/oliveworks-entry/src/state.rs
+++ b/crates/oliveworks-entry/src/state.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-use oliveworks_core::admit::{Admission, AdmitConfig, Owner, Waiting};
+use oliveworks_core::admit::{Admission, AdmitConfig, WaitingRequest, WorkspaceKey};
 use oliveworks_core::decider::Decider;
 use oliveworks_core::error::Refusal;
 use oliveworks_core::id::{EntryId, Epoch, HostId, Incarnation, Millis, Name, Offset, RequestId};
@@ -141,14 +141,15 @@
         &mut self,
         now: Millis,
         caller: &Caller,
-        waiting: Waiting,
+        waiting: WaitingRequest,
         prompt: Prompt,
     ) -> oneshot::Receiver<Result<Epoch, Refusal>> {
         let (admitted, receiver) = oneshot::channel();
         let template = waiting.template.clone();
         self.pending.insert(waiting.id, Pending { template, prompt, admitted });
-        let owner = Owner { partner: caller.partner.clone(), workspace: caller.workspace.clone() };
-        for (id, refusal) in self.admission.enter(now, &owner, caller.weight, waiting) {
+        let owner =
+            WorkspaceKey { partner: caller.partner.clone(), workspace: caller.workspace.clone() };
+        for (id, refusal) in self.admission.enqueue(now, &owner, caller.weight, waiting) {
             self.refuse(id, refusal);
         }
         self.pump(now);
--- a/crates/oliveworks-lab/src/routing.rs
+++ b/crates/oliveworks-lab/src/routing.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet, VecDeque};
 
 use hdrhistogram::Histogram;
-use oliveworks_core::admit::{Admission, AdmitConfig, Owner, Waiting};
+use oliveworks_core::admit::{Admission, AdmitConfig, WaitingRequest, WorkspaceKey};
 use oliveworks_core::id::{Epoch, Millis, Name, RequestId};
 use oliveworks_core::route::{Load, Policy, RouteConfig, Router};
 use oliveworks_core::template::TemplateKey;
@@ -236,12 +236,12 @@
         let request = &self.requests[index];
         let id = RequestId(index as u128 + 1);
         let partner = name(["saffah", "sahel"][request.partner]);
-        let owner = Owner { partner: partner.clone(), workspace: name("main") };
+        let owner = WorkspaceKey { partner: partner.clone(), workspace: name("main") };
         let template = TemplateKey { partner, workspace: name("main"), name: name("a") };
         let deadline = Millis(now as u64 + DEADLINE_MS);
-        let waiting = Waiting { id, template, priority: 5, deadline, limit: 128 };
+        let waiting = WaitingRequest { id, template, priority: 5, deadline, limit: 128 };
         self.by_id.insert(id, index);
-        let refused = self.admission.enter(Millis(now as u64), &owner, 1, waiting);
+        let refused = self.admission.enqueue(Millis(now as u64), &owner, 1, waiting);
         self.refused += refused.len() as u64;
         self.pump(now);
     }
