--- a/crates/oliveworks-agent/src/backend.rs
+++ b/crates/oliveworks-agent/src/backend.rs
@@ -24,7 +24,7 @@
                 log::warn!("The backend server did not carry out {order:?}: {e:#}.");
             }
             let now = self.clock.now();
-            self.decide(|agent| agent.engine_done(now, number, done.is_ok()));
+            self.decide(|agent| agent.order_done(now, number, done.is_ok()));
         });
     }
 }
--- a/crates/oliveworks-agent/src/peers.rs
+++ b/crates/oliveworks-agent/src/peers.rs
@@ -93,7 +93,7 @@
     process.with_agent(|agent| Hello {
         incarnation: agent.ledger().incarnation(),
         clock: now,
-        serving: agent.is_serving(now).then(|| agent.leads().map(|(e, _)| e)).flatten(),
+        serving: agent.is_serving(now).then(|| agent.led_view().map(|(e, _)| e)).flatten(),
         leader,
         load: load(agent, &backend),
         stored: of(true),
--- a/crates/oliveworks-core/src/agent/binding.rs
+++ b/crates/oliveworks-core/src/agent/binding.rs
@@ -32,7 +32,7 @@
     }
 
     /// Records whether the backend server carried out an order.
-    pub fn engine_done(&mut self, now: Millis, number: u64, done: bool) -> Vec<Command> {
+    pub fn order_done(&mut self, now: Millis, number: u64, done: bool) -> Vec<Command> {
         let Some((waiting, order)) = self.order.take() else {
             return Vec::new();
         };
--- a/crates/oliveworks-core/src/agent/gate.rs
+++ b/crates/oliveworks-core/src/agent/gate.rs
@@ -44,7 +44,7 @@
         if let Some(known) = self.ledger.recall(now.mono, handed) {
             return (known, None);
         }
-        let view = self.leads().map(|(_, view)| view);
+        let view = self.led_view().map(|(_, view)| view);
         let begin = match (self.refusal_unless_serving(now.mono, epoch, handed), view) {
             (None, Some(_)) => self.ledger.begin(now, handed),
             (None, None) => Begin::Refuse(unavailable("no view")),
--- a/crates/oliveworks-core/src/agent/mod.rs
+++ b/crates/oliveworks-core/src/agent/mod.rs
@@ -73,7 +73,7 @@
     /// Send a lease message.
     Send(HostId, LeaseMsg),
     /// Send an order to the backend server. The runtime reports the result with
-    /// [`Agent::engine_done`] and the order's number.
+    /// [`Agent::order_done`] and the order's number.
     Order(u64, EngineOrder),
     /// End every running request, because the group cannot answer them.
     CutRequests,
@@ -176,7 +176,7 @@
     }
 
     /// Returns the epoch and view that this host leads, if any.
-    pub fn leads(&self) -> Option<(Epoch, View)> {
+    pub fn led_view(&self) -> Option<(Epoch, View)> {
         self.holder.as_ref().map(|h| (h.epoch, h.view))
     }
 
--- a/crates/oliveworks-core/src/decider.rs
+++ b/crates/oliveworks-core/src/decider.rs
@@ -98,9 +98,9 @@
     }
 
     /// Records the platform's list of hosts.
-    pub fn list(&mut self, now: Millis, listed: &[ListedHost]) {
+    pub fn update_list(&mut self, now: Millis, listed: &[ListedHost]) {
         self.list_received = true;
-        self.fleet.list(now, listed);
+        self.fleet.update_list(now, listed);
     }
 
     /// Records a group's report.
--- a/crates/oliveworks-core/src/fleet.rs
+++ b/crates/oliveworks-core/src/fleet.rs
@@ -107,7 +107,7 @@
     }
 
     /// Records the platform's list of hosts.
-    pub fn list(&mut self, now: Millis, listed: &[ListedHost]) {
+    pub fn update_list(&mut self, now: Millis, listed: &[ListedHost]) {
         let mut absent: BTreeSet<HostId> = self.hosts.keys().copied().collect();
         for listed_host in listed {
             absent.remove(&listed_host.host);
--- a/crates/oliveworks-core/tests/placement.rs
+++ b/crates/oliveworks-core/tests/placement.rs
@@ -14,8 +14,8 @@
 /// `gone`.
 fn fleet(gone: &[u32]) -> Fleet {
     let mut fleet = Fleet::new(FleetConfig::default());
-    fleet.list(Millis(0), &listed(&[]));
-    fleet.list(Millis(10_000), &listed(gone));
+    fleet.update_list(Millis(0), &listed(&[]));
+    fleet.update_list(Millis(10_000), &listed(gone));
     fleet.tick(Millis(20_000));
     fleet
 }
@@ -194,9 +194,9 @@
 fn a_host_that_flaps_is_not_used_at_once() {
     let mut fleet = fleet(&[3]);
     assert!(!fleet.is_usable(HostId(3)));
-    fleet.list(Millis(30_000), &listed(&[]));
+    fleet.update_list(Millis(30_000), &listed(&[]));
     assert!(!fleet.is_usable(HostId(3)), "it has only just come back");
-    fleet.list(Millis(33_000), &listed(&[]));
+    fleet.update_list(Millis(33_000), &listed(&[]));
     assert!(fleet.is_usable(HostId(3)));
 }
 
@@ -208,7 +208,7 @@
         let mut fleet = Fleet::new(FleetConfig::default());
         let line =
             |h| ListedHost { host: HostId(h), domain: DomainId(1), ..listed(&[])[0].clone() };
-        fleet.list(Millis(0), &(1..=hosts).map(line).collect::<Vec<_>>());
+        fleet.update_list(Millis(0), &(1..=hosts).map(line).collect::<Vec<_>>());
         planned(&log, &fleet).iter().map(|r| formed(r).1.len()).sum::<usize>()
     };
     assert_eq!(spares_named(40), 0, "no host is left over");
--- a/crates/oliveworks-entry/src/decide.rs
+++ b/crates/oliveworks-entry/src/decide.rs
@@ -72,7 +72,7 @@
         match platform.hosts().await {
             Ok(listed) => {
                 let now = entry.clock.now();
-                entry.core().decider.list(now, &listed);
+                entry.core().decider.update_list(now, &listed);
             }
             Err(e) => log::debug!("The list of hosts is not to be had: {e:#}."),
         }
--- a/crates/oliveworks-lab/src/placement.rs
+++ b/crates/oliveworks-lab/src/placement.rs
@@ -252,7 +252,7 @@
         for _ in 0..200 {
             let millis = Millis((now * 1000.0) as u64);
             let listed = self.listed();
-            self.fleet.list(millis, &listed);
+            self.fleet.update_list(millis, &listed);
             self.fleet.tick(millis.plus(60_000));
             self.report(millis);
             let records = plan(&self.pool, &self.fleet, &self.config).records;
--- a/crates/oliveworks-lab/src/prove/agents.rs
+++ b/crates/oliveworks-lab/src/prove/agents.rs
@@ -77,7 +77,7 @@
                 self.obey(host, commands);
             }
             Msg::Probe => {
-                let leads = proc.agent.leads().map(|(e, _)| e);
+                let leads = proc.agent.led_view().map(|(e, _)| e);
                 let incarnation = proc.agent.ledger().incarnation();
                 let hello = Msg::Hello { incarnation, clock: now, leads };
                 self.send(node, from, hello);
@@ -322,7 +322,7 @@
         let Some(proc) = self.agents.get_mut(&host) else {
             return;
         };
-        let commands = proc.agent.engine_done(now, number, done);
+        let commands = proc.agent.order_done(now, number, done);
         self.obey(host, commands);
     }
 
--- a/crates/oliveworks-lab/src/prove/entries.rs
+++ b/crates/oliveworks-lab/src/prove/entries.rs
@@ -358,7 +358,7 @@
                 continue;
             }
             if let Some(proc) = self.entries.get_mut(&entry) {
-                proc.decider.list(now, &list);
+                proc.decider.update_list(now, &list);
             }
         }
     }
--- a/crates/oliveworks-lab/src/slopes.rs
+++ b/crates/oliveworks-lab/src/slopes.rs
@@ -165,7 +165,7 @@
     }
     let none = |_: u32| false;
     let mut fleet = Fleet::new(FleetConfig { settle_ms: 0, ..FleetConfig::default() });
-    fleet.list(Millis(0), &listed(hosts, &none));
+    fleet.update_list(Millis(0), &listed(hosts, &none));
     settle(&mut log, &mut fleet, Millis(0), &none);
     let apply_us = log.applied_us / log.next as f64;
     let groups = log.pool.groups().count();
@@ -181,7 +181,7 @@
     let repair = |gone: &dyn Fn(u32) -> bool| {
         let mut log = Log { pool: log.pool.clone(), next: log.next, applied_us: 0.0 };
         let mut fleet = fleet.clone();
-        fleet.list(Millis(10_000), &listed(hosts, gone));
+        fleet.update_list(Millis(10_000), &listed(hosts, gone));
         fleet.tick(Millis(20_000));
         settle(&mut log, &mut fleet, Millis(20_000), gone)
     };
