--- a/crates/oliveworks-core/src/admit.rs
+++ b/crates/oliveworks-core/src/admit.rs
@@ -136,12 +136,12 @@
         if now.plus(wait + self.config.least_ms) >= request.deadline {
             let reason = format!("it would wait {wait} ms, past its deadline");
             let refusal = Refusal::new(ErrorKind::DeadlineExceeded, Ran::No, reason);
-            return vec![(request.id, refusal.after(retry_after))];
+            return vec![(request.id, refusal.with_retry_after(retry_after))];
         }
         if wait > self.config.wait_ms {
             let reason = format!("it would wait {wait} ms");
             let refusal = Refusal::new(ErrorKind::Overloaded, Ran::No, reason);
-            return vec![(request.id, refusal.after(retry_after))];
+            return vec![(request.id, refusal.with_retry_after(retry_after))];
         }
         let lowest_service =
             self.queues.values().filter(|q| !q.waiting.is_empty()).map(|q| q.service).min();
@@ -168,7 +168,7 @@
         };
         let refusal = |id: RequestId| {
             let reason = "more waits than can be served in time";
-            (id, Refusal::new(ErrorKind::Overloaded, Ran::No, reason).after(retry_after))
+            (id, Refusal::new(ErrorKind::Overloaded, Ran::No, reason).with_retry_after(retry_after))
         };
         shed.map(|w| refusal(w.id)).into_iter().collect()
     }
@@ -243,7 +243,7 @@
             self.remove(id);
             let reason = "its deadline came while it waited";
             let refusal = Refusal::new(ErrorKind::DeadlineExceeded, Ran::No, reason);
-            refused.push((id, refusal.after(retry_after)));
+            refused.push((id, refusal.with_retry_after(retry_after)));
         }
         refused
     }
--- a/crates/oliveworks-core/src/error.rs
+++ b/crates/oliveworks-core/src/error.rs
@@ -150,7 +150,7 @@
     }
 
     /// Returns the refusal with a more accurate retry time.
-    pub fn after(mut self, ms: u32) -> Refusal {
+    pub fn with_retry_after(mut self, ms: u32) -> Refusal {
         self.retry_after_ms = Some(ms);
         self
     }
--- a/crates/oliveworks-core/src/ledger.rs
+++ b/crates/oliveworks-core/src/ledger.rs
@@ -322,7 +322,10 @@
         let reason = "the key may have run at its former home, whose memory is gone; a new key that \
                    carries its time (UUID version 7) is accepted sooner";
         let left_ms = u32::try_from(left).unwrap_or(u32::MAX);
-        Some(Refusal::new(ErrorKind::OutcomeForgotten, Ran::Unknown, reason).after(left_ms))
+        Some(
+            Refusal::new(ErrorKind::OutcomeForgotten, Ran::Unknown, reason)
+                .with_retry_after(left_ms),
+        )
     }
 
     /// Records the end of a request. `kept` is its answer, if a repeated key may ask for the
--- a/crates/oliveworks-core/src/pool.rs
+++ b/crates/oliveworks-core/src/pool.rs
@@ -464,7 +464,7 @@
 
     /// Finds the template that callers of a workspace request by the model's or the template's
     /// name.
-    pub fn find(
+    pub fn find_template(
         &self,
         partner: &Name,
         workspace: &Name,
@@ -502,7 +502,8 @@
     /// Decodes the output of [`Snapshot::to_bytes`].
     ///
     /// # Errors
-    /// If the bytes are not a snapshot. [`Snapshot::open`] checks the digest and the invariants.
+    /// If the bytes are not a snapshot. [`Snapshot::into_verified_pool`] checks the digest and the
+    /// invariants.
     pub fn from_bytes(bytes: &[u8]) -> Result<Snapshot, String> {
         postcard::from_bytes(bytes).map_err(|e| format!("no snapshot: {e}"))
     }
@@ -511,7 +512,7 @@
     ///
     /// # Errors
     /// If the digest or an invariant does not hold.
-    pub fn open(self) -> Result<Pool, String> {
+    pub fn into_verified_pool(self) -> Result<Pool, String> {
         if self.pool.digest() != self.digest {
             return Err("the snapshot's digest does not match".into());
         }
--- a/crates/oliveworks-core/src/retry.rs
+++ b/crates/oliveworks-core/src/retry.rs
@@ -20,12 +20,12 @@
     }
 
     /// Records that a request was sent for the first time.
-    pub fn request(&mut self) {
+    pub fn record_request(&mut self) {
         self.hundredths = (self.hundredths + self.percent).min(self.max);
     }
 
     /// Takes one retry out of the budget. Returns whether the retry is allowed.
-    pub fn take(&mut self) -> bool {
+    pub fn try_take(&mut self) -> bool {
         if self.hundredths < 100 {
             return false;
         }
--- a/crates/oliveworks-core/tests/pool.rs
+++ b/crates/oliveworks-core/tests/pool.rs
@@ -122,9 +122,12 @@
     let mut log = Log::new();
     log.publish(&template("saffah", "assistant", 4, 0, 1));
     let good = Snapshot::of(&log.pool);
-    assert_eq!(Snapshot::from_bytes(&good.to_bytes()).unwrap().open().unwrap(), log.pool);
+    assert_eq!(
+        Snapshot::from_bytes(&good.to_bytes()).unwrap().into_verified_pool().unwrap(),
+        log.pool
+    );
     let bad = Snapshot { digest: good.digest ^ 1, ..good };
-    assert!(bad.open().is_err());
+    assert!(bad.into_verified_pool().is_err());
 }
 
 /// Generates records of any kind, most of which are not valid at their position.
@@ -171,7 +174,7 @@
         for (i, record) in all.iter().enumerate() {
             // A reader that starts from a snapshot and applies the rest reaches the same state.
             if i == cut {
-                from_snapshot = Some(Snapshot::of(&log.pool).open().unwrap());
+                from_snapshot = Some(Snapshot::of(&log.pool).into_verified_pool().unwrap());
             }
             let _ = log.append_record(record);
             if let Some(pool) = &mut from_snapshot {
--- a/crates/oliveworks-core/tests/requests.rs
+++ b/crates/oliveworks-core/tests/requests.rs
@@ -140,13 +140,13 @@
 #[test]
 fn retries_stay_within_their_part() {
     let mut budget = RetryBudget::new(20, 2);
-    assert!(budget.take() && budget.take() && !budget.take());
+    assert!(budget.try_take() && budget.try_take() && !budget.try_take());
     for _ in 0..4 {
-        budget.request();
+        budget.record_request();
     }
-    assert!(!budget.take());
-    budget.request();
-    assert!(budget.take());
+    assert!(!budget.try_take());
+    budget.record_request();
+    assert!(budget.try_take());
 }
 
 #[test]
--- a/crates/oliveworks-entry/src/callers.rs
+++ b/crates/oliveworks-entry/src/callers.rs
@@ -134,9 +134,9 @@
 
 /// Finds the template that a caller reaches by a name.
 pub fn find(entry: &Entry, caller: &Caller, kind: Kind, name: &str) -> Result<Published, Refusal> {
-    let found = entry
-        .store
-        .with_pool(|pool| pool.find(&caller.partner, &caller.workspace, kind, name).cloned());
+    let found = entry.store.with_pool(|pool| {
+        pool.find_template(&caller.partner, &caller.workspace, kind, name).cloned()
+    });
     found.ok_or_else(|| {
         let shown: String = name.chars().take(64).collect();
         refuse(ErrorKind::NotFound, format!("the workspace has no {shown:?}"))
--- a/crates/oliveworks-entry/src/driver.rs
+++ b/crates/oliveworks-entry/src/driver.rs
@@ -101,7 +101,7 @@
     /// A request that was admitted to a group.
     pub fn new(entry: Arc<Entry>, job: Job, admitted: Option<Epoch>) -> Driver {
         entry.open.fetch_add(1, Ordering::Relaxed);
-        entry.core().budget.request();
+        entry.core().budget.record_request();
         let relay = Relay::new(job.id, job.terms);
         Driver {
             entry,
@@ -171,7 +171,7 @@
     fn budget(&self) -> bool {
         !self.head_passed
             && !matches!(self.job.body, Body::Spent)
-            && self.entry.core().budget.take()
+            && self.entry.core().budget.try_take()
     }
 
     fn failed(&mut self, why: &str) -> Next {
--- a/crates/oliveworks-feed/src/lib.rs
+++ b/crates/oliveworks-feed/src/lib.rs
@@ -209,7 +209,7 @@
         if snapshot.pool.next() <= self.pool.next() {
             return Ok(false);
         }
-        let pool = snapshot.open().map_err(anyhow::Error::msg)?;
+        let pool = snapshot.into_verified_pool().map_err(anyhow::Error::msg)?;
         if pool.partners() != self.pool.partners() {
             bail!("the snapshot is of other partners than the settings name");
         }
--- a/crates/oliveworks-lab/src/prove/reading.rs
+++ b/crates/oliveworks-lab/src/prove/reading.rs
@@ -66,7 +66,7 @@
         if let Some(snapshot) = snapshot {
             let newer = snapshot.pool.next() > reader.pool.next();
             if newer || broken == Broken::AdoptsOlder {
-                match Snapshot::clone(&snapshot).open() {
+                match Snapshot::clone(&snapshot).into_verified_pool() {
                     Ok(pool) => reader.pool = pool,
                     Err(e) => self.check.breach("one order", e),
                 }
--- a/crates/oliveworks-lab/src/slopes.rs
+++ b/crates/oliveworks-lab/src/slopes.rs
@@ -171,7 +171,9 @@
     let groups = log.pool.groups().count();
     let snapshot = Snapshot::of(&log.pool).to_bytes();
     let start = Instant::now();
-    Snapshot::from_bytes(&snapshot).and_then(Snapshot::open).expect("it was just written");
+    Snapshot::from_bytes(&snapshot)
+        .and_then(Snapshot::into_verified_pool)
+        .expect("it was just written");
     let open_us = micros(start);
     let start = Instant::now();
     for _ in 0..20 {
