--- a/crates/oliveworks-core/src/agent/gate.rs
+++ b/crates/oliveworks-core/src/agent/gate.rs
@@ -5,17 +5,17 @@
 use crate::error::{ErrorKind, Ran, Refusal};
 use crate::id::{Epoch, Millis, View};
 use crate::lease::Holder;
-use crate::ledger::{Begin, Handed, Kept, Now, Revoked};
+use crate::ledger::{Begin, Handover, Kept, Now, Revoked};
 use crate::message::Fence;
 
 /// Permission to run a request, valid only in the view in which it was given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pass {
+pub struct RunPermit {
     epoch: Epoch,
     view: View,
 }
 
-impl Pass {
+impl RunPermit {
     /// Returns the fence for the engine.
     pub fn fence(&self) -> Fence {
         Fence::new(self.epoch, self.view)
@@ -30,23 +30,28 @@
 impl Agent {
     /// Returns whether the group serves through this host at `now`.
     pub fn is_serving(&self, now: Millis) -> bool {
-        self.machine.is("serving") && self.holder.as_ref().is_some_and(|h| h.is_whole(now))
+        self.machine.is("serving") && self.holder.as_ref().is_some_and(|h| h.is_complete(now))
     }
 
-    /// Decides whether a request may be handed to the engine. [`Begin::Run`] comes with a pass, and
-    /// the request counts as having run from then on.
-    pub fn gate(&mut self, now: Now, epoch: Epoch, handed: &Handed) -> (Begin, Option<Pass>) {
+    /// Decides whether a request may be handed to the engine. [`Begin::Run`] comes with a permit,
+    /// and the request counts as having run from then on.
+    pub fn gate(
+        &mut self,
+        now: Now,
+        epoch: Epoch,
+        handed: &Handover,
+    ) -> (Begin, Option<RunPermit>) {
         if let Some(known) = self.ledger.recall(now.mono, handed) {
             return (known, None);
         }
-        let view = self.leads().map(|(_, view)| view);
+        let view = self.led_view().map(|(_, view)| view);
         let begin = match (self.refusal_unless_serving(now.mono, epoch, handed), view) {
             (None, Some(_)) => self.ledger.begin(now, handed),
-            (None, None) => Begin::Refuse(unavailable("this host leads no view")),
+            (None, None) => Begin::Refuse(unavailable("no view")),
             (Some(refusal), _) => Begin::Refuse(refusal),
         };
         match (begin, view) {
-            (Begin::Run, Some(view)) => (Begin::Run, Some(Pass { epoch, view })),
+            (Begin::Run, Some(view)) => (Begin::Run, Some(RunPermit { epoch, view })),
             (Begin::Refuse(mut refusal), _) => {
                 if refusal.ran == Ran::No && !self.ledger.stop(handed) {
                     refusal.ran = Ran::Unknown;
@@ -61,23 +66,23 @@
         &self,
         now: Millis,
         epoch: Epoch,
-        handed: &Handed,
+        handed: &Handover,
     ) -> Option<Refusal> {
         let assigned = match &self.assigned {
             Some(a) if a.epoch == epoch => a,
-            _ => return Some(unavailable("the group has ended or is not known to this agent yet")),
+            _ => return Some(unavailable("the group has ended or is not known here yet")),
         };
         if self.machine.is("draining") || self.machine.is("drained") || self.leaving {
             return Some(unavailable("the group is draining"));
         }
         if !self.is_serving(now) {
-            return Some(unavailable("the group is incomplete or this host does not lead it"));
+            return Some(unavailable("the group is not whole or not led here"));
         }
         if handed.key.is_some_and(|key| key.homes_at != assigned.homes_at) {
-            return Some(unavailable("the homes of the keys were reassigned"));
+            return Some(unavailable("the keys' homes were dealt out anew"));
         }
         if self.ledger.running() >= assigned.concurrent {
-            let reason = "the replica has reached its limit of concurrent requests";
+            let reason = "the replica runs as much as it may";
             return Some(Refusal::new(ErrorKind::Overloaded, Ran::No, reason));
         }
         None
@@ -85,18 +90,19 @@
 
     /// Returns whether a piece of an answer may be sent back. The view that began the request must
     /// still be complete at `now`, which the caller reads after the piece arrived from the engine.
-    pub fn may_pass(&self, now: Millis, pass: &Pass) -> bool {
-        let same = |h: &Holder| h.epoch == pass.epoch && h.view == pass.view && h.is_whole(now);
+    pub fn may_pass(&self, now: Millis, permit: &RunPermit) -> bool {
+        let same =
+            |h: &Holder| h.epoch == permit.epoch && h.view == permit.view && h.is_complete(now);
         self.holder.as_ref().is_some_and(same)
     }
 
     /// Records the end of a request.
-    pub fn finish(&mut self, now: Millis, handed: &Handed, kept: Option<Kept>) {
+    pub fn finish(&mut self, now: Millis, handed: &Handover, kept: Option<Kept>) {
         self.ledger.finish(now, handed.id, kept);
     }
 
     /// Handles the request of an entry that lost contact to prevent a request from running.
-    pub fn revoke(&mut self, now: Millis, handed: &Handed) -> Revoked {
+    pub fn revoke(&mut self, now: Millis, handed: &Handover) -> Revoked {
         self.ledger.revoke(now, handed)
     }
 }
--- a/crates/oliveworks-core/src/agent/leading.rs
+++ b/crates/oliveworks-core/src/agent/leading.rs
@@ -5,7 +5,7 @@
 
 use super::{Agent, Assigned, Command, Place};
 use crate::id::{Epoch, HostId, Millis, View};
-use crate::lease::{Holder, NoGrant};
+use crate::lease::{GrantRefusal, Holder};
 use crate::message::LeaseMsg;
 
 impl Agent {
@@ -24,7 +24,9 @@
                     self.propose(now, &assigned, out);
                 }
             }
-            Some(holder) if !holder.is_whole(now) => self.handle_lost_members(now, &assigned, out),
+            Some(holder) if !holder.is_complete(now) => {
+                self.handle_lost_members(now, &assigned, out)
+            }
             Some(_) => {}
         }
         self.ask_members(now, &assigned, out);
@@ -123,7 +125,7 @@
         self.grantor.release(holder.epoch, holder.view, self.config.host);
         self.resign_home_if_shared();
         self.machine.fire("lease_lost");
-        self.reported_whole = false;
+        self.reported_complete = false;
     }
 
     pub(super) fn ask_members(&mut self, now: Millis, assigned: &Assigned, out: &mut Vec<Command>) {
@@ -174,7 +176,7 @@
             }
             LeaseMsg::Refuse { epoch, view, highest, .. } => {
                 if let Some(holder) = self.holder_of(epoch, view) {
-                    holder.heard(now, from);
+                    holder.record_answer(now, from);
                 }
                 self.observe_later_view(now, epoch, highest)
             }
@@ -210,16 +212,16 @@
         };
         let highest = self.grantor.highest(epoch);
         let Some(assigned) = &self.assigned else {
-            return refuse(NoGrant::OtherEpoch, highest);
+            return refuse(GrantRefusal::OtherEpoch, highest);
         };
         if assigned.epoch != epoch || !assigned.ranked.contains(&from) {
-            return refuse(NoGrant::OtherEpoch, highest);
+            return refuse(GrantRefusal::OtherEpoch, highest);
         }
         if self.machine.is("withdrawing") {
-            return refuse(NoGrant::Promised, highest);
+            return refuse(GrantRefusal::Promised, highest);
         }
         // A leader that does not serve yields to a later view.
-        let yields = |h: &Holder| h.epoch == epoch && h.view < view && !h.is_whole(now);
+        let yields = |h: &Holder| h.epoch == epoch && h.view < view && !h.is_complete(now);
         if self.holder.as_ref().is_some_and(yields) {
             self.stop_leading(&mut out);
         }
@@ -248,7 +250,7 @@
         highest: View,
     ) -> Vec<Command> {
         let mut out = Vec::new();
-        let outdated = |h: &Holder| h.epoch == epoch && h.view < highest && !h.is_whole(now);
+        let outdated = |h: &Holder| h.epoch == epoch && h.view < highest && !h.is_complete(now);
         if self.holder.as_ref().is_some_and(outdated) {
             self.stop_leading(&mut out);
             self.grantor.observe(epoch, highest);
--- a/crates/oliveworks-core/src/lease.rs
+++ b/crates/oliveworks-core/src/lease.rs
@@ -105,7 +105,7 @@
 
 /// Reason for refusing a promise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum NoGrant {
+pub enum GrantRefusal {
     /// The process has just started, and an earlier run may have given a promise.
     Quiet,
     /// Another promise is in force.
@@ -157,18 +157,18 @@
         view: View,
         leader: HostId,
         config: &LeaseConfig,
-    ) -> Result<(), NoGrant> {
+    ) -> Result<(), GrantRefusal> {
         if self.is_quiet(now) {
-            return Err(NoGrant::Quiet);
+            return Err(GrantRefusal::Quiet);
         }
         if view < self.highest(epoch) {
-            return Err(NoGrant::OldView);
+            return Err(GrantRefusal::OldView);
         }
         if let Some(p) = self.promise(now) {
             // A leader abandons its earlier view before it asks for a later one.
             let same_holder = p.epoch == epoch && p.leader == leader && p.view <= view;
             if !same_holder {
-                return Err(NoGrant::Promised);
+                return Err(GrantRefusal::Promised);
             }
         }
         self.highest = Some((epoch, view));
@@ -251,7 +251,7 @@
             return false;
         }
         // A forming view asks more often, because its members may become ready at any time.
-        let forming = !self.is_whole(now);
+        let forming = !self.is_complete(now);
         let interval = if forming { config.renew_ms / FORMING_ASK_FACTOR } else { config.renew_ms };
         self.next_ask = now.plus(interval);
         let slot = (seq % ASKS_KEPT as u64) as usize;
@@ -285,7 +285,7 @@
     }
 
     /// Records that a member answered without granting.
-    pub fn heard(&mut self, now: Millis, host: HostId) {
+    pub fn record_answer(&mut self, now: Millis, host: HostId) {
         if let Some(member) = self.members.get_mut(&host) {
             member.last_answer = now;
         }
@@ -293,7 +293,7 @@
 
     /// Returns whether every member's promise is in force and its engine is ready. A leader serves
     /// under no other condition.
-    pub fn is_whole(&self, now: Millis) -> bool {
+    pub fn is_complete(&self, now: Millis) -> bool {
         self.members.values().all(|h| h.ready && h.live_until > now)
     }
 
--- a/crates/oliveworks-core/src/ledger.rs
+++ b/crates/oliveworks-core/src/ledger.rs
@@ -84,7 +84,7 @@
 
 /// Request as an entry hands it over to an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Handed {
+pub struct Handover {
     /// Id of the request.
     pub id: RequestId,
     /// Random number of this handover. A caller may repeat a key after an attempt was revoked, so a
@@ -244,28 +244,28 @@
     /// A message may arrive twice: the first copy may have run in an earlier incarnation, or its
     /// record may have expired. A refusal therefore reports "not run" only if this attempt was
     /// stopped here, or if its key was used for a different request.
-    pub fn recall(&mut self, now: Millis, handed: &Handed) -> Option<Begin> {
+    pub fn recall(&mut self, now: Millis, handed: &Handover) -> Option<Begin> {
         self.expire(now);
         if handed.incarnation != self.incarnation {
-            let reason = "the request is addressed to another incarnation of this agent";
+            let reason = "meant for an earlier run of this agent";
             return Some(refuse(ErrorKind::Unavailable, Ran::Unknown, reason));
         }
         if now >= handed.not_after {
-            let reason = "the request arrived after the latest time at which it may start";
+            let reason = "arrived after the latest time at which it may start";
             return Some(refuse(ErrorKind::DeadlineExceeded, Ran::Unknown, reason));
         }
         if self.revoked.contains(&(handed.id, handed.attempt)) {
-            let reason = "this attempt was stopped before it began";
+            let reason = "this try was stopped before it began";
             return Some(refuse(ErrorKind::ContactLost, Ran::No, reason));
         }
         self.entries.get(&handed.id).map(|entry| decision_on(entry, handed))
     }
 
     /// Begins an unknown request, or rejects it.
-    pub fn begin(&mut self, now: Now, handed: &Handed) -> Begin {
+    pub fn begin(&mut self, now: Now, handed: &Handover) -> Begin {
         debug_assert!(!self.entries.contains_key(&handed.id), "recall must be called first");
         if self.len() >= self.config.entries {
-            return refuse(ErrorKind::Overloaded, Ran::No, "the agent's request ledger is full");
+            return refuse(ErrorKind::Overloaded, Ran::No, "the agent's memory is full");
         }
         if let Some(refusal) = handed.key.and_then(|key| self.check_key(now, key)) {
             return Begin::Refuse(refusal);
@@ -277,7 +277,7 @@
 
     /// Records that a rejected attempt must stay rejected if the same message arrives again.
     /// Returns whether the ledger had room for the record.
-    pub fn stop(&mut self, handed: &Handed) -> bool {
+    pub fn stop(&mut self, handed: &Handover) -> bool {
         if self.len() >= self.config.entries {
             return false;
         }
@@ -319,11 +319,13 @@
             return None;
         }
         let left = self.config.key_window_ms - now.mono.since(since);
-        let reason = "the request may have run at the key's former home, whose records are not \
-                   available; a new key that carries its creation time (UUID version 7) is \
-                   accepted earlier";
+        let reason = "the key may have run at its former home, whose memory is gone; a new key that \
+                   carries its time (UUID version 7) is accepted sooner";
         let left_ms = u32::try_from(left).unwrap_or(u32::MAX);
-        Some(Refusal::new(ErrorKind::OutcomeForgotten, Ran::Unknown, reason).after(left_ms))
+        Some(
+            Refusal::new(ErrorKind::OutcomeForgotten, Ran::Unknown, reason)
+                .with_retry_after(left_ms),
+        )
     }
 
     /// Records the end of a request. `kept` is its answer, if a repeated key may ask for the
@@ -349,7 +351,7 @@
     }
 
     /// Prevents a request from running if it has not begun.
-    pub fn revoke(&mut self, now: Millis, handed: &Handed) -> Revoked {
+    pub fn revoke(&mut self, now: Millis, handed: &Handover) -> Revoked {
         self.expire(now);
         if handed.incarnation != self.incarnation {
             return Revoked::Unknown;
@@ -370,7 +372,7 @@
         Revoked::NotRun
     }
 
-    fn insert(&mut self, now: Millis, handed: &Handed) {
+    fn insert(&mut self, now: Millis, handed: &Handover) {
         // A key is kept for its whole window from the start, in case its run never ends.
         let window = handed.key.map_or(now, |_| now.plus(self.config.key_window_ms));
         let expires_at = handed.not_after.max(window);
@@ -417,20 +419,18 @@
     Begin::Refuse(Refusal::new(kind, ran, reason))
 }
 
-fn decision_on(entry: &Entry, handed: &Handed) -> Begin {
+fn decision_on(entry: &Entry, handed: &Handover) -> Begin {
     match &entry.state {
         _ if entry.digest != handed.key.map(|k| k.digest) => {
             refuse(ErrorKind::KeyReused, Ran::No, "the key was used for another request")
         }
         State::Running if entry.attempt == handed.attempt => {
-            refuse(ErrorKind::InProgress, Ran::Unknown, "this attempt has already arrived")
-        }
-        State::Running => {
-            refuse(ErrorKind::InProgress, Ran::Unknown, "a request with the same key is running")
+            refuse(ErrorKind::InProgress, Ran::Unknown, "this very try arrived before")
         }
+        State::Running => refuse(ErrorKind::InProgress, Ran::Unknown, "the same key runs now"),
         State::Done(Some(kept)) => Begin::Kept(kept.clone()),
         State::Done(None) => {
-            refuse(ErrorKind::AnswerGone, Ran::Yes, "the request ran; its answer is not kept")
+            refuse(ErrorKind::AnswerGone, Ran::Yes, "it ran; its answer is not kept")
         }
     }
 }
--- a/crates/oliveworks-core/src/relay.rs
+++ b/crates/oliveworks-core/src/relay.rs
@@ -8,7 +8,7 @@
 //! request with a caller's key is never reported as "not run": an earlier request with the same key
 //! may have run, and only the key's home can know.
 
-use crate::answer::{Assembly, Take, TryId};
+use crate::answer::{Assembly, AttemptId, PieceAction};
 use crate::chart::Machine;
 use crate::charts;
 use crate::error::{ErrorKind, Ran, Refusal};
@@ -32,42 +32,42 @@
 
 /// Conditions under which a request may be attempted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct RequestTerms {
     /// Whether the request may run again after it may have run.
     pub repeatable: bool,
     /// Whether the request has a caller's key.
-    pub keyed: bool,
+    pub has_key: bool,
     /// Latest time at which the request may end.
     pub deadline: Millis,
     /// Maximum number of attempts.
-    pub tries: u32,
+    pub max_attempts: u32,
 }
 
 /// State of one request.
 #[derive(Clone, Debug)]
 pub struct Relay {
-    terms: Terms,
+    terms: RequestTerms,
     id: RequestId,
     machine: Machine,
     assembly: Assembly,
     tried: Vec<Epoch>,
-    tries: u32,
+    attempts: u32,
     may_have_run: bool,
     lost: Option<Refusal>,
 }
 
 impl Relay {
     /// Returns the state of a request that was admitted.
-    pub fn new(id: RequestId, terms: Terms) -> Relay {
+    pub fn new(id: RequestId, terms: RequestTerms) -> Relay {
         let mut machine = Machine::new(charts::request());
         machine.fire("admit");
         Relay {
             terms,
             id,
             machine,
-            assembly: Assembly::new(TryId { request: id, attempt: 0 }),
+            assembly: Assembly::new(AttemptId { request: id, attempt: 0 }),
             tried: Vec::new(),
-            tries: 0,
+            attempts: 0,
             may_have_run: false,
             lost: None,
         }
@@ -89,39 +89,39 @@
     }
 
     /// Returns the number of attempts made.
-    pub fn tries(&self) -> u32 {
-        self.tries
+    pub fn attempts(&self) -> u32 {
+        self.attempts
     }
 
     /// Records that the request was handed to a group.
-    pub fn sent(&mut self, epoch: Epoch, attempt: u64) -> TryId {
-        self.tries += 1;
+    pub fn sent(&mut self, epoch: Epoch, attempt: u64) -> AttemptId {
+        self.attempts += 1;
         self.tried.push(epoch);
         self.lost = None;
         self.assembly.retry(attempt);
         self.machine.fire("send");
-        TryId { request: self.id, attempt }
+        AttemptId { request: self.id, attempt }
     }
 
-    /// Records a piece of the answer. The caller passes it on if the result is [`Take::Pass`], and
-    /// calls [`Relay::failed`] after [`Take::Gap`].
-    pub fn piece(&mut self, from: TryId, number: u64) -> Take {
-        let take = self.assembly.piece(from, number);
-        if take == Take::Pass {
+    /// Records a piece of the answer. The caller passes it on if the result is
+    /// [`PieceAction::Pass`], and calls [`Relay::failed`] after [`PieceAction::Gap`].
+    pub fn piece(&mut self, from: AttemptId, number: u64) -> PieceAction {
+        let action = self.assembly.piece(from, number);
+        if action == PieceAction::Pass {
             self.machine.fire("piece");
         }
-        take
+        action
     }
 
     /// Records the end of the answer.
-    pub fn end(&mut self, now: Millis, from: TryId, pieces: u64, budget: bool) -> Next {
+    pub fn end(&mut self, now: Millis, from: AttemptId, pieces: u64, budget: bool) -> Next {
         match self.assembly.end(from, pieces) {
-            Take::Pass => {
+            PieceAction::Pass => {
                 self.machine.fire("end");
                 Next::Answered
             }
-            Take::Drop => Next::Wait,
-            Take::Gap => self.failed(now, "a piece of the answer is missing", budget),
+            PieceAction::Drop => Next::Wait,
+            PieceAction::Gap => self.failed(now, "the answer had a gap", budget),
         }
     }
 
@@ -177,7 +177,7 @@
             self.machine.fire("retry");
             return Next::Send;
         }
-        let reason = "contact was lost before the request began, and the request was stopped";
+        let reason = "contact was lost before it began, and it was stopped from beginning";
         self.give_up(Refusal::new(ErrorKind::ContactLost, Ran::No, reason))
     }
 
@@ -199,12 +199,12 @@
     }
 
     fn may_retry(&self, now: Millis, budget: bool) -> bool {
-        budget && self.tries < self.terms.tries && now < self.terms.deadline
+        budget && self.attempts < self.terms.max_attempts && now < self.terms.deadline
     }
 
     /// Returns the final refusal. Uncertainty about any attempt makes the whole request uncertain.
     fn give_up(&mut self, mut refusal: Refusal) -> Next {
-        let uncertain = self.may_have_run || self.terms.keyed;
+        let uncertain = self.may_have_run || self.terms.has_key;
         if refusal.ran == Ran::No && uncertain {
             refusal.ran = Ran::Unknown;
         }
--- a/crates/oliveworks-entry/src/callers.rs
+++ b/crates/oliveworks-entry/src/callers.rs
@@ -8,12 +8,12 @@
 use ntex::http::header::HeaderMap;
 use ntex::web::types::{Payload, State};
 use ntex::web::{self, App, HttpRequest, HttpResponse, HttpServer};
-use oliveworks_core::admit::Waiting;
+use oliveworks_core::admit::WaitingRequest;
 use oliveworks_core::error::{ErrorKind, Ran, Refusal};
 use oliveworks_core::id::{Epoch, Offset, RequestId};
 use oliveworks_core::ledger::Key;
 use oliveworks_core::pool::Published;
-use oliveworks_core::relay::Terms;
+use oliveworks_core::relay::RequestTerms;
 use oliveworks_core::template::{Kind, TemplateKey};
 use rand::RngExt;
 use xxhash_rust::xxh3::xxh3_128;
@@ -47,7 +47,7 @@
     /// The caller's key.
     pub key: Option<Key>,
     /// What may be done with it.
-    pub terms: Terms,
+    pub terms: RequestTerms,
     /// Its template.
     pub template: TemplateKey,
     /// Its template's priority.
@@ -114,11 +114,11 @@
             false => key(headers, &template.key(), digest)?,
         };
         let id = key.map_or_else(|| RequestId(rand::rng().random()), |(id, _)| id);
-        let terms = Terms {
+        let terms = RequestTerms {
             repeatable,
-            keyed: key.is_some(),
+            has_key: key.is_some(),
             deadline: entry.clock.now().plus(left_ms),
-            tries: entry.settings.callers.tries,
+            max_attempts: entry.settings.callers.tries,
         };
         Ok(Intake {
             id,
@@ -134,9 +134,9 @@
 
 /// Finds the template that a caller reaches by a name.
 pub fn find(entry: &Entry, caller: &Caller, kind: Kind, name: &str) -> Result<Published, Refusal> {
-    let found = entry
-        .store
-        .with_pool(|pool| pool.find(&caller.partner, &caller.workspace, kind, name).cloned());
+    let found = entry.store.with_pool(|pool| {
+        pool.find_template(&caller.partner, &caller.workspace, kind, name).cloned()
+    });
     found.ok_or_else(|| {
         let shown: String = name.chars().take(64).collect();
         refuse(ErrorKind::NotFound, format!("the workspace has no {shown:?}"))
@@ -175,7 +175,7 @@
         if none {
             return Err(refuse(ErrorKind::Unavailable, "no replica group serves this now"));
         }
-        let waiting = Waiting {
+        let waiting = WaitingRequest {
             id: intake.id,
             template: intake.template.clone(),
             priority: intake.priority,
--- a/crates/oliveworks-entry/src/driver.rs
+++ b/crates/oliveworks-entry/src/driver.rs
@@ -7,13 +7,13 @@
 
 use bytes::Bytes;
 use futures_util::StreamExt;
-use oliveworks_core::answer::{Take, TryId};
+use oliveworks_core::answer::{AttemptId, PieceAction};
 use oliveworks_core::error::{ErrorKind, Ran, Refusal};
 use oliveworks_core::id::{Epoch, HostId, Millis, RequestId};
-use oliveworks_core::ledger::{Handed, Kept, Key};
+use oliveworks_core::ledger::{Handover, Kept, Key};
 use oliveworks_core::pool::GroupState;
-use oliveworks_core::relay::{Next, Relay, Terms};
-use oliveworks_core::route::home;
+use oliveworks_core::relay::{Next, Relay, RequestTerms};
+use oliveworks_core::route::home_replica;
 use oliveworks_core::template::{SlotId, TemplateKey};
 use oliveworks_net::frame::{Reader, Writer};
 use oliveworks_net::wire::{Call, Question, Reply, Run, Usage};
@@ -49,7 +49,7 @@
     /// Its template.
     pub template: TemplateKey,
     /// What may be done with it.
-    pub terms: Terms,
+    pub terms: RequestTerms,
     /// The caller's key.
     pub key: Option<Key>,
     /// Its template's priority.
@@ -76,7 +76,7 @@
 }
 
 struct Current {
-    id: TryId,
+    id: AttemptId,
     epoch: Epoch,
     reader: Reader,
     // Dropping it tells the agent that nobody waits any more.
@@ -90,7 +90,7 @@
     relay: Relay,
     current: Option<Current>,
     /// To whom the present try was handed: whom to ask to stop it.
-    handed_to: Option<(HostId, SocketAddr, Handed)>,
+    handed_to: Option<(HostId, SocketAddr, Handover)>,
     counted: Option<Epoch>,
     begun: bool,
     head_passed: bool,
@@ -101,7 +101,7 @@
     /// A request that was admitted to a group.
     pub fn new(entry: Arc<Entry>, job: Job, admitted: Option<Epoch>) -> Driver {
         entry.open.fetch_add(1, Ordering::Relaxed);
-        entry.core().budget.request();
+        entry.core().budget.record_request();
         let relay = Relay::new(job.id, job.terms);
         Driver {
             entry,
@@ -171,7 +171,7 @@
     fn budget(&self) -> bool {
         !self.head_passed
             && !matches!(self.job.body, Body::Spent)
-            && self.entry.core().budget.take()
+            && self.entry.core().budget.try_take()
     }
 
     fn failed(&mut self, why: &str) -> Next {
@@ -199,7 +199,7 @@
             return self.entry.store.with_pool(|pool| {
                 let published = pool.template(template)?;
                 key.homes_at = published.homes_at;
-                let index = home(id.0, published.template.replicas);
+                let index = home_replica(id.0, published.template.replicas);
                 let slot = SlotId { template: template.clone(), index };
                 let groups = pool.groups_in(&slot);
                 groups.filter(|g| g.state == GroupState::Active).last().map(|g| g.epoch)
@@ -243,7 +243,7 @@
         let left = self.job.terms.deadline.since(now);
         let not_after = known.clock.plus(now.since(known.heard) + left.min(START_MAX_MS));
         let attempt = rand::rng().random();
-        let handed = Handed {
+        let handed = Handover {
             id: self.job.id,
             attempt,
             incarnation: known.incarnation,
@@ -260,7 +260,7 @@
             priority: self.job.priority,
             call: self.job.call.clone(),
         };
-        self.note("sent", Some(epoch), format!("{host}, try {}", self.relay.tries()));
+        self.note("sent", Some(epoch), format!("{host}, try {}", self.relay.attempts()));
         self.handed_to = Some((host, at, handed));
         self.begun = true;
         let question = Question::Run(Box::new(run));
@@ -364,9 +364,9 @@
                 Some(Ok(Out::Head(status, headers)))
             }
             Reply::Piece { id, number, data } => match self.relay.piece(id, number) {
-                Take::Pass => Some(Ok(Out::Piece(data))),
-                Take::Drop => None,
-                Take::Gap => Some(Err(self.failed("a piece is missing"))),
+                PieceAction::Pass => Some(Ok(Out::Piece(data))),
+                PieceAction::Drop => None,
+                PieceAction::Gap => Some(Err(self.failed("a piece is missing"))),
             },
             Reply::End { id, pieces, finish_reason, usage, load } => {
                 match self.relay.end(now, id, pieces, false) {
--- a/crates/oliveworks-entry/src/state.rs
+++ b/crates/oliveworks-entry/src/state.rs
@@ -3,13 +3,13 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-use oliveworks_core::admit::{Admission, AdmitConfig, Owner, Waiting};
+use oliveworks_core::admit::{Admission, AdmitConfig, WaitingRequest, WorkspaceKey};
 use oliveworks_core::decider::Decider;
 use oliveworks_core::error::Refusal;
 use oliveworks_core::id::{EntryId, Epoch, HostId, Incarnation, Millis, Name, Offset, RequestId};
 use oliveworks_core::pool::{GroupState, Pool};
 use oliveworks_core::retry::RetryBudget;
-use oliveworks_core::route::{Router, subset};
+use oliveworks_core::route::{Router, groups_for_entry};
 use oliveworks_core::template::{Kind, TemplateKey};
 use oliveworks_net::wire::Hello;
 use rand::SeedableRng;
@@ -131,7 +131,7 @@
             let service = pool.template(&key).is_some_and(|p| p.template.kind == Kind::Service);
             let most = if service { usize::MAX } else { most };
             let router = self.routers.entry(key).or_insert_with(|| Router::new(routing));
-            router.set_groups(subset(me.0, epochs, most));
+            router.set_groups(groups_for_entry(me.0, epochs, most));
         }
         self.leaders.retain(|epoch, _| pool.group(*epoch).is_some());
     }
@@ -141,14 +141,15 @@
         &mut self,
         now: Millis,
         caller: &Caller,
-        waiting: Waiting,
+        waiting: WaitingRequest,
         prompt: Prompt,
     ) -> oneshot::Receiver<Result<Epoch, Refusal>> {
         let (admitted, receiver) = oneshot::channel();
         let template = waiting.template.clone();
         self.pending.insert(waiting.id, Pending { template, prompt, admitted });
-        let owner = Owner { partner: caller.partner.clone(), workspace: caller.workspace.clone() };
-        for (id, refusal) in self.admission.enter(now, &owner, caller.weight, waiting) {
+        let owner =
+            WorkspaceKey { partner: caller.partner.clone(), workspace: caller.workspace.clone() };
+        for (id, refusal) in self.admission.enqueue(now, &owner, caller.weight, waiting) {
             self.refuse(id, refusal);
         }
         self.pump(now);
--- a/crates/oliveworks-lab/src/prove/reading.rs
+++ b/crates/oliveworks-lab/src/prove/reading.rs
@@ -66,7 +66,7 @@
         if let Some(snapshot) = snapshot {
             let newer = snapshot.pool.next() > reader.pool.next();
             if newer || broken == Broken::AdoptsOlder {
-                match Snapshot::clone(&snapshot).open() {
+                match Snapshot::clone(&snapshot).into_verified_pool() {
                     Ok(pool) => reader.pool = pool,
                     Err(e) => self.check.breach("one order", e),
                 }
@@ -92,7 +92,7 @@
             let what = format!("{node:?} went back from {before} to {held}");
             self.check.breach("configuration", what);
         }
-        reader.feed.heard(now, source, number, next, age_ms, held);
+        reader.feed.record_answer(now, source, number, next, age_ms, held);
         if let Err(e) = reader.pool.verify() {
             self.check.breach("two groups", e);
         }
--- a/crates/oliveworks-net/src/wire.rs
+++ b/crates/oliveworks-net/src/wire.rs
@@ -2,10 +2,10 @@
 
 use std::net::SocketAddr;
 
-use oliveworks_core::answer::TryId;
+use oliveworks_core::answer::AttemptId;
 use oliveworks_core::error::Refusal;
 use oliveworks_core::id::{Epoch, HostId, Incarnation, Millis, Offset};
-use oliveworks_core::ledger::{Handed, Kept, Revoked};
+use oliveworks_core::ledger::{Handover, Kept, Revoked};
 use oliveworks_core::message::{GroupReport, LeaseMsg};
 use oliveworks_core::route::Load;
 use oliveworks_runtime::timeline::Filter;
@@ -30,7 +30,7 @@
     /// The request's body is complete.
     BodyEnd,
     /// An entry lost contact and asks that a try not begin.
-    Revoke(Handed),
+    Revoke(Handover),
     /// A process asks for what follows an offset; the answer may be held back for a while.
     Feed(FeedQuestion),
     /// A group's report to a decider.
@@ -58,11 +58,11 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Run {
     /// The try.
-    pub id: TryId,
+    pub id: AttemptId,
     /// The group.
     pub epoch: Epoch,
     /// What the agent's ledger needs.
-    pub handed: Handed,
+    pub handed: Handover,
     /// The first piece wanted; the caller has those before it.
     pub from: u64,
     /// The time left to the request, in milliseconds.
@@ -173,7 +173,7 @@
     /// A piece of an answer: a token's text, or bytes of a service's body.
     Piece {
         /// The try.
-        id: TryId,
+        id: AttemptId,
         /// Counted from zero over all tries.
         number: u64,
         /// What it says.
@@ -182,7 +182,7 @@
     /// The answer's end.
     End {
         /// The try.
-        id: TryId,
+        id: AttemptId,
         /// Pieces in all.
         pieces: u64,
         /// Why the model stopped.
@@ -197,7 +197,7 @@
     /// The try is refused.
     Refused {
         /// The try.
-        id: TryId,
+        id: AttemptId,
         /// Why.
         refusal: Refusal,
         /// Whom to ask instead.
