--- a/crates/oliveworks-gateway-core/src/admission.rs
+++ b/crates/oliveworks-gateway-core/src/admission.rs
@@ -22,7 +22,7 @@
 
 use crate::Millis;
 use crate::balance::{Balance, Candidate, Target};
-use crate::locality::Parts;
+use crate::locality::CapacityShares;
 
 /// Parameters of admission control. The effect of each one was measured by replaying two loads with
 /// 13 gateways. In *many*, there are more than twice as many callers as twelve groups can serve. In
@@ -76,12 +76,12 @@
     /// Time within which the answer should begin, in ms.
     pub goal_ms: u64,
     /// This gateway's shares of the free capacity of groups.
-    pub parts: Parts,
+    pub parts: CapacityShares,
 }
 
 impl Asking {
     fn share(&self, candidate: &Candidate) -> f64 {
-        if candidate.near { self.parts.near } else { self.parts.far }
+        if candidate.is_local { self.parts.local } else { self.parts.remote }
     }
 }
 
--- a/crates/oliveworks-gateway-core/src/balance.rs
+++ b/crates/oliveworks-gateway-core/src/balance.rs
@@ -11,7 +11,7 @@
 
 use crate::Millis;
 use crate::fan_out::Source;
-use crate::locality::Sides;
+use crate::locality::UsageByLocality;
 
 /// A backend server, or a replica group identified by its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -34,7 +34,7 @@
     /// Number of requests that the target processes concurrently.
     pub slots: u32,
     /// Whether the target is in this gateway's failure domain.
-    pub near: bool,
+    pub is_local: bool,
     /// Delay that each outstanding request at the target adds to the next one, in ms.
     pub open_ms: f64,
     /// Delay that each unprocessed prompt token at the target adds to the next request, in ms.
@@ -45,7 +45,7 @@
     /// Returns this candidate with its cost adjusted for a limit of `requests_per_s`: the load is
     /// weighted as if the target had that many slots, since an answer takes about a second. The
     /// number of slots itself is unchanged, because only the rate is limited.
-    pub fn taking(self, requests_per_s: f64) -> Candidate {
+    pub fn with_rate_limit(self, requests_per_s: f64) -> Candidate {
         let slots = f64::from(self.slots.max(1));
         let taken = requests_per_s.clamp(1.0, slots);
         Candidate { open_ms: self.open_ms * slots / taken, ..self }
@@ -143,9 +143,9 @@
     /// Load that other failure domains put on targets outside this domain, reported less often.
     peers_elsewhere: HashMap<Source, PeerLoad>,
     /// Time at which other gateways last received data from each target, as far as reported.
-    heard_elsewhere: HashMap<Target, Millis>,
+    received_by_peers: HashMap<Target, Millis>,
     /// The same, restricted to gateways of this failure domain.
-    heard_near: HashMap<Target, Millis>,
+    received_by_local_peers: HashMap<Target, Millis>,
 }
 
 /// The reason why no target was chosen.
@@ -168,13 +168,18 @@
 impl Balance {
     /// Records the outstanding requests by target that another gateway, or another failure domain,
     /// reported.
-    pub fn peer(&mut self, now: Millis, source: Source, open: HashMap<Target, Load>) {
+    pub fn record_peer_load(&mut self, now: Millis, source: Source, open: HashMap<Target, Load>) {
         self.peers.insert(source, PeerLoad { at: now, open });
     }
 
     /// Records the outstanding requests by target that another failure domain has outside this one.
     /// These reports arrive less often than those about targets of this domain.
-    pub fn peer_elsewhere(&mut self, now: Millis, source: Source, open: HashMap<Target, Load>) {
+    pub fn record_peer_load_elsewhere(
+        &mut self,
+        now: Millis,
+        source: Source,
+        open: HashMap<Target, Load>,
+    ) {
         self.peers_elsewhere.insert(source, PeerLoad { at: now, open });
     }
 
@@ -195,7 +200,7 @@
     /// Returns the outstanding requests of this failure domain's gateways, by target.
     pub fn domain_open(&self, now: Millis) -> HashMap<Target, Load> {
         let mut sum: HashMap<Target, Load> = self.own_open().collect();
-        for (_, open) in self.fresh_reports(now).filter(|(source, _)| source.is_near()) {
+        for (_, open) in self.fresh_reports(now).filter(|(source, _)| source.is_local()) {
             for (target, load) in open {
                 sum.entry(*target).or_default().add(*load);
             }
@@ -252,7 +257,7 @@
     ///
     /// # Errors
     /// Returns an error if there is no untried candidate, or if all are full.
-    pub fn choose_near(
+    pub fn choose_local(
         &self,
         now: Millis,
         candidates: &[Candidate],
@@ -261,18 +266,18 @@
         draw: u64,
     ) -> Result<Target, NoTarget> {
         let untried = candidates.iter().filter(|candidate| !tried.contains(&candidate.target));
-        let near: Vec<&Candidate> = untried.filter(|candidate| candidate.near).collect();
+        let near: Vec<&Candidate> = untried.filter(|candidate| candidate.is_local).collect();
         let found = self.least_busy(now, &near, compare_limit(candidates), full_at, draw);
         found.map_or_else(|| self.choose(now, candidates, tried, full_at, draw), Ok)
     }
 
     /// Returns the usage of the local and of the remote candidates.
-    pub fn sides(&self, now: Millis, candidates: &[Candidate]) -> Sides {
-        let mut sides = Sides::default();
+    pub fn usage_by_locality(&self, now: Millis, candidates: &[Candidate]) -> UsageByLocality {
+        let mut sides = UsageByLocality::default();
         for candidate in candidates {
             let load = self.load(now, candidate.target);
             let reading_ms = f64::from(load.tokens) * candidate.token_ms;
-            let side = if candidate.near { &mut sides.near } else { &mut sides.far };
+            let side = if candidate.is_local { &mut sides.local } else { &mut sides.remote };
             side.add(f64::from(load.requests), f64::from(candidate.slots), reading_ms);
         }
         sides
@@ -304,7 +309,7 @@
     fn cost(&self, now: Millis, candidate: &Candidate) -> f64 {
         let load = self.load(now, candidate.target);
         let failures = self.own.get(&candidate.target).map_or(0.0, |own| own.failures(now));
-        let remote_ms = if candidate.near { 0.0 } else { REMOTE_COST_MS };
+        let remote_ms = if candidate.is_local { 0.0 } else { REMOTE_COST_MS };
         remote_ms
             + failures * FAILURE_COST_MS
             + f64::from(load.requests) * candidate.open_ms
@@ -339,7 +344,7 @@
 
     /// Returns whether a stream of this gateway has begun at a target, in which case events must
     /// keep arriving.
-    pub fn is_writing(&self, target: Target) -> bool {
+    pub fn has_active_stream(&self, target: Target) -> bool {
         self.own.get(&target).is_some_and(|own| own.active_streams > 0)
     }
 
@@ -351,10 +356,10 @@
 
     /// Records that another gateway, or a gateway of another failure domain, has just received data
     /// from a target.
-    pub fn heard_elsewhere(&mut self, now: Millis, source: Source, target: Target) {
-        self.heard_elsewhere.insert(target, now);
-        if source.is_near() {
-            self.heard_near.insert(target, now);
+    pub fn record_peer_receipt(&mut self, now: Millis, source: Source, target: Target) {
+        self.received_by_peers.insert(target, now);
+        if source.is_local() {
+            self.received_by_local_peers.insert(target, now);
         }
     }
 
@@ -366,30 +371,30 @@
     /// requests wait for their first event, a pass may consist of prompts only, so data received by
     /// other gateways counts as well. Rejected: judging by this gateway's own requests alone (half
     /// of all suspicions were false).
-    pub fn silent_at(&self, target: Target, since: Millis, pass_ms: u64) -> Millis {
+    pub fn stalled_at(&self, target: Target, since: Millis, pass_ms: u64) -> Millis {
         let own = self.last_progress(target).unwrap_or(0).max(since);
-        if self.is_writing(target) {
+        if self.has_active_stream(target) {
             return own + pass_ms + STREAM_SLACK_MS;
         }
-        let elsewhere = self.heard_elsewhere.get(&target).copied().unwrap_or(0);
+        let elsewhere = self.received_by_peers.get(&target).copied().unwrap_or(0);
         own.max(elsewhere) + pass_ms * FIRST_PASSES + FIRST_SLACK_MS
     }
 
     /// Returns the targets from which this gateway has received data since a given time.
-    pub fn heard_since(&self, since: Millis) -> impl Iterator<Item = Target> {
+    pub fn received_since(&self, since: Millis) -> impl Iterator<Item = Target> {
         let heard = self.own.iter().filter(move |(_, own)| own.last_received_at >= since);
         heard.map(|(target, _)| *target)
     }
 
     /// Returns whether this gateway has received data from a target since a given time.
-    pub fn is_heard_since(&self, target: Target, since: Millis) -> bool {
+    pub fn has_received_since(&self, target: Target, since: Millis) -> bool {
         self.own.get(&target).is_some_and(|own| own.last_received_at >= since)
     }
 
     /// Returns the targets from which other gateways of this failure domain have received data
-    /// since a given time. See also [`Balance::heard_since`].
-    pub fn heard_near_since(&self, since: Millis) -> impl Iterator<Item = Target> {
-        let heard = self.heard_near.iter().filter(move |(_, at)| **at >= since);
+    /// since a given time. See also [`Balance::received_since`].
+    pub fn received_by_local_peers_since(&self, since: Millis) -> impl Iterator<Item = Target> {
+        let heard = self.received_by_local_peers.iter().filter(move |(_, at)| **at >= since);
         heard.map(|(target, _)| *target)
     }
 
@@ -411,7 +416,7 @@
     /// Drops targets for which `keep` returns false and which have no outstanding requests.
     pub fn retain(&mut self, keep: impl Fn(Target) -> bool) {
         self.own.retain(|target, own| own.open > 0 || keep(*target));
-        self.heard_elsewhere.retain(|target, _| keep(*target));
-        self.heard_near.retain(|target, _| keep(*target));
+        self.received_by_peers.retain(|target, _| keep(*target));
+        self.received_by_local_peers.retain(|target, _| keep(*target));
     }
 }
--- a/crates/oliveworks-gateway-core/src/demand.rs
+++ b/crates/oliveworks-gateway-core/src/demand.rs
@@ -12,7 +12,7 @@
 
 use crate::Millis;
 use crate::fan_out::Source;
-use crate::locality::CallersPart;
+use crate::locality::CallerShare;
 
 /// Key of a model of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -27,15 +27,15 @@
 
 /// Recent requests that looked for a slot, weighted by age.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Looked {
+pub struct RequestCounts {
     /// All of these requests.
     pub all: f64,
     /// Requests that found no slot and were refused.
     pub refused: f64,
 }
 
-impl Looked {
-    fn add(&mut self, other: Looked) {
+impl RequestCounts {
+    fn add(&mut self, other: RequestCounts) {
         self.all += other.all;
         self.refused += other.refused;
     }
@@ -49,28 +49,28 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct DecayingCount {
-    looked: Looked,
+    looked: RequestCounts,
     at: Millis,
 }
 
 impl DecayingCount {
-    fn now(&self, now: Millis) -> Looked {
+    fn now(&self, now: Millis) -> RequestCounts {
         let left = 0.5f64.powf(now.saturating_sub(self.at) as f64 / HALF_LIFE_MS);
-        Looked { all: self.looked.all * left, refused: self.looked.refused * left }
+        RequestCounts { all: self.looked.all * left, refused: self.looked.refused * left }
     }
 }
 
 /// Demand for models as known to this gateway.
 #[derive(Clone, Debug, Default)]
-pub struct Demand {
+pub struct ModelDemand {
     own: HashMap<ModelKey, DecayingCount>,
-    peers: HashMap<Source, (Millis, HashMap<ModelKey, Looked>)>,
+    peers: HashMap<Source, (Millis, HashMap<ModelKey, RequestCounts>)>,
 }
 
-impl Demand {
+impl ModelDemand {
     /// Records that a request at this gateway looked for a slot. `refused` is whether it found
     /// none.
-    pub fn looked(&mut self, now: Millis, model: ModelKey, refused: bool) {
+    pub fn record_request(&mut self, now: Millis, model: ModelKey, refused: bool) {
         let decaying = self.own.entry(model).or_default();
         let mut looked = decaying.now(now);
         looked.all += 1.0;
@@ -79,20 +79,25 @@
     }
 
     /// Returns the demand that this gateway observed.
-    pub fn own(&self, now: Millis) -> impl Iterator<Item = (ModelKey, Looked)> {
+    pub fn own_counts(&self, now: Millis) -> impl Iterator<Item = (ModelKey, RequestCounts)> {
         self.own.iter().map(move |(model, decaying)| (*model, decaying.now(now)))
     }
 
     /// Records the demand that another gateway, or the gateways of another failure domain,
     /// observed.
-    pub fn peer(&mut self, now: Millis, source: Source, looked: HashMap<ModelKey, Looked>) {
+    pub fn record_peer(
+        &mut self,
+        now: Millis,
+        source: Source,
+        looked: HashMap<ModelKey, RequestCounts>,
+    ) {
         self.peers.insert(source, (now, looked));
     }
 
     /// Returns the demand that the gateways of this failure domain observed.
-    pub fn of_domain(&self, now: Millis) -> HashMap<ModelKey, Looked> {
-        let mut sum: HashMap<ModelKey, Looked> = self.own(now).collect();
-        let local = self.peers.iter().filter(|(source, _)| source.is_near());
+    pub fn failure_domain_counts(&self, now: Millis) -> HashMap<ModelKey, RequestCounts> {
+        let mut sum: HashMap<ModelKey, RequestCounts> = self.own_counts(now).collect();
+        let local = self.peers.iter().filter(|(source, _)| source.is_local());
         for (_, (_, looked)) in local.filter(|(_, (at, _))| now < at + PEER_STALE_MS) {
             for (model, looked) in looked {
                 sum.entry(*model).or_default().add(*looked);
@@ -101,11 +106,11 @@
         sum
     }
 
-    fn own_demand(&self, now: Millis, model: ModelKey) -> Looked {
+    fn own_demand(&self, now: Millis, model: ModelKey) -> RequestCounts {
         self.own.get(&model).map(|decaying| decaying.now(now)).unwrap_or_default()
     }
 
-    fn total_demand(&self, now: Millis, model: ModelKey) -> Looked {
+    fn total_demand(&self, now: Millis, model: ModelKey) -> RequestCounts {
         let mut sum = self.own_demand(now, model);
         for (_, looked) in self.peers.values().filter(|(at, _)| now < at + PEER_STALE_MS) {
             sum.add(looked.get(&model).copied().unwrap_or_default());
@@ -122,14 +127,14 @@
 
     /// Returns this gateway's fraction of a model's recent requests, of all and of those in its
     /// failure domain.
-    pub fn callers_part(&self, now: Millis, model: ModelKey) -> CallersPart {
+    pub fn caller_share(&self, now: Millis, model: ModelKey) -> CallerShare {
         let own = self.own_demand(now, model).all;
         let total = self.total_demand(now, model);
         let all = total.all;
-        let domain = self.of_domain(now).get(&model).map_or(0.0, |looked| looked.all);
+        let domain = self.failure_domain_counts(now).get(&model).map_or(0.0, |looked| looked.all);
         // A gateway that knows of no requests may be the only one that gets some.
         let part = |of: f64, whole: f64| if whole > 0.0 { of / whole } else { 1.0 };
-        CallersPart {
+        CallerShare {
             of_all: part(own, all),
             of_domain: part(own, domain),
             domain: Some(part(domain, all)),
--- a/crates/oliveworks-gateway-core/src/fan_out.rs
+++ b/crates/oliveworks-gateway-core/src/fan_out.rs
@@ -24,7 +24,7 @@
 
 impl Source {
     /// Returns whether the source is a gateway of this failure domain.
-    pub fn is_near(self) -> bool {
+    pub fn is_local(self) -> bool {
         matches!(self, Source::Gateway(_))
     }
 }
--- a/crates/oliveworks-gateway-core/src/lib.rs
+++ b/crates/oliveworks-gateway-core/src/lib.rs
@@ -30,7 +30,7 @@
 //! | [`election`] | the gateway that issues orders |
 //! | [`table`] | the groups that serve, and the propagation of changes to gateways |
 //! | [`fan_out`] | the gateways that a heartbeat is sent to |
-//! | [`telling`] | the outstanding requests that a heartbeat reports |
+//! | [`load_report`] | the outstanding requests that a heartbeat reports |
 //! | [`backoff`] | backend servers that requested a backoff |
 //! | [`rate_limits`] | total rate of all gateways to a backend server that announces a limit |
 //! | [`obstacles`] | what excludes a request from a place, and the result if no place is left |
@@ -64,6 +64,7 @@
 pub mod following;
 pub mod freshness;
 pub mod listing;
+pub mod load_report;
 pub mod locality;
 pub mod members;
 pub mod missing;
@@ -81,7 +82,6 @@
 pub mod speed;
 pub mod suspensions;
 pub mod table;
-pub mod telling;
 pub mod timeliness;
 pub mod versions;
 
--- a/crates/oliveworks-gateway-core/src/telling.rs
+++ b/crates/oliveworks-gateway-core/src/load_report.rs
@@ -44,7 +44,7 @@
 
 /// The load report in one heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Telling {
+pub struct LoadReport {
     /// Load of the targets that the recipient needs with each heartbeat.
     pub open: Vec<Count>,
     /// Load of all other targets; `None` if this heartbeat does not report it.
@@ -56,18 +56,18 @@
 
 /// Returns the report for gateways of the same failure domain. Data received from a target at or
 /// after `since` counts as recent.
-pub fn near(balance: &Balance, since: Millis) -> Telling {
+pub fn local_report(balance: &Balance, since: Millis) -> LoadReport {
     let count =
-        |(target, load)| Count { target, load, heard: balance.is_heard_since(target, since) };
+        |(target, load)| Count { target, load, heard: balance.has_received_since(target, since) };
     let open: Vec<Count> = balance.own_open().map(count).collect();
     let reported: HashSet<Target> = open.iter().map(|count| count.target).collect();
-    let heard = balance.heard_since(since).filter(|target| !reported.contains(target)).collect();
-    Telling { open, elsewhere: None, heard }
+    let heard = balance.received_since(since).filter(|target| !reported.contains(target)).collect();
+    LoadReport { open, elsewhere: None, heard }
 }
 
 /// The combined knowledge of the gateways of one failure domain.
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct DomainLoad {
     /// Outstanding requests by target.
     pub open: HashMap<Target, Load>,
     /// Targets from which one of the gateways received data recently.
@@ -76,37 +76,38 @@
 
 /// Returns the report of this failure domain for another one, `listener`. `is_there` returns
 /// whether a target belongs to the listener's domain.
-pub fn far(
+pub fn remote_report(
     balance: &Balance,
     now: Millis,
-    known: &Known,
+    known: &DomainLoad,
     listener: Source,
     is_there: impl Fn(Target) -> bool,
     with_elsewhere: bool,
-) -> Telling {
-    let mut telling = Telling { elsewhere: with_elsewhere.then(Vec::new), ..Telling::default() };
+) -> LoadReport {
+    let mut report =
+        LoadReport { elsewhere: with_elsewhere.then(Vec::new), ..LoadReport::default() };
     let mut reported = HashSet::new();
     for (target, load) in &known.open {
         if is_there(*target) {
             let heard = known.heard.contains(target);
-            telling.open.push(Count { target: *target, load: *load, heard });
+            report.open.push(Count { target: *target, load: *load, heard });
             reported.insert(*target);
-        } else if let Some(elsewhere) = &mut telling.elsewhere {
+        } else if let Some(elsewhere) = &mut report.elsewhere {
             elsewhere.push((*target, *load));
         }
     }
     let listener_waits = |target: &&Target| balance.is_open_at(now, listener, **target);
     let heard =
         known.heard.iter().filter(|target| !reported.contains(target)).filter(listener_waits);
-    telling.heard = heard.copied().collect();
-    telling
+    report.heard = heard.copied().collect();
+    report
 }
 
 /// Time of the last report of the load elsewhere, by failure domain.
 #[derive(Clone, Debug, Default)]
-pub struct Pace(HashMap<Source, Millis>);
+pub struct ReportIntervals(HashMap<Source, Millis>);
 
-impl Pace {
+impl ReportIntervals {
     /// Returns whether the load elsewhere, at the given number of targets, is due to be reported to
     /// a failure domain. If so, the report is recorded.
     pub fn is_due(&mut self, now: Millis, listener: Source, targets: usize) -> bool {
--- a/crates/oliveworks-gateway-core/src/locality.rs
+++ b/crates/oliveworks-gateway-core/src/locality.rs
@@ -82,16 +82,16 @@
 
 /// The load of all eligible targets of a request, split by failure domain.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Sides {
+pub struct UsageByLocality {
     /// Targets in the gateway's own failure domain.
-    pub near: Usage,
+    pub local: Usage,
     /// Targets in other failure domains.
-    pub far: Usage,
+    pub remote: Usage,
 }
 
 /// A gateway's share of the callers of a model.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct CallersPart {
+pub struct CallerShare {
     /// Share of all callers, from 0 to 1.
     pub of_all: f64,
     /// Share of the callers of the gateway's failure domain, from 0 to 1.
@@ -102,52 +102,52 @@
     pub refused: f64,
 }
 
-impl CallersPart {
+impl CallerShare {
     /// The value used where callers are not counted, so the shares of the domains are unknown.
-    pub const UNKNOWN: CallersPart =
-        CallersPart { of_all: 1.0, of_domain: 1.0, domain: None, refused: 0.0 };
+    pub const UNKNOWN: CallerShare =
+        CallerShare { of_all: 1.0, of_domain: 1.0, domain: None, refused: 0.0 };
 }
 
 /// The shares of the free capacity of targets that a gateway may use, from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Parts {
+pub struct CapacityShares {
     /// Share of the local targets' free capacity.
-    pub near: f64,
+    pub local: f64,
     /// Share of the remote targets' free capacity.
-    pub far: f64,
+    pub remote: f64,
 }
 
-impl Sides {
+impl UsageByLocality {
     /// Returns the local targets' share of all slots.
     fn local_slot_share(&self) -> f64 {
-        self.near.slots / (self.near.slots + self.far.slots).max(1.0)
+        self.local.slots / (self.local.slots + self.remote.slots).max(1.0)
     }
 
     /// Returns how full the local targets are, from 0 (free slots) to 1 (full). Rejected requests
     /// count as well: where reading is the bottleneck, little is unread between the end of a pass
     /// and the next requests, but some requests are rejected.
-    fn fullness(&self, callers: &CallersPart) -> f64 {
-        let slots = (self.near.used_share() - LOCAL_FREE_UP_TO) / (FULL_FROM - LOCAL_FREE_UP_TO);
-        let reading = self.near.mean_reading_ms() / READING_MIN_MS - 1.0;
+    fn fullness(&self, callers: &CallerShare) -> f64 {
+        let slots = (self.local.used_share() - LOCAL_FREE_UP_TO) / (FULL_FROM - LOCAL_FREE_UP_TO);
+        let reading = self.local.mean_reading_ms() / READING_MIN_MS - 1.0;
         let refused = callers.refused / REJECTED_SHARE_FULL;
         slots.max(reading).max(refused).clamp(0.0, 1.0)
     }
 
     /// Returns whether a request is placed among all targets instead of only local ones. `draw` is
     /// a random number.
-    pub fn spills(&self, callers: &CallersPart, draw: u64) -> bool {
+    pub fn spills(&self, callers: &CallerShare, draw: u64) -> bool {
         // The lower half of the draw selects the target at which the comparison starts.
         let random_share = (draw >> 32) as f64 / (1u64 << 32) as f64;
-        random_share < self.spilled(callers)
+        random_share < self.spill_share(callers)
     }
 
     /// Returns the share of the requests that are placed among all targets, from 0 to 1. Of these
     /// requests, a part in proportion to the local slots still stays local.
-    pub fn spilled(&self, callers: &CallersPart) -> f64 {
-        if self.near.targets == 0.0 {
+    pub fn spill_share(&self, callers: &CallerShare) -> f64 {
+        if self.local.targets == 0.0 {
             return 1.0;
         }
-        if self.far.targets == 0.0 {
+        if self.remote.targets == 0.0 {
             return 0.0;
         }
         let slots = self.local_slot_share();
@@ -157,9 +157,10 @@
             (domain / slots.max(f64::MIN_POSITIVE) - IMBALANCE_MIN) / IMBALANCE_RAMP
         });
         let fullness = self.fullness(callers).max(imbalance.clamp(0.0, 1.0));
-        let used_difference = self.near.used_share() - self.far.used_share().max(LOCAL_FREE_UP_TO);
+        let used_difference =
+            self.local.used_share() - self.remote.used_share().max(LOCAL_FREE_UP_TO);
         let reading_difference_ms =
-            self.near.mean_reading_ms() - self.far.mean_reading_ms() - READING_MIN_MS;
+            self.local.mean_reading_ms() - self.remote.mean_reading_ms() - READING_MIN_MS;
         let load_difference = (used_difference / USED_DIFFERENCE_MAX)
             .max(reading_difference_ms / READING_DIFFERENCE_MAX_MS);
         (fullness * excess_callers).max(load_difference).clamp(0.0, 1.0)
@@ -169,14 +170,14 @@
     /// part of the local slots that belongs to the domain's own callers. The remote share divides
     /// what the callers of other domains leave. The shares of all gateways therefore add up to
     /// about 1.
-    pub fn parts(&self, callers: &CallersPart) -> Parts {
+    pub fn capacity_shares(&self, callers: &CallerShare) -> CapacityShares {
         let Some(domain) = callers.domain else {
-            return Parts { near: callers.of_all, far: callers.of_all };
+            return CapacityShares { local: callers.of_all, remote: callers.of_all };
         };
         let slots = self.local_slot_share();
-        let near = callers.of_domain * (domain / slots.max(f64::MIN_POSITIVE)).min(1.0);
+        let local = callers.of_domain * (domain / slots.max(f64::MIN_POSITIVE)).min(1.0);
         let left = (domain - slots).max(0.0) / (1.0 - slots).max(f64::MIN_POSITIVE);
-        let far = (callers.of_domain * left.min(1.0)).max(callers.of_all * REMOTE_SHARE_MIN);
-        Parts { near, far }
+        let remote = (callers.of_domain * left.min(1.0)).max(callers.of_all * REMOTE_SHARE_MIN);
+        CapacityShares { local, remote }
     }
 }
--- a/crates/oliveworks-gateway-core/tests/decisions.rs
+++ b/crates/oliveworks-gateway-core/tests/decisions.rs
@@ -219,7 +219,7 @@
     let each = (0..count).map(|n| Candidate {
         target: Target(n),
         slots: 4,
-        near: true,
+        is_local: true,
         open_ms: 1.0,
         token_ms: 0.1,
     });
@@ -231,7 +231,7 @@
     let mut balance = Balance::default();
     balance.started(0, Target(0), 0);
     let others = HashMap::from([(Target(1), Load { requests: 2, tokens: 0 })]);
-    balance.peer(0, Source::Gateway(7), others);
+    balance.record_peer_load(0, Source::Gateway(7), others);
     for draw in 0..3 {
         assert_eq!(balance.choose(10, &candidates(3), &[], 1.0, draw), Ok(Target(2)));
     }
@@ -251,7 +251,7 @@
     let candidates = candidates(12);
     let mut balance = Balance::default();
     let busy = candidates[1..].iter().map(|c| (c.target, Load { requests: 3, tokens: 0 }));
-    balance.peer(0, Source::Gateway(1), busy.collect());
+    balance.record_peer_load(0, Source::Gateway(1), busy.collect());
     let idle = candidates[0].target;
     let chosen = (0..24).map(|draw| balance.choose(1, &candidates, &[], 1.0, draw));
     let to_idle = chosen.filter(|target| *target == Ok(idle)).count();
@@ -326,9 +326,9 @@
         balance.began(target, 500);
     }
     if let Some(at) = elsewhere {
-        balance.heard_elsewhere(at, Source::Gateway(1), target);
+        balance.record_peer_receipt(at, Source::Gateway(1), target);
     }
-    assert_eq!(balance.silent_at(target, 1_000, PASS_MS), expected);
+    assert_eq!(balance.stalled_at(target, 1_000, PASS_MS), expected);
 }
 
 /// A place in a topic of a store that names no era.
--- a/crates/oliveworks-gateway-core/tests/fan_out.rs
+++ b/crates/oliveworks-gateway-core/tests/fan_out.rs
@@ -72,8 +72,8 @@
     let mut balance = Balance::default();
     balance.started(0, target, 10);
     let load = |requests| std::collections::HashMap::from([(target, Load { requests, tokens: 1 })]);
-    balance.peer(0, Source::Gateway(1), load(4));
-    balance.peer(0, Source::FailureDomain(2), load(20));
+    balance.record_peer_load(0, Source::Gateway(1), load(4));
+    balance.record_peer_load(0, Source::FailureDomain(2), load(20));
     assert_eq!(balance.domain_open(100)[&target], Load { requests: 5, tokens: 11 });
     assert_eq!(balance.load(100, target), Load { requests: 25, tokens: 12 });
     assert_eq!(balance.domain_open(5_000)[&target].requests, 1, "what is old does not count");
--- a/crates/oliveworks-gateway-core/tests/telling.rs
+++ b/crates/oliveworks-gateway-core/tests/load_report.rs
@@ -6,8 +6,8 @@
 
 use oliveworks_gateway_core::balance::{Balance, Load, Target};
 use oliveworks_gateway_core::fan_out::Source;
+use oliveworks_gateway_core::load_report::{self, DomainLoad, ReportIntervals};
 use oliveworks_gateway_core::repeats::Repeats;
-use oliveworks_gateway_core::telling::{self, Known, Pace};
 
 const EAST: Source = Source::FailureDomain(1);
 
@@ -16,8 +16,8 @@
 }
 
 /// What a domain knows that has a request open at each of so many targets and has just heard them all.
-fn known(targets: u64) -> Known {
-    Known {
+fn known(targets: u64) -> DomainLoad {
+    DomainLoad {
         open: (0..targets).map(|target| (Target(target), load(1))).collect(),
         heard: (0..targets).map(Target).collect(),
     }
@@ -25,11 +25,12 @@
 
 /// Bytes that one gateway sends another domain's gateway within a second.
 fn bytes_a_second(targets: u64) -> usize {
-    let (balance, known, mut pace) = (Balance::default(), known(targets), Pace::default());
+    let (balance, known, mut pace) =
+        (Balance::default(), known(targets), ReportIntervals::default());
     let heartbeats = (0..10).map(|beat| {
         let due = pace.is_due(beat * 100, EAST, known.open.len());
         let there = |target: Target| target.0 < 10;
-        let telling = telling::far(&balance, beat * 100, &known, EAST, there, due);
+        let telling = load_report::remote_report(&balance, beat * 100, &known, EAST, there, due);
         postcard::to_stdvec(&telling).unwrap().len()
     });
     heartbeats.sum()
@@ -43,7 +44,7 @@
 
 #[test]
 fn each_domain_is_told_all_within_half_a_second() {
-    let mut pace = Pace::default();
+    let mut pace = ReportIntervals::default();
     for source in [EAST, Source::FailureDomain(2)] {
         let told = (0..20).filter(|beat| pace.is_due(beat * 100, source, 5_000)).count();
         assert_eq!(told, 4, "in two seconds");
@@ -56,9 +57,9 @@
 #[test]
 fn a_domain_is_told_what_matters_to_it_at_once() {
     let mut balance = Balance::default();
-    balance.peer_elsewhere(0, EAST, HashMap::from([(Target(7), load(2))]));
+    balance.record_peer_load_elsewhere(0, EAST, HashMap::from([(Target(7), load(2))]));
     let there = |target: Target| target.0 < 3;
-    let telling = telling::far(&balance, 100, &known(10), EAST, there, false);
+    let telling = load_report::remote_report(&balance, 100, &known(10), EAST, there, false);
     let open: HashSet<Target> = telling.open.iter().map(|count| count.target).collect();
     assert_eq!(open, HashSet::from([Target(0), Target(1), Target(2)]));
     assert!(telling.open.iter().all(|count| count.heard));
@@ -69,9 +70,9 @@
 #[test]
 fn what_is_told_now_and_then_still_counts() {
     let mut balance = Balance::default();
-    balance.peer_elsewhere(0, EAST, HashMap::from([(Target(1), load(5))]));
-    balance.peer(0, EAST, HashMap::from([(Target(2), load(3))]));
-    balance.peer(900, EAST, HashMap::from([(Target(2), load(4))]));
+    balance.record_peer_load_elsewhere(0, EAST, HashMap::from([(Target(1), load(5))]));
+    balance.record_peer_load(0, EAST, HashMap::from([(Target(2), load(3))]));
+    balance.record_peer_load(900, EAST, HashMap::from([(Target(2), load(4))]));
     assert_eq!(balance.load(1_000, Target(1)), load(5));
     assert_eq!(balance.load(1_000, Target(2)), load(4));
     assert_eq!(balance.load(1_600, Target(1)), load(0), "what is old does not count");
--- a/crates/oliveworks-gateway-core/tests/rate_limits/permits.rs
+++ b/crates/oliveworks-gateway-core/tests/rate_limits/permits.rs
@@ -109,8 +109,8 @@
 /// Two open requests at a host of eight slots that takes two requests a second weigh as much as eight elsewhere.
 #[test]
 fn a_host_that_takes_little_is_as_busy_as_that() {
-    let host = Candidate { target: HOST, slots: 8, near: true, open_ms: 10.0, token_ms: 1.0 };
-    assert_eq!(host.taking(2.0).open_ms, 40.0);
-    assert_eq!(host.taking(0.1).open_ms, 80.0);
-    assert_eq!(host.taking(50.0), host);
+    let host = Candidate { target: HOST, slots: 8, is_local: true, open_ms: 10.0, token_ms: 1.0 };
+    assert_eq!(host.with_rate_limit(2.0).open_ms, 40.0);
+    assert_eq!(host.with_rate_limit(0.1).open_ms, 80.0);
+    assert_eq!(host.with_rate_limit(50.0), host);
 }
--- a/crates/oliveworks-gateway-core/tests/rate_limits/replay.rs
+++ b/crates/oliveworks-gateway-core/tests/rate_limits/replay.rs
@@ -356,7 +356,7 @@
                 let sharers = self.gateways[index].members.sharers(now);
                 sharers.map_or(0.0, |sharers| world.per_s / sharers as f64)
             }
-            Way::ByCallers => world.per_s * self.callers_part(now, index),
+            Way::ByCallers => world.per_s * self.caller_share(now, index),
             Way::Alone => world.per_s,
         };
         let began = BEGAN - 1_000;
@@ -383,7 +383,7 @@
         may
     }
 
-    fn callers_part(&mut self, now: u64, index: usize) -> f64 {
+    fn caller_share(&mut self, now: u64, index: usize) -> f64 {
         let in_second = |gateway: &Gateway, until: u64| {
             let within = |at: &&u64| **at <= until && **at + 1_000 > until;
             gateway.callers.iter().rev().take(50).filter(within).count()
--- a/crates/oliveworks-gateway-core/tests/worst_load/world.rs
+++ b/crates/oliveworks-gateway-core/tests/worst_load/world.rs
@@ -4,7 +4,7 @@
 
 use oliveworks_gateway_core::admission::{Admission, AdmissionConfig, Asking};
 use oliveworks_gateway_core::balance::{Balance, Candidate, Load, Target};
-use oliveworks_gateway_core::demand::{Demand, Looked, ModelKey};
+use oliveworks_gateway_core::demand::{ModelDemand, ModelKey, RequestCounts};
 use oliveworks_gateway_core::fan_out::Source;
 use oliveworks_gateway_core::returning::Waits;
 use rand::{RngExt, SeedableRng};
@@ -80,7 +80,7 @@
 struct Gateway {
     balance: Balance,
     admission: Admission,
-    demand: Demand,
+    demand: ModelDemand,
     waits: Waits,
     /// Requests that wait for a place: caller, since when.
     waiting: Vec<(usize, u64)>,
@@ -94,7 +94,7 @@
 }
 
 /// Figures of a gateway on their way to another: when they are heard, by whom, from whom.
-type Told = (u64, usize, usize, HashMap<Target, Load>, HashMap<ModelKey, Looked>);
+type Told = (u64, usize, usize, HashMap<Target, Load>, HashMap<ModelKey, RequestCounts>);
 
 pub struct World {
     rng: ChaCha8Rng,
@@ -128,7 +128,7 @@
         let gateway = |index: usize| Gateway {
             balance: Balance::default(),
             admission: Admission::new(config, index as u64 + 1),
-            demand: Demand::default(),
+            demand: ModelDemand::default(),
             waits: Waits::default(),
             waiting: Vec::new(),
         };
@@ -205,7 +205,7 @@
         let candidate = |head: usize| Candidate {
             target: Target(head as u64),
             slots: SLOTS,
-            near: self.domains.of_heads[head] == self.domains.of_gateways[gateway],
+            is_local: self.domains.of_heads[head] == self.domains.of_gateways[gateway],
             open_ms: 1.0,
             token_ms: 1.0 / self.model.read_per_ms,
         };
@@ -219,7 +219,8 @@
             }
             let gateway = &self.gateways[from];
             let open: HashMap<Target, Load> = gateway.balance.own_open().collect();
-            let looked: HashMap<ModelKey, Looked> = gateway.demand.own(self.now).collect();
+            let looked: HashMap<ModelKey, RequestCounts> =
+                gateway.demand.own_counts(self.now).collect();
             for to in (0..self.gateways.len()).filter(|to| *to != from) {
                 let delay_ms = if to / NEAR == from / NEAR { 1 } else { FAR_MS };
                 self.told.push((self.now + delay_ms, to, from, open.clone(), looked.clone()));
@@ -236,8 +237,8 @@
                 true => Source::Gateway(from as u64),
                 false => Source::FailureDomain(from as u64),
             };
-            gateway.balance.peer(now, source, open);
-            gateway.demand.peer(now, source, looked);
+            gateway.balance.record_peer_load(now, source, open);
+            gateway.demand.record_peer(now, source, looked);
         }
     }
 
@@ -260,9 +261,9 @@
                 continue;
             }
             if self.place(index, caller) {
-                self.gateways[index].demand.looked(now, World::key(), false);
+                self.gateways[index].demand.record_request(now, World::key(), false);
             } else if (now - since) * 100 >= self.model.goal_ms * PATIENCE_PERCENT {
-                self.gateways[index].demand.looked(now, World::key(), true);
+                self.gateways[index].demand.record_request(now, World::key(), true);
                 self.refuse(caller);
             } else {
                 self.gateways[index].waiting.push((caller, since));
@@ -277,16 +278,16 @@
         let mut candidates = self.candidates(index);
         let draw: u64 = self.rng.random();
         let gateway = &mut self.gateways[index];
-        let callers = gateway.demand.callers_part(now, World::key());
-        let sides = gateway.balance.sides(now, &candidates);
-        let parts = sides.parts(&callers);
+        let callers = gateway.demand.caller_share(now, World::key());
+        let sides = gateway.balance.usage_by_locality(now, &candidates);
+        let parts = sides.capacity_shares(&callers);
         let spills = sides.spills(&callers, draw);
         let full_at = gateway.admission.full_at(FULL_AT, came_back);
         let asking = Asking { tokens: arrival.tokens, full_at, goal_ms: self.model.goal_ms, parts };
         gateway.admission.admit(now, &gateway.balance, &asking, &mut candidates);
         let chosen = match spills {
             true => gateway.balance.choose(now, &candidates, &[], full_at, draw),
-            false => gateway.balance.choose_near(now, &candidates, &[], full_at, draw),
+            false => gateway.balance.choose_local(now, &candidates, &[], full_at, draw),
         };
         let Ok(target) = chosen else { return false };
         gateway.balance.started(now, target, arrival.tokens);
--- a/crates/oliveworks-gateway/src/heartbeat.rs
+++ b/crates/oliveworks-gateway/src/heartbeat.rs
@@ -6,12 +6,12 @@
 use oliveworks_gateway_core::Millis;
 use oliveworks_gateway_core::balance::{Load, Target};
 use oliveworks_gateway_core::crashers::Chain;
-use oliveworks_gateway_core::demand::{Looked, ModelKey};
+use oliveworks_gateway_core::demand::{ModelKey, RequestCounts};
 use oliveworks_gateway_core::election::Heartbeat;
 use oliveworks_gateway_core::era::Era;
 use oliveworks_gateway_core::fan_out::Source;
+use oliveworks_gateway_core::load_report::{self, Count, DomainLoad, LoadReport};
 use oliveworks_gateway_core::rate_limits::limits::Limit;
-use oliveworks_gateway_core::telling::{self, Count, Known, Telling};
 use rand::seq::IteratorRandom;
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
@@ -57,9 +57,9 @@
     /// Scope of the figures in the next two fields.
     figures: Figures,
     /// Outstanding requests.
-    telling: Telling,
+    telling: LoadReport,
     /// Recent requests that looked for a place, per model.
-    looked: Vec<(ModelKey, Looked)>,
+    looked: Vec<(ModelKey, RequestCounts)>,
     /// Groups that the sender observes as stalled.
     suspects: Vec<u64>,
     /// Groups that the sender observes as slow.
@@ -128,7 +128,8 @@
     }
     let heartbeat = gateway.election.borrow().heartbeat();
     let leader = heartbeat.zip(gateway.leader_address.get());
-    let telling = telling::near(&gateway.balance.borrow(), now.saturating_sub(HEARD_MS));
+    let telling =
+        load_report::local_report(&gateway.balance.borrow(), now.saturating_sub(HEARD_MS));
     Beat {
         node: gateway.settings.node.clone(),
         failure_domain: gateway.settings.failure_domain.clone(),
@@ -140,7 +141,7 @@
         version: gateway.version_held(),
         figures: Figures::OfGateway,
         telling,
-        looked: gateway.demand.borrow().own(now).collect(),
+        looked: gateway.demand.borrow().own_counts(now).collect(),
         suspects: gateway.suspects.borrow().keys().copied().collect(),
         slow: gateway.slow_groups(),
         leaving: gateway.leaving_to_report(),
@@ -154,30 +155,31 @@
 }
 
 /// Returns what this failure domain knows of outstanding requests, for reports to other domains.
-pub fn domain_figures(gateway: &Gateway) -> Known {
+pub fn domain_figures(gateway: &Gateway) -> DomainLoad {
     let now = gateway.now();
     let balance = gateway.balance.borrow();
-    let near = balance.heard_near_since(now.saturating_sub(HEARD_LOCAL_MS));
-    let heard = balance.heard_since(now.saturating_sub(HEARD_MS)).chain(near).collect();
-    Known { open: balance.domain_open(now), heard }
+    let near = balance.received_by_local_peers_since(now.saturating_sub(HEARD_LOCAL_MS));
+    let heard = balance.received_since(now.saturating_sub(HEARD_MS)).chain(near).collect();
+    DomainLoad { open: balance.domain_open(now), heard }
 }
 
 /// Returns the heartbeat for another failure domain, with the sums over the gateways of this
 /// domain.
-pub fn for_domain(gateway: &Gateway, own: &Beat, known: &Known, listener: &str) -> Beat {
+pub fn for_domain(gateway: &Gateway, own: &Beat, known: &DomainLoad, listener: &str) -> Beat {
     let now = gateway.now();
     let source = domain_source(listener);
     let due = gateway.elsewhere_reports.borrow_mut().is_due(now, source, known.open.len());
     let directory = gateway.directory.borrow();
     let is_there = |target| directory.failure_domain(target) == Some(listener);
-    let telling = telling::far(&gateway.balance.borrow(), now, known, source, is_there, due);
-    let looked = gateway.demand.borrow().of_domain(now).into_iter().collect();
+    let telling =
+        load_report::remote_report(&gateway.balance.borrow(), now, known, source, is_there, due);
+    let looked = gateway.demand.borrow().failure_domain_counts(now).into_iter().collect();
     Beat { figures: Figures::OfFailureDomain, telling, looked, ..own.clone() }
 }
 
 /// Returns the heartbeat, without figures, for a gateway whose failure domain is unknown.
 pub fn for_unknown_domain(own: &Beat) -> Beat {
-    let (figures, telling, looked) = (Figures::None, Telling::default(), Vec::new());
+    let (figures, telling, looked) = (Figures::None, LoadReport::default(), Vec::new());
     Beat { figures, telling, looked, ..own.clone() }
 }
 
@@ -222,7 +224,7 @@
         Figures::OfFailureDomain => !near,
     };
     if is_for_this_gateway {
-        gateway.demand.borrow_mut().peer(now, source, beat.looked.into_iter().collect());
+        gateway.demand.borrow_mut().record_peer(now, source, beat.looked.into_iter().collect());
         record_outstanding(gateway, now, source, beat.telling);
     }
     for epoch in beat.suspects {
@@ -247,22 +249,22 @@
 }
 
 /// Records the targets from which others have recently received data.
-fn record_heard_targets(gateway: &Gateway, now: Millis, source: Source, telling: &Telling) {
+fn record_heard_targets(gateway: &Gateway, now: Millis, source: Source, telling: &LoadReport) {
     let mut balance = gateway.balance.borrow_mut();
     let open = telling.open.iter().filter(|count| count.heard).map(|count| count.target);
     for target in open.chain(telling.heard.iter().copied()) {
-        balance.heard_elsewhere(now, source, target);
+        balance.record_peer_receipt(now, source, target);
     }
 }
 
 /// Records the requests that others have outstanding.
-fn record_outstanding(gateway: &Gateway, now: Millis, source: Source, telling: Telling) {
+fn record_outstanding(gateway: &Gateway, now: Millis, source: Source, telling: LoadReport) {
     let mut balance = gateway.balance.borrow_mut();
     let load = |count: Count| (count.target, count.load);
     let open: HashMap<Target, Load> = telling.open.into_iter().map(load).collect();
-    balance.peer(now, source, open);
+    balance.record_peer_load(now, source, open);
     if let Some(elsewhere) = telling.elsewhere {
-        balance.peer_elsewhere(now, source, elsewhere.into_iter().collect());
+        balance.record_peer_load_elsewhere(now, source, elsewhere.into_iter().collect());
     }
 }
 
--- a/crates/oliveworks-gateway/src/obstacles.rs
+++ b/crates/oliveworks-gateway/src/obstacles.rs
@@ -40,7 +40,7 @@
                     continue;
                 }
                 Ok(None) => {}
-                Ok(Some(per_s)) => place.candidate = place.candidate.taking(per_s),
+                Ok(Some(per_s)) => place.candidate = place.candidate.with_rate_limit(per_s),
             }
             match self.limit_allows(target) {
                 true => places.eligible.push(place),
--- a/crates/oliveworks-gateway/src/places.rs
+++ b/crates/oliveworks-gateway/src/places.rs
@@ -51,7 +51,7 @@
         let candidate = Candidate {
             target: Target::of(&server.id),
             slots: server.slots,
-            near: server.failure_domain == self.settings.failure_domain,
+            is_local: server.failure_domain == self.settings.failure_domain,
             open_ms: PLAIN_REQUEST_COST_MS,
             token_ms: 0.0,
         };
@@ -106,7 +106,7 @@
                     target: Target::of(head),
                     // A slow group reaches the usual output speed only with fewer requests.
                     slots: (f64::from(group.slots) / group.pace()).ceil() as u32,
-                    near: group.failure_domain == self.settings.failure_domain,
+                    is_local: group.failure_domain == self.settings.failure_domain,
                     open_ms: GROUP_REQUEST_COST_MS * group.pace(),
                     token_ms: token_ms * group.pace(),
                 };
--- a/crates/oliveworks-gateway/src/rate_limits.rs
+++ b/crates/oliveworks-gateway/src/rate_limits.rs
@@ -144,13 +144,13 @@
         let is_untried = |place: &&Place| !tried.contains(&place.candidate.target);
         let mut others = places.eligible.iter().filter(is_untried).peekable();
         let need = if others.peek().is_none() { Need::Only } else { Need::Optional };
-        let local_is_eligible = others.any(|place| place.candidate.near);
+        let local_is_eligible = others.any(|place| place.candidate.is_local);
         let first = rand::random_range(0..without_permit.len());
         let mut asked = false;
         let (before, from_first) = without_permit.split_at(first);
         for place in from_first.iter().chain(before) {
             let target = place.candidate.target;
-            let is_wanted = place.candidate.near || !local_is_eligible;
+            let is_wanted = place.candidate.is_local || !local_is_eligible;
             if !asked && is_wanted && is_untried(&place) {
                 asked = self.request_permit(target, need);
             }
--- a/crates/oliveworks-gateway/src/relay.rs
+++ b/crates/oliveworks-gateway/src/relay.rs
@@ -354,7 +354,7 @@
         self.log.push(format!(
             "to {}{} at {} ms: {} open, {} tokens unread",
             place.server,
-            if place.candidate.near { "" } else { " elsewhere" },
+            if place.candidate.is_local { "" } else { " elsewhere" },
             now - self.received,
             load.requests,
             load.tokens,
@@ -403,7 +403,7 @@
     fn note_demand(&self, refused: bool) {
         let Some(model) = self.model.as_ref().filter(|_| self.attempts.sent() == 0) else { return };
         let key = ModelKey::of(&self.service, model);
-        self.gateway.demand.borrow_mut().looked(self.gateway.now(), key, refused);
+        self.gateway.demand.borrow_mut().record_request(self.gateway.now(), key, refused);
     }
 
     fn consume_repeat(&self) -> bool {
--- a/crates/oliveworks-gateway/src/relay/attempt.rs
+++ b/crates/oliveworks-gateway/src/relay/attempt.rs
@@ -228,7 +228,7 @@
             return has_attempt_left.then_some(base + silence_ms);
         }
         let balance = self.gateway.balance.borrow();
-        Some(balance.silent_at(place.candidate.target, base, self.pass_ms))
+        Some(balance.stalled_at(place.candidate.target, base, self.pass_ms))
     }
 
     fn record_stall(&self, place: &Place, now: Millis) {
--- a/crates/oliveworks-gateway/src/relay/placing.rs
+++ b/crates/oliveworks-gateway/src/relay/placing.rs
@@ -7,7 +7,7 @@
 use oliveworks_gateway_core::balance::{Candidate, NoTarget, Target};
 use oliveworks_gateway_core::crashers::{Crashers, Standing};
 use oliveworks_gateway_core::demand::ModelKey;
-use oliveworks_gateway_core::locality::{CallersPart, Parts};
+use oliveworks_gateway_core::locality::{CallerShare, CapacityShares};
 use oliveworks_gateway_core::obstacles::{FreeAt, NoPlace, describe, is_kept_by_region};
 use oliveworks_gateway_core::residency::Allowed;
 use tokio::time::timeout;
@@ -36,14 +36,14 @@
     }
 
     /// Returns this gateway's share of the callers of the model.
-    fn callers_share(&self) -> CallersPart {
-        let Some(model) = &self.model else { return CallersPart::UNKNOWN };
+    fn callers_share(&self) -> CallerShare {
+        let Some(model) = &self.model else { return CallerShare::UNKNOWN };
         let key = ModelKey::of(&self.service, model);
-        self.gateway.demand.borrow().callers_part(self.gateway.now(), key)
+        self.gateway.demand.borrow().caller_share(self.gateway.now(), key)
     }
 
     /// Removes replica groups whose quota for this gateway is used up.
-    fn admit(&self, full_at: f64, parts: Parts, candidates: &mut Vec<Candidate>) {
+    fn admit(&self, full_at: f64, parts: CapacityShares, candidates: &mut Vec<Candidate>) {
         let asking = Asking {
             tokens: self.asked.prompt_tokens,
             full_at,
@@ -64,9 +64,9 @@
         let mut candidates: Vec<_> = places.iter().map(|place| place.candidate).collect();
         let now = self.gateway.now();
         let callers = self.callers_share();
-        let sides = self.gateway.balance.borrow().sides(now, &candidates);
+        let sides = self.gateway.balance.borrow().usage_by_locality(now, &candidates);
         if self.model.is_some() && !is_resumed {
-            self.admit(full_at, sides.parts(&callers), &mut candidates);
+            self.admit(full_at, sides.capacity_shares(&callers), &mut candidates);
         }
         if candidates.is_empty() && !places.is_empty() {
             return Err(NoTarget::Full);
@@ -75,7 +75,7 @@
         let draw = rand::random();
         match sides.spills(&callers, draw) {
             true => balance.choose(now, &candidates, &self.tried_targets, full_at, draw),
-            false => balance.choose_near(now, &candidates, &self.tried_targets, full_at, draw),
+            false => balance.choose_local(now, &candidates, &self.tried_targets, full_at, draw),
         }
     }
 
@@ -105,7 +105,7 @@
     /// Counts whether a request stays in the local failure domain; `near` is whether a local place
     /// was eligible.
     fn count_locality(&self, place: &Place, near: bool) {
-        let counter = match (place.candidate.near, near) {
+        let counter = match (place.candidate.is_local, near) {
             (true, _) => "requests_near",
             (false, true) => "requests_spilled",
             (false, false) => "requests_far",
@@ -170,7 +170,7 @@
                 self.gateway.divide_places(&self.service, all, self.allowed(), &self.tried_targets);
             let no_place = match self.choose_for_suspect(&places.eligible, is_resumed, standing) {
                 Ok(target) => {
-                    let near = places.eligible.iter().any(|place| place.candidate.near);
+                    let near = places.eligible.iter().any(|place| place.candidate.is_local);
                     let mut open = places.eligible.into_iter();
                     let found = open.find(|place| place.candidate.target == target);
                     let place = found.ok_or(NoTarget::None)?;
--- a/crates/oliveworks-gateway/src/state.rs
+++ b/crates/oliveworks-gateway/src/state.rs
@@ -13,11 +13,12 @@
 use oliveworks_gateway_core::budget::{Budget, BudgetConfig};
 use oliveworks_gateway_core::configuration::Lookup;
 use oliveworks_gateway_core::crashers::Crashers;
-use oliveworks_gateway_core::demand::Demand;
+use oliveworks_gateway_core::demand::ModelDemand;
 use oliveworks_gateway_core::drains::Drains;
 use oliveworks_gateway_core::election::{Election, ElectionConfig};
 use oliveworks_gateway_core::era::{Era, StoreEra};
 use oliveworks_gateway_core::freshness::Freshness;
+use oliveworks_gateway_core::load_report::ReportIntervals;
 use oliveworks_gateway_core::members::Members;
 use oliveworks_gateway_core::missing::Missing;
 use oliveworks_gateway_core::passing::Passing;
@@ -28,7 +29,6 @@
 use oliveworks_gateway_core::speed::Speeds;
 use oliveworks_gateway_core::suspensions::Suspensions;
 use oliveworks_gateway_core::table::{Assembly, Change, Changes, Table};
-use oliveworks_gateway_core::telling::Pace;
 use oliveworks_gateway_core::versions::Lag;
 use oliveworks_runtime::clock::Clock;
 use oliveworks_runtime::latencies::Latencies;
@@ -150,7 +150,7 @@
     /// Requests that this gateway sent to each group in the current window.
     pub admission: RefCell<Admission>,
     /// Demand per model, and the fraction of requests without a place.
-    pub demand: RefCell<Demand>,
+    pub demand: RefCell<ModelDemand>,
     /// Speeds of replica groups.
     pub speeds: RefCell<Speeds>,
     /// Budget of repeated sends.
@@ -183,7 +183,7 @@
     pub table_parts: RefCell<Assembly>,
     /// Times at which the sums of requests outstanding elsewhere were last sent to each failure
     /// domain.
-    pub elsewhere_reports: RefCell<Pace>,
+    pub elsewhere_reports: RefCell<ReportIntervals>,
     /// Whether the next heartbeat is sent at once.
     pub heartbeat_is_urgent: Cell<bool>,
     /// Requests that pending messages to other gateways be sent at once.
