--- a/crates/oliveworks-gateway-core/src/era.rs
+++ b/crates/oliveworks-gateway-core/src/era.rs
@@ -28,7 +28,7 @@
 
 /// Result of comparing the era of an answer with the known era.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum EraChange {
     /// The era is the known one.
     Known,
     /// The era differs from the known one and replaces it.
@@ -81,14 +81,14 @@
     ///
     /// A lower era is accepted if the call was made after the known era was observed: otherwise a
     /// store that once reported a wrong era would never be read again.
-    pub fn told(&mut self, now: Millis, sent: Millis, era: Era) -> Told {
+    pub fn observe(&mut self, now: Millis, sent: Millis, era: Era) -> EraChange {
         match self.era {
-            Some(known) if known == era => Told::Known,
-            Some(known) if era < known && sent < self.known_since => Told::Late,
+            Some(known) if known == era => EraChange::Known,
+            Some(known) if era < known && sent < self.known_since => EraChange::Late,
             before => {
                 self.era = Some(era);
                 self.known_since = now;
-                Told::New { before }
+                EraChange::New { before }
             }
         }
     }
--- a/crates/oliveworks-gateway-core/src/freshness.rs
+++ b/crates/oliveworks-gateway-core/src/freshness.rs
@@ -34,7 +34,7 @@
     /// Records that another gateway answered a question, sent at `sent`, after holding it back for
     /// `held_ms`: its proof was `age_ms` old at that time, and the configuration in the answer has
     /// been applied.
-    pub fn passed_on(&mut self, sent: Millis, held_ms: u64, age_ms: u64) {
+    pub fn proved_by_peer(&mut self, sent: Millis, held_ms: u64, age_ms: u64) {
         self.prove((sent + held_ms) as i64 - age_ms as i64);
     }
 
@@ -50,7 +50,7 @@
 
     /// Whether keys may be accepted, given the bound after which a revoked key must not be
     /// accepted.
-    pub fn honours_keys(&self, now: Millis, revoke_ms: Option<u64>) -> bool {
+    pub fn accepts_keys(&self, now: Millis, revoke_ms: Option<u64>) -> bool {
         match (revoke_ms, self.age_ms(now)) {
             (_, None) => false,
             (None, Some(_)) => true,
--- a/crates/oliveworks-gateway-core/src/lib.rs
+++ b/crates/oliveworks-gateway-core/src/lib.rs
@@ -9,8 +9,8 @@
 //! |---|---|
 //! | [`configuration`] | the service of a request, and the workspace of its key |
 //! | [`sources`] | which gateways read the store, and which gateway the others ask |
-//! | [`following`] | the read position in a topic of the store, and the source of the next read |
-//! | [`passing`] | replay of the store's recent records to other gateways |
+//! | [`read_cursor`] | the read position in a topic of the store, and the source of the next read |
+//! | [`replay`] | replay of the store's recent records to other gateways |
 //! | [`repeats`] | detection of records that are not new to other gateways |
 //! | [`era`] | the copy of itself that the store answers from |
 //! | [`place`] | places in a topic of the store, and the fence of a claim at a place |
@@ -61,7 +61,6 @@
 pub mod era;
 pub mod events;
 pub mod fan_out;
-pub mod following;
 pub mod freshness;
 pub mod listing;
 pub mod load_report;
@@ -69,12 +68,13 @@
 pub mod members;
 pub mod missing;
 pub mod obstacles;
-pub mod passing;
 pub mod place;
 pub mod planner;
 pub mod quota;
 pub mod rate_limits;
+pub mod read_cursor;
 pub mod repeats;
+pub mod replay;
 pub mod residency;
 pub mod returning;
 pub mod slow_start;
--- a/crates/oliveworks-gateway-core/src/following.rs
+++ b/crates/oliveworks-gateway-core/src/read_cursor.rs
@@ -2,7 +2,7 @@
 
 use crate::era::Era;
 use crate::place::Place;
-use crate::sources::{self, Known, Own, ReadFrom};
+use crate::sources::{self, LocalState, PeerState, ReadFrom};
 
 /// Number of consecutive questions to other gateways before a gateway that has read nothing yet
 /// reads the store.
@@ -10,7 +10,7 @@
 
 /// Reading progress of one gateway in a topic.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Following {
+pub struct ReadCursor {
     place: Option<Place>,
     /// Whether anything was read in this incarnation of the process.
     has_read: bool,
@@ -20,7 +20,7 @@
     from_store: bool,
 }
 
-impl Following {
+impl ReadCursor {
     /// Returns the place up to which everything was read; `None` if all newest records are to be
     /// read.
     pub fn place(&self) -> Option<Place> {
@@ -28,30 +28,30 @@
     }
 
     /// Restarts with a read of all newest records, from the store itself if it answers.
-    pub fn read_anew(&mut self) {
+    pub fn restart(&mut self) {
         self.place = None;
         self.from_store = true;
     }
 
     /// Discards a place of an era other than the store's current one, and returns it.
-    pub fn forget_other_eras(&mut self, era: Era) -> Option<Place> {
+    pub fn discard_other_era(&mut self, era: Era) -> Option<Place> {
         self.place.take_if(|place| place.era != era)
     }
 
     /// Returns the source of the next read; `draw` is a random number.
-    pub fn source(&self, own: Own<'_>, others: &[Known<'_>], draw: u64) -> ReadFrom {
+    pub fn source(&self, own: LocalState<'_>, others: &[PeerState<'_>], draw: u64) -> ReadFrom {
         if self.from_store && own.store_answers {
             return ReadFrom::Store;
         }
         let asks_first = !self.has_read && self.unanswered < MAX_FIRST_QUESTIONS;
-        let first = asks_first.then(|| sources::first_asked(others, draw)).flatten();
-        let next = || sources::read_from(own, others, self.unanswered, draw);
+        let first = asks_first.then(|| sources::first_source(others, draw)).flatten();
+        let next = || sources::next_source(own, others, self.unanswered, draw);
         first.map_or_else(next, ReadFrom::Gateway)
     }
 
     /// Records that the store has returned everything up to a place; `None` means that the store no
     /// longer keeps the requested place.
-    pub fn store_told(&mut self, place: Option<Place>) {
+    pub fn store_answered(&mut self, place: Option<Place>) {
         self.place = place;
         self.has_read |= place.is_some();
         self.from_store &= place.is_none();
@@ -59,14 +59,14 @@
     }
 
     /// Records that another gateway has returned everything up to a place.
-    pub fn gateway_told(&mut self, place: Place) {
+    pub fn gateway_answered(&mut self, place: Place) {
         self.place = Some(place);
         self.has_read = true;
         self.unanswered = 0;
     }
 
     /// Records that a gateway did not answer a question.
-    pub fn gateway_did_not_tell(&mut self) {
+    pub fn gateway_did_not_answer(&mut self) {
         self.unanswered += 1;
     }
 }
--- a/crates/oliveworks-gateway-core/src/passing.rs
+++ b/crates/oliveworks-gateway-core/src/replay.rs
@@ -42,7 +42,7 @@
 
 /// The last records of a topic.
 #[derive(Clone, Debug)]
-pub struct Passing<R> {
+pub struct ReplayBuffer<R> {
     /// Place from which on all records are kept.
     start: Place,
     /// Place of the next record; `None` before the topic was read.
@@ -50,15 +50,15 @@
     steps: VecDeque<Step<R>>,
 }
 
-impl<R> Default for Passing<R> {
-    fn default() -> Passing<R> {
-        Passing { start: Place::new(Era::default(), 0), next: None, steps: VecDeque::new() }
+impl<R> Default for ReplayBuffer<R> {
+    fn default() -> ReplayBuffer<R> {
+        ReplayBuffer { start: Place::new(Era::default(), 0), next: None, steps: VecDeque::new() }
     }
 }
 
 /// Answer to a gateway that asks from a place on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told<R> {
+pub enum ReplayAnswer<R> {
     /// The records from that place on, possibly none, and the next place.
     Records(Vec<R>, Place),
     /// The records from that place on are no longer kept, or the asker holds nothing: the answer is
@@ -70,15 +70,15 @@
     Unread,
 }
 
-impl<R: Clone> Passing<R> {
+impl<R: Clone> ReplayBuffer<R> {
     /// Appends records that follow the ones read before; `next` is the place after them.
-    pub fn followed(&mut self, records: Vec<R>, next: Place) {
+    pub fn append(&mut self, records: Vec<R>, next: Place) {
         let new = |record| Kept { record, is_repeat: false };
-        self.followed_with_repeats(records.into_iter().map(new).collect(), next);
+        self.append_with_repeats(records.into_iter().map(new).collect(), next);
     }
 
-    /// Appends records that may be repeats; otherwise like [`Passing::followed`].
-    pub fn followed_with_repeats(&mut self, records: Vec<Kept<R>>, next: Place) {
+    /// Appends records that may be repeats; otherwise like [`ReplayBuffer::append`].
+    pub fn append_with_repeats(&mut self, records: Vec<Kept<R>>, next: Place) {
         self.next = Some(next);
         if records.is_empty() {
             return;
@@ -98,7 +98,7 @@
     }
 
     /// Restarts after a read of the newest records of all keys, as of a place.
-    pub fn read_anew(&mut self, next: Place) {
+    pub fn restart_at(&mut self, next: Place) {
         self.steps.clear();
         self.start = next;
         self.next = Some(next);
@@ -106,8 +106,8 @@
 
     /// Discards all records: the store was restored from a copy, and the topic is read from the
     /// beginning.
-    pub fn forget(&mut self) {
-        *self = Passing::default();
+    pub fn clear(&mut self) {
+        *self = ReplayBuffer::default();
     }
 
     /// Returns the place after the last record.
@@ -122,27 +122,27 @@
     }
 
     /// Returns the answer to a gateway that holds everything before a place, without repeats.
-    pub fn since(&self, from: Option<Place>) -> Told<R> {
+    pub fn since(&self, from: Option<Place>) -> ReplayAnswer<R> {
         self.answer_since(from, false)
     }
 
     /// Returns the answer to a gateway that holds everything before a place, with the repeats that
     /// are still kept.
-    pub fn since_with_repeats(&self, from: Option<Place>) -> Told<R> {
+    pub fn since_with_repeats(&self, from: Option<Place>) -> ReplayAnswer<R> {
         self.answer_since(from, true)
     }
 
-    fn answer_since(&self, from: Option<Place>, repeats: bool) -> Told<R> {
-        let Some(next) = self.next else { return Told::Unread };
+    fn answer_since(&self, from: Option<Place>, repeats: bool) -> ReplayAnswer<R> {
+        let Some(next) = self.next else { return ReplayAnswer::Unread };
         match from {
-            Some(from) if from > next => Told::Behind,
+            Some(from) if from > next => ReplayAnswer::Behind,
             Some(from) if from >= self.start => {
                 let later = self.steps.iter().filter(|step| step.end > from);
                 let records = later.flat_map(|step| &step.records);
                 let selected = records.filter(|kept| repeats || !kept.is_repeat);
-                Told::Records(selected.map(|kept| kept.record.clone()).collect(), next)
+                ReplayAnswer::Records(selected.map(|kept| kept.record.clone()).collect(), next)
             }
-            _ => Told::Newest(next),
+            _ => ReplayAnswer::Newest(next),
         }
     }
 }
--- a/crates/oliveworks-gateway-core/src/sources.rs
+++ b/crates/oliveworks-gateway-core/src/sources.rs
@@ -21,21 +21,21 @@
 
 /// Another gateway, as this one observes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Known<'a> {
+pub struct PeerState<'a> {
     /// Name of the gateway.
     pub name: &'a str,
     /// Address for questions.
     pub address: SocketAddr,
     /// Whether the gateway belongs to the local failure domain.
-    pub near: bool,
+    pub is_local: bool,
     /// Whether the store answers the gateway.
     pub store_answers: bool,
     /// Whether the gateway reads the store itself.
-    pub reads: bool,
+    pub reads_store: bool,
     /// Whether the gateway has a recent proof that the store holds nothing newer.
-    pub informed: bool,
+    pub has_recent_proof: bool,
     /// Whether the gateway recently failed to answer.
-    pub avoided: bool,
+    pub is_unresponsive: bool,
     /// Era of the store as the gateway observes it, according to its last report.
     pub era: Era,
     /// Newest version of the configuration that the gateway holds.
@@ -44,13 +44,13 @@
 
 /// State of this gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Own<'a> {
+pub struct LocalState<'a> {
     /// Name of this gateway.
     pub name: &'a str,
     /// Whether the store answers this gateway.
     pub store_answers: bool,
     /// Whether this gateway reads the store itself.
-    pub reads: bool,
+    pub reads_store: bool,
     /// Whether a retry is due, to find out if the store answers again.
     pub retry_due: bool,
     /// Era of the store as this gateway observes it.
@@ -72,17 +72,22 @@
 
 /// Returns the source of the next read, after `unanswered` consecutive questions without an answer;
 /// `draw` is a random number.
-pub fn read_from(own: Own<'_>, others: &[Known<'_>], unanswered: u32, draw: u64) -> ReadFrom {
+pub fn next_source(
+    own: LocalState<'_>,
+    others: &[PeerState<'_>],
+    unanswered: u32,
+    draw: u64,
+) -> ReadFrom {
     if !own.store_answers && own.retry_due {
         return ReadFrom::Store;
     }
     if own.store_answers && unanswered >= UNANSWERED_MAX {
         return ReadFrom::Store;
     }
-    let local = || others.iter().filter(|other| other.near);
+    let local = || others.iter().filter(|other| other.is_local);
     let candidates = || local().filter(|other| other.store_answers);
-    let current = candidates().filter(|other| other.reads).min_by_key(|other| other.name);
-    let reader = match own.reads {
+    let current = candidates().filter(|other| other.reads_store).min_by_key(|other| other.name);
+    let reader = match own.reads_store {
         true => current,
         false => current.or_else(|| candidates().min_by_key(|other| other.name)),
     };
@@ -91,7 +96,9 @@
     }
     // A gateway that does not know that the store was restored from a copy has no news for one that
     // does.
-    let answers = |other: &&Known<'_>| other.informed && !other.avoided && other.era >= own.era;
+    let answers = |other: &&PeerState<'_>| {
+        other.has_recent_proof && !other.is_unresponsive && other.era >= own.era
+    };
     let asked = reader
         .filter(answers)
         .or_else(|| pick_random(local().filter(answers), draw))
@@ -102,18 +109,19 @@
 /// Returns the gateway to ask for a gateway that has not read anything yet: one that holds the
 /// newest version. The store may have been restored from a copy that lacks versions known to be in
 /// force.
-pub fn first_asked(others: &[Known<'_>], draw: u64) -> Option<SocketAddr> {
-    let candidates = || others.iter().filter(|other| !other.avoided && other.version.is_some());
+pub fn first_source(others: &[PeerState<'_>], draw: u64) -> Option<SocketAddr> {
+    let candidates =
+        || others.iter().filter(|other| !other.is_unresponsive && other.version.is_some());
     let newest = candidates().map(|other| (other.version, other.era)).max()?;
     let holds_newest = candidates().filter(|other| (other.version, other.era) == newest);
     pick_random(holds_newest, draw).map(|other| other.address)
 }
 
 fn pick_random<'a, 'b: 'a>(
-    all: impl Iterator<Item = &'a Known<'b>>,
+    all: impl Iterator<Item = &'a PeerState<'b>>,
     draw: u64,
-) -> Option<&'a Known<'b>> {
-    let all: Vec<&Known<'_>> = all.collect();
+) -> Option<&'a PeerState<'b>> {
+    let all: Vec<&PeerState<'_>> = all.collect();
     let count = all.len() as u64;
     (count > 0).then(|| all[(draw % count) as usize])
 }
--- a/crates/oliveworks-gateway-core/src/versions.rs
+++ b/crates/oliveworks-gateway-core/src/versions.rs
@@ -51,7 +51,7 @@
 
     /// Whether to ask another gateway for the version that it reports, given the version held here.
     /// A gateway that holds none asks at once.
-    pub fn asks(&mut self, now: Millis, held: Option<u64>, told: Option<u64>) -> bool {
+    pub fn should_ask(&mut self, now: Millis, held: Option<u64>, told: Option<u64>) -> bool {
         let behind_ms = self.note(now, held < told);
         behind_ms.is_some_and(|behind_ms| held.is_none() || behind_ms >= CATCH_UP_MS)
     }
--- a/crates/oliveworks-gateway-core/tests/decisions.rs
+++ b/crates/oliveworks-gateway-core/tests/decisions.rs
@@ -26,7 +26,7 @@
     for (sent, held) in proofs {
         freshness.proved(*sent, *held);
     }
-    assert_eq!(freshness.honours_keys(now, bound), expected);
+    assert_eq!(freshness.accepts_keys(now, bound), expected);
 }
 
 const BUDGET: BudgetConfig = BudgetConfig { ratio: 0.2, extra: 160.0, window_ms: 10_000 };
@@ -274,9 +274,9 @@
 #[test]
 fn a_proof_from_before_the_process_began_is_no_younger_for_it() {
     let mut freshness = Freshness::default();
-    freshness.passed_on(40, 0, 4_600);
+    freshness.proved_by_peer(40, 0, 4_600);
     assert_eq!(freshness.age_ms(200), Some(4_760));
-    assert!(!freshness.honours_keys(200, Some(3_000)));
+    assert!(!freshness.accepts_keys(200, Some(3_000)));
 }
 
 #[test]
--- a/crates/oliveworks-gateway-core/tests/drains.rs
+++ b/crates/oliveworks-gateway-core/tests/drains.rs
@@ -4,8 +4,8 @@
 
 use oliveworks_gateway_core::drains::{Drains, Ended};
 use oliveworks_gateway_core::era::Era;
-use oliveworks_gateway_core::passing::Passing;
 use oliveworks_gateway_core::place::Place;
+use oliveworks_gateway_core::replay::ReplayBuffer;
 
 /// A place in a topic of a store that names no era.
 fn place(offset: u64) -> Place {
@@ -59,12 +59,12 @@
 /// has not heard of.
 #[test]
 fn newest_records_of_a_gateway_that_is_behind_are_told_apart() {
-    let mut passing = Passing::default();
+    let mut passing = ReplayBuffer::default();
     assert!(!passing.is_ahead_of(place(0)), "nothing was read");
-    passing.followed(vec!["drain"], place(8));
+    passing.append(vec!["drain"], place(8));
     assert!(passing.is_ahead_of(place(7)));
     assert!(!passing.is_ahead_of(place(8)));
-    passing.read_anew(place(9));
+    passing.restart_at(place(9));
     assert!(!passing.is_ahead_of(place(9)));
 }
 
--- a/crates/oliveworks-gateway-core/tests/era.rs
+++ b/crates/oliveworks-gateway-core/tests/era.rs
@@ -1,6 +1,6 @@
 //! Which copy of itself the store answers from.
 
-use oliveworks_gateway_core::era::{Era, StoreEra, Told};
+use oliveworks_gateway_core::era::{Era, EraChange, StoreEra};
 use test_case::test_case;
 
 /// When the era 3 became known.
@@ -8,7 +8,7 @@
 
 fn in_era_3() -> StoreEra {
     let mut era = StoreEra::default();
-    era.told(KNOWN_SINCE, 990, Era(3));
+    era.observe(KNOWN_SINCE, 990, Era(3));
     era
 }
 
@@ -16,17 +16,17 @@
 fn the_first_era_told_is_news() {
     let mut era = StoreEra::default();
     assert_eq!(era.known_since(), None);
-    assert_eq!(era.told(10, 5, Era(0)), Told::New { before: None });
+    assert_eq!(era.observe(10, 5, Era(0)), EraChange::New { before: None });
     assert_eq!((era.era(), era.known_since()), (Era(0), Some(10)));
 }
 
-#[test_case(2_000, 1_990, Era(3), Told::Known, Era(3); "the same")]
-#[test_case(2_000, 1_990, Era(4), Told::New { before: Some(Era(3)) }, Era(4); "the next")]
-#[test_case(2_000, 1_990, Era(40), Told::New { before: Some(Era(3)) }, Era(40); "one that leaps")]
-#[test_case(2_000, 900, Era(2), Told::Late, Era(3); "a former one by an answer that was held back")]
-#[test_case(2_000, 1_990, Era(2), Told::New { before: Some(Era(3)) }, Era(2); "a lower one of a new call")]
-fn an_era_is_told(now: u64, sent: u64, told: Era, expected: Told, known: Era) {
+#[test_case(2_000, 1_990, Era(3), EraChange::Known, Era(3); "the same")]
+#[test_case(2_000, 1_990, Era(4), EraChange::New { before: Some(Era(3)) }, Era(4); "the next")]
+#[test_case(2_000, 1_990, Era(40), EraChange::New { before: Some(Era(3)) }, Era(40); "one that leaps")]
+#[test_case(2_000, 900, Era(2), EraChange::Late, Era(3); "a former one by an answer that was held back")]
+#[test_case(2_000, 1_990, Era(2), EraChange::New { before: Some(Era(3)) }, Era(2); "a lower one of a new call")]
+fn an_era_is_told(now: u64, sent: u64, told: Era, expected: EraChange, known: Era) {
     let mut era = in_era_3();
-    assert_eq!(era.told(now, sent, told), expected);
+    assert_eq!(era.observe(now, sent, told), expected);
     assert_eq!(era.era(), known);
 }
--- a/crates/oliveworks-gateway-core/tests/missing.rs
+++ b/crates/oliveworks-gateway-core/tests/missing.rs
@@ -36,7 +36,7 @@
 
 fn era(known_since: u64) -> StoreEra {
     let mut era = StoreEra::default();
-    era.told(known_since, known_since, Era(2));
+    era.observe(known_since, known_since, Era(2));
     era
 }
 
--- a/crates/oliveworks-gateway-core/tests/passing.rs
+++ b/crates/oliveworks-gateway-core/tests/replay.rs
@@ -6,9 +6,11 @@
 
 use oliveworks_gateway_core::era::Era;
 use oliveworks_gateway_core::freshness::Freshness;
-use oliveworks_gateway_core::passing::{Kept, Passing, Told};
 use oliveworks_gateway_core::place::Place;
-use oliveworks_gateway_core::sources::{Known, Own, ReadFrom, first_asked, read_from};
+use oliveworks_gateway_core::replay::{Kept, ReplayAnswer, ReplayBuffer};
+use oliveworks_gateway_core::sources::{
+    LocalState, PeerState, ReadFrom, first_source, next_source,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use test_case::test_case;
@@ -44,7 +46,7 @@
     version: u64,
     from: Option<u64>,
     freshness: Freshness,
-    passing: Passing<u64>,
+    passing: ReplayBuffer<u64>,
     answer: Option<OnTheWay>,
     store_answers: bool,
     /// When a call was sent that the store answered.
@@ -140,8 +142,8 @@
         let newest = records.iter().copied().max().unwrap_or(0);
         gateway.version = gateway.version.max(newest);
         match gateway.from {
-            None => gateway.passing.read_anew(place(next)),
-            Some(_) => gateway.passing.followed(records, place(next)),
+            None => gateway.passing.restart_at(place(next)),
+            Some(_) => gateway.passing.append(records, place(next)),
         }
         gateway.from = Some(gateway.from.unwrap_or(0).max(next));
         match (answer.age_ms, self.variant) {
@@ -149,9 +151,11 @@
                 gateway.store_told_at = Some(answer.sent);
                 gateway.freshness.proved(answer.sent, answer.held_ms);
             }
-            (Some(age_ms), Variant::FromArrival) => gateway.freshness.passed_on(now, 0, age_ms),
+            (Some(age_ms), Variant::FromArrival) => {
+                gateway.freshness.proved_by_peer(now, 0, age_ms)
+            }
             (Some(age_ms), _) => {
-                gateway.freshness.passed_on(answer.sent, answer.held_ms, age_ms);
+                gateway.freshness.proved_by_peer(answer.sent, answer.held_ms, age_ms);
             }
         }
     }
@@ -161,31 +165,31 @@
             return;
         }
         let names: Vec<String> = (0..self.gateways.len()).map(|n| format!("g{n}")).collect();
-        let others: Vec<Known<'_>> = (0..self.gateways.len())
+        let others: Vec<PeerState<'_>> = (0..self.gateways.len())
             .filter(|other| *other != index)
-            .map(|other| Known {
+            .map(|other| PeerState {
                 name: &names[other],
                 address: address(other),
-                near: other % 2 == index % 2,
+                is_local: other % 2 == index % 2,
                 store_answers: self.gateways[other].store_answers,
-                reads: self.gateways[other].reads(self.now),
-                informed: self.gateways[other]
+                reads_store: self.gateways[other].reads(self.now),
+                has_recent_proof: self.gateways[other]
                     .freshness
                     .age_ms(self.now)
                     .is_some_and(|age_ms| age_ms < 2_000),
-                avoided: self.rng.random_bool(0.1),
+                is_unresponsive: self.rng.random_bool(0.1),
                 era: Era::default(),
                 version: None,
             })
             .collect();
-        let own = Own {
+        let own = LocalState {
             name: &names[index],
             store_answers: self.gateways[index].store_answers,
-            reads: self.gateways[index].reads(self.now),
+            reads_store: self.gateways[index].reads(self.now),
             retry_due: self.now >= self.gateways[index].tried_at + 1_500,
             era: Era::default(),
         };
-        match read_from(own, &others, 0, self.rng.random()) {
+        match next_source(own, &others, 0, self.rng.random()) {
             ReadFrom::Store => self.ask_store(index),
             ReadFrom::Gateway(at) => {
                 let other = (0..self.gateways.len()).find(|other| address(*other) == at);
@@ -216,9 +220,9 @@
         let asked = &self.gateways[other];
         let age_ms = asked.freshness.age_ms(self.now);
         let told = match asked.passing.since(self.gateways[index].from.map(place)) {
-            Told::Records(records, next) => Some((records, next.offset)),
-            Told::Newest(next) => Some((vec![asked.version], next.offset)),
-            Told::Behind | Told::Unread => None,
+            ReplayAnswer::Records(records, next) => Some((records, next.offset)),
+            ReplayAnswer::Newest(next) => Some((vec![asked.version], next.offset)),
+            ReplayAnswer::Behind | ReplayAnswer::Unread => None,
         };
         let told = told.filter(|_| !cut && age_ms.is_some());
         let lost = self.variant == Variant::WithoutRecords;
@@ -231,7 +235,7 @@
     /// Where keys are honoured, every version is in force that was accepted a bound ago.
     fn check(&mut self, index: usize) {
         let gateway = &self.gateways[index];
-        if !gateway.freshness.honours_keys(self.now, Some(REVOKE_MS)) {
+        if !gateway.freshness.accepts_keys(self.now, Some(REVOKE_MS)) {
             return;
         }
         self.honoured += 1;
@@ -275,22 +279,25 @@
 
 #[test]
 fn whoever_asks_gets_what_it_lacks() {
-    let mut passing = Passing::default();
-    assert_eq!(passing.since(None), Told::Unread);
-    passing.read_anew(place(10));
-    passing.followed(vec!['a', 'b'], place(12));
-    passing.followed(vec![], place(12));
-    passing.followed(vec!['c'], place(13));
-    assert_eq!(passing.since(None), Told::Newest(place(13)));
-    assert_eq!(passing.since(Some(place(9))), Told::Newest(place(13)));
-    assert_eq!(passing.since(Some(place(10))), Told::Records(vec!['a', 'b', 'c'], place(13)));
-    assert_eq!(passing.since(Some(place(12))), Told::Records(vec!['c'], place(13)));
-    assert_eq!(passing.since(Some(place(13))), Told::Records(vec![], place(13)));
-    assert_eq!(passing.since(Some(place(14))), Told::Behind);
-    (0..100).for_each(|n| passing.followed(vec!['d'], place(14 + n)));
+    let mut passing = ReplayBuffer::default();
+    assert_eq!(passing.since(None), ReplayAnswer::Unread);
+    passing.restart_at(place(10));
+    passing.append(vec!['a', 'b'], place(12));
+    passing.append(vec![], place(12));
+    passing.append(vec!['c'], place(13));
+    assert_eq!(passing.since(None), ReplayAnswer::Newest(place(13)));
+    assert_eq!(passing.since(Some(place(9))), ReplayAnswer::Newest(place(13)));
+    assert_eq!(
+        passing.since(Some(place(10))),
+        ReplayAnswer::Records(vec!['a', 'b', 'c'], place(13))
+    );
+    assert_eq!(passing.since(Some(place(12))), ReplayAnswer::Records(vec!['c'], place(13)));
+    assert_eq!(passing.since(Some(place(13))), ReplayAnswer::Records(vec![], place(13)));
+    assert_eq!(passing.since(Some(place(14))), ReplayAnswer::Behind);
+    (0..100).for_each(|n| passing.append(vec!['d'], place(14 + n)));
     assert_eq!(
         passing.since(Some(place(13))),
-        Told::Newest(place(113)),
+        ReplayAnswer::Newest(place(113)),
         "what is long ago is told anew"
     );
 }
@@ -299,43 +306,43 @@
 #[test]
 fn repeats_are_told_to_those_who_ask_for_them() {
     let kept = |record, is_repeat| Kept { record, is_repeat };
-    let mut passing = Passing::default();
-    passing.read_anew(place(10));
-    passing.followed_with_repeats(vec![kept('a', true), kept('b', false)], place(12));
-    passing.followed_with_repeats(vec![kept('a', true)], place(13));
-    assert_eq!(passing.since(Some(place(10))), Told::Records(vec!['b'], place(13)));
-    assert_eq!(passing.since(Some(place(12))), Told::Records(vec![], place(13)));
+    let mut passing = ReplayBuffer::default();
+    passing.restart_at(place(10));
+    passing.append_with_repeats(vec![kept('a', true), kept('b', false)], place(12));
+    passing.append_with_repeats(vec![kept('a', true)], place(13));
+    assert_eq!(passing.since(Some(place(10))), ReplayAnswer::Records(vec!['b'], place(13)));
+    assert_eq!(passing.since(Some(place(12))), ReplayAnswer::Records(vec![], place(13)));
     assert_eq!(
         passing.since_with_repeats(Some(place(10))),
-        Told::Records(vec!['a', 'b', 'a'], place(13))
+        ReplayAnswer::Records(vec!['a', 'b', 'a'], place(13))
     );
-    (0..5).for_each(|n| passing.followed_with_repeats(vec![kept('b', true)], place(14 + n)));
+    (0..5).for_each(|n| passing.append_with_repeats(vec![kept('b', true)], place(14 + n)));
     let late = passing.since_with_repeats(Some(place(10)));
     assert_eq!(
         late,
-        Told::Records(vec!['b'; 5], place(18)),
+        ReplayAnswer::Records(vec!['b'; 5], place(18)),
         "old repeats are forgotten, news is not"
     );
 }
 
-fn known(name: &str, near: bool, store_answers: bool) -> Known<'_> {
+fn known(name: &str, near: bool, store_answers: bool) -> PeerState<'_> {
     let number = name.bytes().last().unwrap_or_default();
     let address = address(number.into());
-    Known {
+    PeerState {
         name,
         address,
-        near,
+        is_local: near,
         store_answers,
-        reads: false,
-        informed: true,
-        avoided: false,
+        reads_store: false,
+        has_recent_proof: true,
+        is_unresponsive: false,
         era: Era::default(),
         version: None,
     }
 }
 
-fn own(name: &str, store_answers: bool) -> Own<'_> {
-    Own { name, store_answers, reads: false, retry_due: false, era: Era::default() }
+fn own(name: &str, store_answers: bool) -> LocalState<'_> {
+    LocalState { name, store_answers, reads_store: false, retry_due: false, era: Era::default() }
 }
 
 #[test_case("a", true, ReadFrom::Store; "the first by name reads")]
@@ -349,96 +356,97 @@
         known("a4", false, true),
     ];
     let this = own(name, store_answers);
-    assert_eq!(read_from(this, &others, 0, 0), expected);
-    let alone = read_from(own(name, store_answers), &[], 0, 0);
+    assert_eq!(next_source(this, &others, 0, 0), expected);
+    let alone = next_source(own(name, store_answers), &[], 0, 0);
     assert_eq!(alone, ReadFrom::Store, "whoever knows nobody reads the store");
 }
 
 /// The reader does not answer: others that the store answers are asked, here or elsewhere.
 #[test]
 fn who_gets_no_answer_asks_another() {
-    let silent = Known { avoided: true, ..known("b1", true, true) };
+    let silent = PeerState { is_unresponsive: true, ..known("b1", true, true) };
     let this = own("c", true);
-    let asked = read_from(this, &[silent.clone(), known("d4", false, true)], 0, 0);
+    let asked = next_source(this, &[silent.clone(), known("d4", false, true)], 0, 0);
     assert_eq!(asked, ReadFrom::Gateway(address(b'4'.into())));
-    assert_eq!(read_from(this, &[silent], 0, 0), ReadFrom::Store);
+    assert_eq!(next_source(this, &[silent], 0, 0), ReadFrom::Store);
 }
 
 /// A store that is silent leaves its reader without an answer for seconds: the others ask whoever knows
 /// more, and the next by name takes over once the reader says that the store does not answer it.
 #[test]
 fn a_reader_whose_proof_is_old_is_not_asked() {
-    let old = Known { informed: false, ..known("b1", true, true) };
+    let old = PeerState { has_recent_proof: false, ..known("b1", true, true) };
     let this = own("c", true);
     let near =
-        read_from(this, &[old.clone(), known("d2", true, true), known("x3", false, true)], 0, 9);
+        next_source(this, &[old.clone(), known("d2", true, true), known("x3", false, true)], 0, 9);
     assert_eq!(near, ReadFrom::Gateway(address(b'2'.into())));
-    let far = read_from(this, &[old.clone(), known("x3", false, true)], 0, 9);
+    let far = next_source(this, &[old.clone(), known("x3", false, true)], 0, 9);
     assert_eq!(far, ReadFrom::Gateway(address(b'3'.into())));
-    let alone = read_from(this, std::slice::from_ref(&old), 0, 9);
+    let alone = next_source(this, std::slice::from_ref(&old), 0, 9);
     assert_eq!(alone, ReadFrom::Store, "nobody knows more");
-    let turned_away = Known { store_answers: false, ..old };
-    let next = read_from(this, &[turned_away, known("d2", true, true)], 0, 9);
+    let turned_away = PeerState { store_answers: false, ..old };
+    let next = next_source(this, &[turned_away, known("d2", true, true)], 0, 9);
     assert_eq!(next, ReadFrom::Store, "it is the first that the store answers");
 }
 
 /// The readers of a domain are turned away, as is everybody there: another domain helps.
 #[test]
 fn a_domain_that_the_store_turns_away_asks_another() {
-    let turned_away = |name| Known { informed: false, ..known(name, true, false) };
+    let turned_away = |name| PeerState { has_recent_proof: false, ..known(name, true, false) };
     let others = [turned_away("a1"), turned_away("b2"), known("z3", false, true)];
     let first = own("a0", false);
-    assert_eq!(read_from(first, &others, 0, 5), ReadFrom::Gateway(address(b'3'.into())));
-    let due = Own { retry_due: true, ..first };
-    assert_eq!(read_from(due, &others, 0, 5), ReadFrom::Store, "now and then it tries the store");
-    let last = Own { name: "c9", ..first };
-    assert_eq!(read_from(last, &others, 0, 5), ReadFrom::Gateway(address(b'3'.into())));
+    assert_eq!(next_source(first, &others, 0, 5), ReadFrom::Gateway(address(b'3'.into())));
+    let due = LocalState { retry_due: true, ..first };
+    assert_eq!(next_source(due, &others, 0, 5), ReadFrom::Store, "now and then it tries the store");
+    let last = LocalState { name: "c9", ..first };
+    assert_eq!(next_source(last, &others, 0, 5), ReadFrom::Gateway(address(b'3'.into())));
 }
 
 /// It has not heard that the store came back from a copy, and had nothing to tell to one that has: whoever asked it waited in vain,
 /// and then asked the next one.
 #[test]
 fn a_gateway_that_knows_an_earlier_era_is_not_asked() {
-    let this = Own { era: Era(2), ..own("c", true) };
-    let behind = Known { era: Era(1), ..known("b1", true, true) };
-    let heard = Known { era: Era(2), ..known("d4", false, true) };
-    let asked = read_from(this, &[behind.clone(), heard], 0, 0);
+    let this = LocalState { era: Era(2), ..own("c", true) };
+    let behind = PeerState { era: Era(1), ..known("b1", true, true) };
+    let heard = PeerState { era: Era(2), ..known("d4", false, true) };
+    let asked = next_source(this, &[behind.clone(), heard], 0, 0);
     assert_eq!(asked, ReadFrom::Gateway(address(b'4'.into())));
-    assert_eq!(read_from(this, &[behind], 0, 0), ReadFrom::Store);
+    assert_eq!(next_source(this, &[behind], 0, 0), ReadFrom::Store);
 }
 
 /// Each question in vain takes half a second, and there is always another gateway to ask.
 #[test]
 fn after_questions_in_vain_the_store_is_read() {
     let others = [known("b1", true, true), known("b2", true, true), known("b3", true, true)];
-    assert_eq!(read_from(own("c", true), &others, 2, 0), ReadFrom::Store);
-    assert_ne!(read_from(own("c", false), &others, 2, 0), ReadFrom::Store, "it is turned away");
+    assert_eq!(next_source(own("c", true), &others, 2, 0), ReadFrom::Store);
+    assert_ne!(next_source(own("c", false), &others, 2, 0), ReadFrom::Store, "it is turned away");
 }
 
 /// It read the store, which had come back from a copy that lacked the newest version.
 #[test]
 fn a_gateway_that_starts_asks_one_that_holds_the_newest_version() {
-    let holds = |name, version, era| Known { version, era: Era(era), ..known(name, true, true) };
+    let holds =
+        |name, version, era| PeerState { version, era: Era(era), ..known(name, true, true) };
     let others = [holds("b1", None, 2), holds("b2", Some(4), 2), holds("b3", Some(7), 1)];
-    assert_eq!(first_asked(&others, 0), Some(address(b'3'.into())));
-    assert_eq!(first_asked(&others[..1], 0), None);
-    let avoided = Known { avoided: true, ..others[2].clone() };
-    assert_eq!(first_asked(&[avoided, others[1].clone()], 0), Some(address(b'2'.into())));
+    assert_eq!(first_source(&others, 0), Some(address(b'3'.into())));
+    assert_eq!(first_source(&others[..1], 0), None);
+    let avoided = PeerState { is_unresponsive: true, ..others[2].clone() };
+    assert_eq!(first_source(&[avoided, others[1].clone()], 0), Some(address(b'2'.into())));
 }
 
 /// The first by name was taken for the reader before it had read anything, and nobody read the store meanwhile.
 #[test]
 fn the_reader_reads_on_until_the_first_by_name_has_read_the_store() {
-    let reader = Own { reads: true, ..own("b", true) };
+    let reader = LocalState { reads_store: true, ..own("b", true) };
     let starts = known("a1", true, true);
     assert_eq!(
-        read_from(reader, &[starts.clone(), known("c2", true, true)], 0, 0),
+        next_source(reader, &[starts.clone(), known("c2", true, true)], 0, 0),
         ReadFrom::Store
     );
-    let has_read = Known { reads: true, ..starts.clone() };
-    let asked = read_from(reader, &[has_read, known("c2", true, true)], 0, 0);
+    let has_read = PeerState { reads_store: true, ..starts.clone() };
+    let asked = next_source(reader, &[has_read, known("c2", true, true)], 0, 0);
     assert_eq!(asked, ReadFrom::Gateway(address(b'1'.into())));
-    let others = [starts, Known { reads: true, ..known("b2", true, true) }];
-    assert_eq!(read_from(own("c", true), &others, 0, 0), ReadFrom::Gateway(address(b'2'.into())));
-    assert_eq!(read_from(own("a0", true), &others, 0, 0), ReadFrom::Store, "it comes first");
+    let others = [starts, PeerState { reads_store: true, ..known("b2", true, true) }];
+    assert_eq!(next_source(own("c", true), &others, 0, 0), ReadFrom::Gateway(address(b'2'.into())));
+    assert_eq!(next_source(own("a0", true), &others, 0, 0), ReadFrom::Store, "it comes first");
 }
--- a/crates/oliveworks-gateway-core/tests/restored_store/gateway.rs
+++ b/crates/oliveworks-gateway-core/tests/restored_store/gateway.rs
@@ -7,13 +7,13 @@
 use oliveworks_gateway_core::backend_servers::{BackendServer, Born, Directory, Holding};
 use oliveworks_gateway_core::drains::Drains;
 use oliveworks_gateway_core::election::{Claim, Election, ElectionConfig, Heartbeat};
-use oliveworks_gateway_core::era::{Era, StoreEra, Told as EraTold};
-use oliveworks_gateway_core::following::Following;
+use oliveworks_gateway_core::era::{Era, EraChange, StoreEra};
 use oliveworks_gateway_core::freshness::Freshness;
 use oliveworks_gateway_core::missing::{Look, Missing};
-use oliveworks_gateway_core::passing::Passing;
 use oliveworks_gateway_core::place::Place;
-use oliveworks_gateway_core::sources::{Known, Own};
+use oliveworks_gateway_core::read_cursor::ReadCursor;
+use oliveworks_gateway_core::replay::ReplayBuffer;
+use oliveworks_gateway_core::sources::{LocalState, PeerState};
 use oliveworks_gateway_core::versions::Lag;
 
 use crate::platform::{HostRecord, Wish};
@@ -79,8 +79,8 @@
     pub index: usize,
     pub started_at: u64,
     pub era: StoreEra,
-    pub following: BTreeMap<Topic, Following>,
-    pub passing: BTreeMap<Topic, Passing<Record>>,
+    pub following: BTreeMap<Topic, ReadCursor>,
+    pub passing: BTreeMap<Topic, ReplayBuffer<Record>>,
     pub version: Option<u64>,
     pub stored: Option<u64>,
     store_lag: Lag,
@@ -134,8 +134,8 @@
             index,
             started_at: now,
             era: StoreEra::default(),
-            following: TOPICS.into_iter().map(|topic| (topic, Following::default())).collect(),
-            passing: TOPICS.into_iter().map(|topic| (topic, Passing::default())).collect(),
+            following: TOPICS.into_iter().map(|topic| (topic, ReadCursor::default())).collect(),
+            passing: TOPICS.into_iter().map(|topic| (topic, ReplayBuffer::default())).collect(),
             version: None,
             stored: None,
             store_lag: Lag::default(),
@@ -167,26 +167,26 @@
         !starts_alone && now < self.started_at + HEAR_OTHERS_MS && self.newest_told(now).is_none()
     }
 
-    pub fn own(&self, now: u64) -> Own<'static> {
-        Own {
+    pub fn own(&self, now: u64) -> LocalState<'static> {
+        LocalState {
             name: name(self.index),
             store_answers: self.store_answers,
-            reads: self.reads(now),
+            reads_store: self.reads(now),
             retry_due: now >= self.tried_at + STORE_AGAIN_MS,
             era: self.era.era(),
         }
     }
 
-    pub fn known(&self, now: u64) -> Vec<Known<'static>> {
+    pub fn known(&self, now: u64) -> Vec<PeerState<'static>> {
         let heard = self.peers.iter().filter(|(_, peer)| now < peer.heard_at + HEARD_MS);
-        let known = heard.map(|(index, peer)| Known {
+        let known = heard.map(|(index, peer)| PeerState {
             name: name(*index),
             address: address(*index),
-            near: peer.near,
+            is_local: peer.near,
             store_answers: peer.store_answers,
-            reads: peer.reads,
-            informed: peer.proved_at.is_some_and(|at| now < at + INFORMED_MS),
-            avoided: self.avoided.get(index).is_some_and(|at| now < at + AVOID_MS),
+            reads_store: peer.reads,
+            has_recent_proof: peer.proved_at.is_some_and(|at| now < at + INFORMED_MS),
+            is_unresponsive: self.avoided.get(index).is_some_and(|at| now < at + AVOID_MS),
             era: peer.era,
             version: peer.version.filter(|_| self.variant != Variant::StartsFromStore),
         });
@@ -196,7 +196,7 @@
     /// A gateway that holds the newest version told, if it is time to ask it beside the log.
     pub fn asks_beside(&mut self, now: u64, draw: usize) -> Option<usize> {
         let told = self.newest_told(now);
-        let is_due = self.own_lag.asks(now, self.version, told);
+        let is_due = self.own_lag.should_ask(now, self.version, told);
         let holds = |peer: &Peer| now < peer.heard_at + HEARD_MS && peer.version == told;
         let holders: Vec<usize> =
             self.peers.iter().filter(|(_, peer)| holds(peer)).map(|(index, _)| *index).collect();
@@ -207,13 +207,13 @@
     /// The era of an answer of the store; nothing if the answer is not to be used.
     pub fn hear_era(&mut self, now: u64, sent: u64, era: u64) -> Option<Era> {
         let era = if self.variant == Variant::OffsetsWithoutEras { Era(0) } else { Era(era) };
-        match self.era.told(now, sent, era) {
-            EraTold::Known => {}
-            EraTold::New { .. } => {
+        match self.era.observe(now, sent, era) {
+            EraChange::Known => {}
+            EraChange::New { .. } => {
                 self.stored = None;
-                self.passing.values_mut().for_each(Passing::forget);
+                self.passing.values_mut().for_each(ReplayBuffer::clear);
             }
-            EraTold::Late => return None,
+            EraChange::Late => return None,
         }
         Some(era)
     }
@@ -239,20 +239,20 @@
         self.election.store_answered(now);
     }
 
-    pub fn gateway_did_not_tell(&mut self, now: u64, topic: Topic, asked: usize) {
-        self.following_of(topic).gateway_did_not_tell();
+    pub fn gateway_did_not_answer(&mut self, now: u64, topic: Topic, asked: usize) {
+        self.following_of(topic).gateway_did_not_answer();
         self.avoided.insert(asked, now);
     }
 
-    pub fn following_of(&mut self, topic: Topic) -> &mut Following {
+    pub fn following_of(&mut self, topic: Topic) -> &mut ReadCursor {
         self.following.get_mut(&topic).expect("all topics")
     }
 
-    fn passing_of(&mut self, topic: Topic) -> &mut Passing<Record> {
+    fn passing_of(&mut self, topic: Topic) -> &mut ReplayBuffer<Record> {
         self.passing.get_mut(&topic).expect("all topics")
     }
 
-    /// Takes in what a step brought; the place after it is known to the topic's `Following`.
+    /// Takes in what a step brought; the place after it is known to the topic's `ReadCursor`.
     pub fn take(
         &mut self,
         now: u64,
@@ -264,8 +264,8 @@
     ) {
         let Some(next) = self.following[&topic].place() else { return };
         match newest {
-            true => self.passing_of(topic).read_anew(next),
-            false => self.passing_of(topic).followed(records.clone(), next),
+            true => self.passing_of(topic).restart_at(next),
+            false => self.passing_of(topic).append(records.clone(), next),
         }
         match topic {
             Topic::Wishes => self.take_wishes(now, sent, records, newest, told_by),
@@ -308,7 +308,7 @@
         match told_by {
             ToldBy::Store => self.freshness.proved(sent, 0),
             ToldBy::Gateway { age_ms: Some(age_ms), .. } => {
-                self.freshness.passed_on(sent, 0, age_ms);
+                self.freshness.proved_by_peer(sent, 0, age_ms);
             }
             ToldBy::Gateway { age_ms: None, .. } => {}
         }
@@ -348,7 +348,7 @@
     /// Reads drains anew once what the store lacked has been written again.
     pub fn settle_drains(&mut self, now: u64) {
         if self.drains.any_unconfirmed() && !self.era.may_lack_records(now) && self.store_answers {
-            self.following_of(Topic::Wishes).read_anew();
+            self.following_of(Topic::Wishes).restart();
         }
     }
 
--- a/crates/oliveworks-gateway-core/tests/restored_store/judge.rs
+++ b/crates/oliveworks-gateway-core/tests/restored_store/judge.rs
@@ -70,7 +70,7 @@
             since.entry(*version).or_insert(now);
         }
         let since = since.get(&due).copied();
-        if !seat.gateway.freshness.honours_keys(now, Some(REVOKE_MS)) {
+        if !seat.gateway.freshness.accepts_keys(now, Some(REVOKE_MS)) {
             return;
         }
         let version = seat.gateway.version.unwrap_or(0);
--- a/crates/oliveworks-gateway-core/tests/restored_store/world.rs
+++ b/crates/oliveworks-gateway-core/tests/restored_store/world.rs
@@ -4,8 +4,8 @@
 
 use oliveworks_gateway_core::election::{Claim, Heartbeat};
 use oliveworks_gateway_core::era::Era;
-use oliveworks_gateway_core::passing::Told as Passed;
 use oliveworks_gateway_core::place::Place;
+use oliveworks_gateway_core::replay::ReplayAnswer as Passed;
 use oliveworks_gateway_core::sources::ReadFrom;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -268,7 +268,7 @@
         let arrives = now + self.delay();
         let gateway = &mut self.seats[index].gateway;
         let era = gateway.era.era();
-        gateway.following_of(topic).forget_other_eras(era);
+        gateway.following_of(topic).discard_other_era(era);
         let (own, known) = (gateway.own(now), gateway.known(now));
         let to = gateway.following[&topic].source(own, &known, draw);
         let from = gateway.following[&topic].place();
@@ -395,7 +395,7 @@
                 ReadFrom::Store => gateway.store_failed(now),
                 ReadFrom::Gateway(at) => {
                     let other = (0..GATEWAYS).find(|other| address(*other) == at);
-                    gateway.gateway_did_not_tell(now, topic, other.expect("a gateway"));
+                    gateway.gateway_did_not_answer(now, topic, other.expect("a gateway"));
                 }
             }
         }
@@ -420,9 +420,9 @@
             return true;
         }
         match answer.told {
-            Told::Expired => gateway.following_of(topic).store_told(None),
+            Told::Expired => gateway.following_of(topic).store_answered(None),
             Told::Records { records, newest, next } => {
-                gateway.following_of(topic).store_told(Some(Place::new(era, next)));
+                gateway.following_of(topic).store_answered(Some(Place::new(era, next)));
                 gateway.take(now, sent, topic, records, newest, answer.by);
             }
         }
@@ -441,7 +441,7 @@
         if era > gateway.era.era() {
             gateway.hear_era(now, sent, answer.era);
         }
-        gateway.following_of(topic).gateway_told(place);
+        gateway.following_of(topic).gateway_answered(place);
         gateway.take(now, sent, topic, records, newest, answer.by);
         true
     }
--- a/crates/oliveworks-gateway-core/tests/versions.rs
+++ b/crates/oliveworks-gateway-core/tests/versions.rs
@@ -33,15 +33,15 @@
 #[test]
 fn a_gateway_asks_for_a_version_that_does_not_reach_it() {
     let mut lag = Lag::default();
-    assert!(!lag.asks(1_000, Some(4), Some(7)), "it may be on its way");
-    assert!(lag.asks(1_600, Some(4), Some(7)));
-    assert!(!lag.asks(1_700, Some(7), Some(7)));
-    assert!(!lag.asks(1_800, Some(7), None));
+    assert!(!lag.should_ask(1_000, Some(4), Some(7)), "it may be on its way");
+    assert!(lag.should_ask(1_600, Some(4), Some(7)));
+    assert!(!lag.should_ask(1_700, Some(7), Some(7)));
+    assert!(!lag.should_ask(1_800, Some(7), None));
 }
 
 #[test]
 fn a_gateway_that_holds_none_asks_at_once() {
-    assert!(Lag::default().asks(1_000, None, Some(7)));
+    assert!(Lag::default().should_ask(1_000, None, Some(7)));
 }
 
 /// It was paused or cut off while the others learned of versions that the copy lacks.
--- a/crates/oliveworks-gateway/src/eras.rs
+++ b/crates/oliveworks-gateway/src/eras.rs
@@ -5,7 +5,7 @@
 
 use log::warn;
 use oliveworks_gateway_core::Millis;
-use oliveworks_gateway_core::era::{Era, Told};
+use oliveworks_gateway_core::era::{Era, EraChange};
 
 use crate::dialect::{NamedEra, TOPICS};
 use crate::events::Event;
@@ -28,16 +28,16 @@
 
     /// Processes the era named in the store's answer to a call sent at `sent`, and returns its
     /// meaning.
-    pub fn record_store_era(&self, sent: Millis, named: &NamedEra, call: &str) -> Told {
+    pub fn record_store_era(&self, sent: Millis, named: &NamedEra, call: &str) -> EraChange {
         match named {
-            NamedEra::NotTold => Told::Known,
+            NamedEra::NotTold => EraChange::Known,
             NamedEra::Era(era) => self.update_era(sent, *era, call),
             NamedEra::Unreadable(value) => {
                 if !self.counters.borrow().contains_key(UNREADABLE) {
                     warn!("store: cannot parse the era in an answer: {value:?}");
                 }
                 self.count(UNREADABLE);
-                Told::Known
+                EraChange::Known
             }
         }
     }
@@ -49,14 +49,14 @@
         }
     }
 
-    fn update_era(&self, sent: Millis, era: Era, reported_by: &str) -> Told {
+    fn update_era(&self, sent: Millis, era: Era, reported_by: &str) -> EraChange {
         let mut known = self.store_era.get();
-        let told = known.told(self.now(), sent, era);
+        let told = known.observe(self.now(), sent, era);
         self.store_era.set(known);
         match told {
-            Told::Known => {}
-            Told::New { before } => self.begin_era(era, before, reported_by),
-            Told::Late => self.count("store_answers_of_former_eras"),
+            EraChange::Known => {}
+            EraChange::New { before } => self.begin_era(era, before, reported_by),
+            EraChange::Late => self.count("store_answers_of_former_eras"),
         }
         told
     }
@@ -64,7 +64,7 @@
     /// Begins a new era, in which the contents of the store are not known yet.
     fn begin_era(&self, era: Era, before: Option<Era>, reported_by: &str) {
         self.stored_version.set(None);
-        TOPICS.iter().for_each(|topic| self.passing(*topic).borrow_mut().forget());
+        TOPICS.iter().for_each(|topic| self.passing(*topic).borrow_mut().clear());
         self.count("store_eras");
         Event::new("store_era")
             .with("era", era.0)
--- a/crates/oliveworks-gateway/src/follow.rs
+++ b/crates/oliveworks-gateway/src/follow.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use oliveworks_gateway_core::Millis;
-use oliveworks_gateway_core::following::Following;
 use oliveworks_gateway_core::place::Place;
+use oliveworks_gateway_core::read_cursor::ReadCursor;
 use oliveworks_gateway_core::sources::ReadFrom;
 use tokio::time::{sleep, timeout};
 
@@ -31,7 +31,7 @@
     client: Client,
     peer_client: Option<PeerClient>,
     topic: Topic,
-    following: Following,
+    following: ReadCursor,
     pause_ms: u64,
     /// Source of the last step, as reported in the log.
     read_from: Option<ReadFrom>,
@@ -81,7 +81,7 @@
             client: Client::new(gateway),
             peer_client: None,
             topic,
-            following: Following::default(),
+            following: ReadCursor::default(),
             pause_ms: RETRY_MS.0,
             read_from: None,
         }
@@ -94,7 +94,7 @@
 
     /// Requests a snapshot with the next step, from the store itself if it answers.
     pub fn request_snapshot(&mut self) {
-        self.following.read_anew();
+        self.following.restart();
     }
 
     /// Makes one step, through the store or another gateway. Logs a failure and pauses after it.
@@ -117,7 +117,7 @@
 
     /// Discards a position of another era, since the store has assigned its offset again.
     fn discard_former_position(&mut self, gateway: &Gateway) {
-        let Some(place) = self.following.forget_other_eras(gateway.era()) else { return };
+        let Some(place) = self.following.discard_other_era(gateway.era()) else { return };
         Event::new("place_is_void")
             .debug("topic", self.topic)
             .with("offset", place.offset)
@@ -182,7 +182,7 @@
         match self.ask_peer(gateway, address).await {
             Ok(answer) => {
                 gateway.record_peer_era(sent, answer.next.era, address);
-                self.following.gateway_told(answer.next);
+                self.following.gateway_answered(answer.next);
                 if let Some(ago) = answer.store_failed_ms_ago {
                     gateway.store_failed_for_peer(sent.saturating_sub(ago));
                 }
@@ -197,7 +197,7 @@
             }
             Err(why) => {
                 self.peer_client = None;
-                self.following.gateway_did_not_tell();
+                self.following.gateway_did_not_answer();
                 sources::mark_unresponsive(gateway, address, self.topic, &why);
                 None
             }
@@ -267,7 +267,7 @@
                 break;
             }
         }
-        self.following.store_told(first_end);
+        self.following.store_answered(first_end);
         Ok(Step { records, snapshot: true, sent, held_ms: 0, source: RecordSource::Store })
     }
 
@@ -289,7 +289,7 @@
         match tail {
             Tail::Records(records, next) => {
                 let held_ms = if records.is_empty() { wait_ms } else { 0 };
-                self.following.store_told(Some(Place::new(era, next)));
+                self.following.store_answered(Some(Place::new(era, next)));
                 Ok(Step { records, snapshot: false, sent, held_ms, source: RecordSource::Store })
             }
             Tail::Expired(first) => {
@@ -302,7 +302,7 @@
                 if self.topic == Topic::Leaders && first.is_none() && from == 0 {
                     return Err("it does not say which is the first record it keeps".to_owned());
                 }
-                self.following.store_told(first.map(|first| Place::new(era, first)));
+                self.following.store_answered(first.map(|first| Place::new(era, first)));
                 Ok(Step::empty(sent))
             }
             Tail::Refused(status) => Err(format!("refused with {status}")),
--- a/crates/oliveworks-gateway/src/passing.rs
+++ b/crates/oliveworks-gateway/src/passing.rs
@@ -15,8 +15,8 @@
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use log::{debug, warn};
-use oliveworks_gateway_core::passing::Told;
 use oliveworks_gateway_core::place::Place;
+use oliveworks_gateway_core::replay::ReplayAnswer;
 use serde::{Deserialize, Serialize};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
@@ -193,9 +193,9 @@
     };
     drop(passing);
     let (records, snapshot, next) = match kept {
-        Told::Records(records, next) => (records, false, next),
-        Told::Newest(next) => (newest(gateway, topic), true, next),
-        Told::Behind | Told::Unread => return None,
+        ReplayAnswer::Records(records, next) => (records, false, next),
+        ReplayAnswer::Newest(next) => (newest(gateway, topic), true, next),
+        ReplayAnswer::Behind | ReplayAnswer::Unread => return None,
     };
     let now = gateway.now();
     let proof_age_ms = match topic {
--- a/crates/oliveworks-gateway/src/records.rs
+++ b/crates/oliveworks-gateway/src/records.rs
@@ -10,9 +10,9 @@
 use oliveworks_gateway_core::balance::Target;
 use oliveworks_gateway_core::configuration::{Configuration, Lookup};
 use oliveworks_gateway_core::listing::{Listing, ListingConfig};
-use oliveworks_gateway_core::passing::Kept;
 use oliveworks_gateway_core::place::Place;
 use oliveworks_gateway_core::repeats::Repeats;
+use oliveworks_gateway_core::replay::Kept;
 use oliveworks_gateway_core::slow_start::cold::{Listed, Reading};
 use tokio::time::sleep;
 
@@ -133,7 +133,7 @@
         RecordSource::Store => freshness.proved(sent, held_ms),
         RecordSource::Gateway { proof_age_ms: None, .. } => return,
         RecordSource::Gateway { proof_age_ms: Some(age_ms), .. } => {
-            freshness.passed_on(sent, held_ms, age_ms);
+            freshness.proved_by_peer(sent, held_ms, age_ms);
             gateway.store_answered_peer((sent + held_ms).saturating_sub(age_ms));
         }
     }
@@ -145,8 +145,8 @@
 fn keep_for_peers(gateway: &Gateway, topic: Topic, step: &Step, next: Option<Place>) {
     let mut passing = gateway.passing(topic).borrow_mut();
     match next {
-        Some(next) if step.snapshot => passing.read_anew(next),
-        Some(next) => passing.followed(step.records.clone(), next),
+        Some(next) if step.snapshot => passing.restart_at(next),
+        Some(next) => passing.append(step.records.clone(), next),
         // The position is unknown: the next step reads the whole topic again.
         None => {}
     }
@@ -309,8 +309,8 @@
     let news = snapshot || kept.iter().any(|kept| !kept.is_repeat);
     let mut passing = gateway.passing(Topic::BackendServers).borrow_mut();
     match next {
-        Some(next) if snapshot => passing.read_anew(next),
-        Some(next) => passing.followed_with_repeats(kept, next),
+        Some(next) if snapshot => passing.restart_at(next),
+        Some(next) => passing.append_with_repeats(kept, next),
         // The position is unknown: the next step reads the whole topic again.
         None => {}
     }
--- a/crates/oliveworks-gateway/src/relay.rs
+++ b/crates/oliveworks-gateway/src/relay.rs
@@ -233,7 +233,7 @@
         let gateway = self.gateway;
         let freshness = gateway.freshness.get();
         self.route.public
-            || freshness.honours_keys(gateway.now(), gateway.settings.bounds.revoke_ms)
+            || freshness.accepts_keys(gateway.now(), gateway.settings.bounds.revoke_ms)
     }
 
     async fn run(&mut self, connection: &mut Connection) -> (End, String) {
--- a/crates/oliveworks-gateway/src/sources.rs
+++ b/crates/oliveworks-gateway/src/sources.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use oliveworks_gateway_core::Millis;
-use oliveworks_gateway_core::following::Following;
-use oliveworks_gateway_core::sources::{Known, Own, ReadFrom};
+use oliveworks_gateway_core::read_cursor::ReadCursor;
+use oliveworks_gateway_core::sources::{LocalState, PeerState, ReadFrom};
 
 use crate::dialect::Topic;
 use crate::events::Event;
@@ -27,11 +27,11 @@
 const STORE_RETRY_MS: u64 = 1_500;
 
 /// Returns the source of the next step of a topic.
-pub fn choose_source(gateway: &Gateway, following: &Following) -> ReadFrom {
-    let own = Own {
+pub fn choose_source(gateway: &Gateway, following: &ReadCursor) -> ReadFrom {
+    let own = LocalState {
         name: &gateway.settings.node,
         store_answers: gateway.election.borrow().store_answers(),
-        reads: gateway.reads_store(),
+        reads_store: gateway.reads_store(),
         retry_due: gateway.now() >= gateway.store_called_at.get() + STORE_RETRY_MS,
         era: gateway.era(),
     };
@@ -40,21 +40,23 @@
 }
 
 /// Returns the gateways from which a message arrived recently.
-fn recent_peers<'a>(gateway: &Gateway, peers: &'a BTreeMap<String, Peer>) -> Vec<Known<'a>> {
+fn recent_peers<'a>(gateway: &Gateway, peers: &'a BTreeMap<String, Peer>) -> Vec<PeerState<'a>> {
     let now = gateway.now();
     let unresponsive = gateway.unresponsive_peers.borrow();
     let domain = &gateway.settings.failure_domain;
     let heard = peers.iter().filter_map(|(name, peer)| {
         let near = peer.failure_domain == *domain;
         let silent_ms = if near { LOCAL_SILENT_MS } else { REMOTE_SILENT_MS };
-        (now < peer.last_seen_at + silent_ms).then(|| Known {
+        (now < peer.last_seen_at + silent_ms).then(|| PeerState {
             name,
             address: peer.address,
-            near,
+            is_local: near,
             store_answers: peer.store_answers,
-            reads: peer.reads_store,
-            informed: peer.proved_at.is_some_and(|at| is_recent(gateway, now, at)),
-            avoided: unresponsive.get(&peer.address).is_some_and(|at| now < at + UNRESPONSIVE_MS),
+            reads_store: peer.reads_store,
+            has_recent_proof: peer.proved_at.is_some_and(|at| is_recent(gateway, now, at)),
+            is_unresponsive: unresponsive
+                .get(&peer.address)
+                .is_some_and(|at| now < at + UNRESPONSIVE_MS),
             era: peer.era,
             version: peer.version,
         })
--- a/crates/oliveworks-gateway/src/state.rs
+++ b/crates/oliveworks-gateway/src/state.rs
@@ -21,9 +21,9 @@
 use oliveworks_gateway_core::load_report::ReportIntervals;
 use oliveworks_gateway_core::members::Members;
 use oliveworks_gateway_core::missing::Missing;
-use oliveworks_gateway_core::passing::Passing;
 use oliveworks_gateway_core::planner::Planner;
 use oliveworks_gateway_core::rate_limits::RateLimits;
+use oliveworks_gateway_core::replay::ReplayBuffer;
 use oliveworks_gateway_core::returning::Waits;
 use oliveworks_gateway_core::slow_start::SlowStarts;
 use oliveworks_gateway_core::speed::Speeds;
@@ -98,7 +98,7 @@
     pub missing: RefCell<Missing>,
     /// Last records of each topic, kept for gateways that read them through this one, and the
     /// notification of tasks that wait for new records.
-    passing: HashMap<Topic, (RefCell<Passing<Record>>, Notify)>,
+    passing: HashMap<Topic, (RefCell<ReplayBuffer<Record>>, Notify)>,
     /// Gateways that did not answer a question, with the time of the failure.
     pub unresponsive_peers: RefCell<HashMap<SocketAddr, Millis>>,
     /// Time of this gateway's last call to the store to follow a topic.
@@ -393,7 +393,7 @@
     }
 
     /// Returns the last records of a topic.
-    pub fn passing(&self, topic: Topic) -> &RefCell<Passing<Record>> {
+    pub fn passing(&self, topic: Topic) -> &RefCell<ReplayBuffer<Record>> {
         &self.passing[&topic].0
     }
 
--- a/crates/oliveworks-gateway/src/store.rs
+++ b/crates/oliveworks-gateway/src/store.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use oliveworks_gateway_core::election::Claim;
-use oliveworks_gateway_core::era::Told as EraTold;
+use oliveworks_gateway_core::era::EraChange;
 use oliveworks_gateway_core::place::Place;
 
 use crate::dialect::{Call, Claimed};
@@ -55,7 +55,7 @@
             Ok(answer) => {
                 self.exchange = Some(open);
                 let era = self.gateway.dialect.store_era(&answer.headers);
-                if self.gateway.record_store_era(sent, &era, &call.target) == EraTold::Late {
+                if self.gateway.record_store_era(sent, &era, &call.target) == EraChange::Late {
                     return Err("an answer of a former copy of the store".to_owned());
                 }
                 // The latency of a call that the store may hold back measures the wait for new
--- a/crates/oliveworks-gateway/src/versions.rs
+++ b/crates/oliveworks-gateway/src/versions.rs
@@ -38,7 +38,8 @@
 /// Asks another gateway for a version that the store has not delivered to this one in time.
 pub async fn catch_up(gateway: &Gateway, follower: &mut Follower) -> Vec<Record> {
     let mut lag = gateway.own_lag.get();
-    let is_due = lag.asks(gateway.now(), gateway.version_held(), gateway.newest_reported_version());
+    let is_due =
+        lag.should_ask(gateway.now(), gateway.version_held(), gateway.newest_reported_version());
     gateway.own_lag.set(lag);
     let Some(address) = gateway.holder_of_newest().filter(|_| is_due) else { return Vec::new() };
     let records = match follower.fetch_newest(address).await {
