--- a/crates/oliveworks-gateway-core/src/backend_servers.rs
+++ b/crates/oliveworks-gateway-core/src/backend_servers.rs
@@ -75,17 +75,17 @@
     /// gateway that was paused, return records that are seconds old. A backend server that leaves
     /// never comes back in the same incarnation.
     pub fn may_follow(&self, known: &BackendServer) -> bool {
-        if self.holding.is_of_later_life(known.holding.born) {
+        if self.holding.is_of_later_incarnation(known.holding.born) {
             return true;
         }
         let older = self.number.zip(known.number).is_some_and(|(own, known)| own < known);
         !older
-            && !known.holding.is_of_later_life(self.holding.born)
+            && !known.holding.is_of_later_incarnation(self.holding.born)
             && (self.draining || !known.draining)
     }
 
     /// Whether both records have the same content, whenever they were written.
-    pub fn tells_the_same(&self, other: &BackendServer) -> bool {
+    pub fn has_same_content(&self, other: &BackendServer) -> bool {
         BackendServer { number: other.number, ..self.clone() } == *other
     }
 }
@@ -111,12 +111,12 @@
 
 impl Holding {
     /// Whether this state is of a later incarnation than `known`; `false` if either is unknown.
-    pub fn is_of_later_life(&self, known: Option<Born>) -> bool {
+    pub fn is_of_later_incarnation(&self, known: Option<Born>) -> bool {
         self.born.zip(known).is_some_and(|(own, known)| own > known)
     }
 
     /// Whether both states have the same models and the same group membership.
-    pub fn says_the_same(&self, other: &Holding) -> bool {
+    pub fn has_same_models_and_group(&self, other: &Holding) -> bool {
         self.models == other.models && self.staging == other.staging && self.group == other.group
     }
 }
@@ -181,7 +181,7 @@
             if !server.may_follow(known) {
                 return false;
             }
-            if server.tells_the_same(known) {
+            if server.has_same_content(known) {
                 known.number = server.number;
                 return false;
             }
--- a/crates/oliveworks-gateway-core/src/planner.rs
+++ b/crates/oliveworks-gateway-core/src/planner.rs
@@ -13,19 +13,19 @@
 //! | module | decides |
 //! |---|---|
 //! | `adopt` | which groups of an earlier leader continue |
-//! | `anew` | what happens to the group of a host that restarted |
+//! | `restart` | what happens to the group of a host that restarted |
 //! | `advance` | the next step of each group |
-//! | `allot`, `shortage` | which free hosts form new groups, and which hosts are reserved |
-//! | `sooner` | what free hosts can serve earlier than the groups of their domain's quota |
+//! | `allocation`, `shortage` | which free hosts form new groups, and which hosts are reserved |
+//! | `early_service` | what free hosts can serve earlier than the groups of their domain's quota |
 //! | `spares`, `stage` | what other hosts load, and keep in memory |
-//! | `yielding` | which groups are preempted for others |
-//! | `parts`, `pressure` | the target share of the hosts for each model |
+//! | `preemption` | which groups are preempted for others |
+//! | `shares`, `pressure` | the target share of the hosts for each model |
 //! | `spread` | over how many failure domains a model's groups are spread |
 //! | `ending` | whether a group that ends has certainly stopped serving |
-//! | `growth`, `outage` | whether a domain is returning, or stopped answering as a whole |
+//! | `arrivals`, `outage` | whether a domain is returning, or stopped answering as a whole |
 //! | `drain` | what happens to the hosts of a drained failure domain |
 //! | `heads` | which member is the head of a group |
-//! | `heard` | what is known about hosts from sources other than their answers |
+//! | `observations` | what is known about hosts from sources other than their answers |
 //! | `waiting`, `describe` | what is reported to operators |
 //!
 //! A domain without further qualification is a fabric domain: all members of a group are in the
@@ -33,44 +33,44 @@
 
 mod adopt;
 mod advance;
-mod allot;
-mod anew;
+mod allocation;
+mod arrivals;
 mod describe;
 mod domain;
 mod drain;
+mod early_service;
 mod ending;
 mod group;
-mod growth;
 mod heads;
-mod heard;
 mod host;
+mod observations;
 mod order;
 mod outage;
-mod parts;
+mod preemption;
 mod pressure;
+mod restart;
+mod shares;
 mod shortage;
-mod sooner;
 mod spares;
 mod spread;
 mod stage;
 mod waiting;
-mod yielding;
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::Millis;
 use crate::backend_servers::{BackendServer, BackendServerId, Holding};
 use crate::configuration::{Engine, Model};
-use crate::quota::{self, Quotas, Room};
+use crate::quota::{self, DomainCapacity, Quotas};
+use arrivals::Growth;
 use ending::EndReason;
 pub use ending::Ending;
 use group::{Group, Phase};
-use growth::Growth;
 use host::Host;
-pub use order::{Command, ModelLoad, Order, Outcome, PlannerConfig, Serving};
+pub use order::{Command, ModelLoad, Order, Outcome, PlannerConfig, ServingGroup};
 use outage::Outages;
-use parts::ShareAdjuster;
 use pressure::Demand;
+use shares::ShareAdjuster;
 pub use waiting::WaitingHosts;
 use waiting::Waits;
 
@@ -124,7 +124,7 @@
     /// Demand for each model, as the number of groups that its requests would fill.
     demand: BTreeMap<String, Demand>,
     /// Capacity of each domain, and the groups that each domain should hold for it.
-    rooms: BTreeMap<String, Room>,
+    rooms: BTreeMap<String, DomainCapacity>,
     quotas: Quotas,
     /// Quotas of each domain when it last had its largest number of hosts.
     quotas_at_full_strength: Quotas,
@@ -172,7 +172,7 @@
     }
 
     /// Returns the target share of the hosts for each model, from 0 to 1.
-    pub fn parts(&self) -> BTreeMap<String, f64> {
+    pub fn target_shares(&self) -> BTreeMap<String, f64> {
         let all: f64 = self.engine.models.iter().map(|model| model.share).sum();
         let part = |model: &Model| model.share / all.max(f64::MIN_POSITIVE);
         let parts = self.engine.models.iter().map(|model| (model.name.clone(), part(model)));
@@ -230,7 +230,11 @@
     fn update_quotas(&mut self, now: Millis) {
         let rooms = domain::rooms(now, self);
         if rooms != self.rooms {
-            self.quotas = quota::spread_out(&self.engine.models, &rooms, &self.spread());
+            self.quotas = quota::quotas_spread_over_failure_domains(
+                &self.engine.models,
+                &rooms,
+                &self.spread(),
+            );
             self.quotas_changed_at = now;
             self.rooms = rooms;
         }
@@ -277,10 +281,10 @@
     }
 
     /// Handles a host that is listed, or whose record changed.
-    pub fn listed(&mut self, now: Millis, server: &BackendServer) {
+    pub fn handle_listed_host(&mut self, now: Millis, server: &BackendServer) {
         let known = self.hosts.get(&server.id).map(Host::born);
         match self.hosts.get_mut(&server.id) {
-            Some(_) if known.is_some_and(|known| server.holding.is_of_later_life(known)) => {
+            Some(_) if known.is_some_and(|known| server.holding.is_of_later_incarnation(known)) => {
                 self.handle_restart(now, server);
             }
             Some(host) => host.update_record(now, server),
@@ -292,8 +296,8 @@
     }
 
     /// Handles a state report of a host.
-    pub fn reported(&mut self, now: Millis, id: &str, holding: &Holding) {
-        let host = self.hosts.get(id).filter(|host| holding.is_of_later_life(host.born()));
+    pub fn handle_report(&mut self, now: Millis, id: &str, holding: &Holding) {
+        let host = self.hosts.get(id).filter(|host| holding.is_of_later_incarnation(host.born()));
         if let Some(server) = host.map(|host| host.server.clone()) {
             let holding = holding.clone();
             let server = BackendServer { draining: false, number: None, holding, ..server };
@@ -314,7 +318,7 @@
 
     /// Handles a host that did not answer. `refused` is whether its address reported that nothing
     /// listens there.
-    pub fn silent(&mut self, now: Millis, id: &str, refused: bool) {
+    pub fn handle_silence(&mut self, now: Millis, id: &str, refused: bool) {
         let Some(host) = self.hosts.get_mut(id) else { return };
         let was_suspected = host.suspected && !host.is_lost();
         host.record_silence(now, refused);
@@ -324,18 +328,18 @@
     }
 
     /// Handles the outcome of an order.
-    pub fn ordered(&mut self, now: Millis, id: &str, order: &Order, outcome: Outcome) {
+    pub fn handle_order_outcome(&mut self, now: Millis, id: &str, order: &Order, outcome: Outcome) {
         let Some(host) = self.hosts.get_mut(id) else { return };
         host.apply_outcome(now, order, outcome);
     }
 
     /// Returns the groups that serve. Groups with a lost, leaving or drained member are left out.
-    pub fn serving(&self, now: Millis) -> Vec<Serving> {
+    pub fn serving(&self, now: Millis) -> Vec<ServingGroup> {
         let open = self.groups.values().filter(|group| group.serves(now));
         let whole =
             open.filter(|group| !self.has_unavailable_member(group) && !self.is_drained(group));
         whole
-            .map(|group| Serving {
+            .map(|group| ServingGroup {
                 epoch: group.epoch,
                 model: group.model.clone(),
                 members: group.members.clone(),
@@ -373,7 +377,7 @@
     }
 
     /// Handles the observation of gateways that a group runs much slower than others.
-    pub fn runs_slowly(&mut self, now: Millis, epoch: u64) {
+    pub fn probe_slow_group(&mut self, now: Millis, epoch: u64) {
         let Some(group) = self.groups.get(&epoch) else { return };
         for member in &group.members {
             if let Some(host) = self.hosts.get_mut(member) {
@@ -402,14 +406,14 @@
         self.remove_unlisted_hosts();
         self.update_most_hosts();
         self.update_quotas(now);
-        for group in allot::allot(now, self) {
+        for group in allocation::allocate(now, self) {
             let epoch = self.create_group(now, group);
             self.advance(now, epoch, &mut commands);
         }
         // A domain that loses its power or network loses one host after the other. Groups in other
         // domains are not preempted for quotas that are computed midway.
         let quotas_stable = now >= self.quotas_changed_at + QUOTAS_STABLE_MS;
-        if let Some(plan) = yielding::find_preemption(now, self).filter(|_| quotas_stable) {
+        if let Some(plan) = preemption::find_preemption(now, self).filter(|_| quotas_stable) {
             for epoch in plan.epochs {
                 self.set_phase(now, epoch, Phase::Finishing);
                 if let Some(group) = self.groups.get_mut(&epoch) {
@@ -438,7 +442,7 @@
     }
 
     /// Creates a new group and returns its epoch.
-    fn create_group(&mut self, now: Millis, plan: allot::NewGroup) -> u64 {
+    fn create_group(&mut self, now: Millis, plan: allocation::NewGroup) -> u64 {
         self.epochs += 1;
         let epoch = self.fence * EPOCHS_PER_FENCE + self.epochs;
         for member in &plan.members {
--- a/crates/oliveworks-gateway-core/src/planner/allot.rs
+++ b/crates/oliveworks-gateway-core/src/planner/allocation.rs
@@ -8,14 +8,14 @@
 
 use super::Planner;
 use super::domain::{Domain, Warmth, domains, warmth};
+use super::early_service::{self, Loader, loaders};
 use super::host::Host;
 use super::shortage::Shortage;
-use super::sooner::{self, Loader, loaders};
 use super::spares::load_spares;
 use crate::Millis;
 use crate::backend_servers::BackendServerId;
 use crate::configuration::Model;
-use crate::quota::per_weight;
+use crate::quota::hosts_per_share;
 
 /// A group to be formed.
 pub(super) struct NewGroup {
@@ -31,7 +31,7 @@
 }
 
 /// Returns the groups to form now.
-pub(super) fn allot(now: Millis, planner: &Planner) -> Vec<NewGroup> {
+pub(super) fn allocate(now: Millis, planner: &Planner) -> Vec<NewGroup> {
     let mut domains = domains(now, planner);
     // Hosts are still being listed, which takes longer in some domains than in others.
     let listing = !planner.traffic && domains.values().any(|domain| !domain.steady);
@@ -99,25 +99,25 @@
     let of = |name: &str| -> &[Loader<'_>] { loaders.get(name).map_or(&[], Vec::as_slice) };
     models.into_iter().find_map(|model| {
         let mut hosts_abandoning_loads = domains.values().filter_map(|domain| {
-            sooner::hosts_abandoning_loads(&short, domain, of(domain.name), model)
+            early_service::hosts_abandoning_loads(&short, domain, of(domain.name), model)
         });
         hosts_abandoning_loads.next().map(|hosts| new_group(model, &hosts))
     })
 }
 
 /// Returns the number of hosts of a model relative to its share.
-pub(super) fn hosts_per_share(model: &Model, domains: &BTreeMap<&str, Domain<'_>>) -> f64 {
+pub(super) fn group_hosts_per_share(model: &Model, domains: &BTreeMap<&str, Domain<'_>>) -> f64 {
     let groups: usize = domains.values().map(|domain| domain.group_count(model)).sum();
-    per_weight(groups * model.size, model)
+    hosts_per_share(groups * model.size, model)
 }
 
 fn most_underserved<'a>(
     open: &[&'a Model],
     domains: &BTreeMap<&str, Domain<'_>>,
 ) -> Option<&'a Model> {
-    open.iter()
-        .copied()
-        .min_by(|a, b| hosts_per_share(a, domains).total_cmp(&hosts_per_share(b, domains)))
+    open.iter().copied().min_by(|a, b| {
+        group_hosts_per_share(a, domains).total_cmp(&group_hosts_per_share(b, domains))
+    })
 }
 
 /// Claims the free hosts of a domain that can serve the model soonest, if the domain should have
@@ -149,7 +149,7 @@
             lacks
                 || (planner.config.waiting_serve
                     && (short.takes_precedence(domain, model)
-                        || sooner::serves_first(short, domain, model)))
+                        || early_service::serves_first(short, domain, model)))
         }
         // Hosts that hold the model do not wait for a host that must load it. That host loads it as
         // a spare.
--- a/crates/oliveworks-gateway-core/src/planner/domain.rs
+++ b/crates/oliveworks-gateway-core/src/planner/domain.rs
@@ -7,7 +7,7 @@
 use super::host::Host;
 use crate::Millis;
 use crate::configuration::Model;
-use crate::quota::Room;
+use crate::quota::DomainCapacity;
 
 /// How soon a host can serve a model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -148,13 +148,13 @@
 /// Returns the capacity and the current groups of each domain. A returning domain has its previous
 /// capacity and counts as holding its previous quotas, so that the plan does not change with each
 /// host that is listed.
-pub(super) fn rooms(now: Millis, planner: &Planner) -> BTreeMap<String, Room> {
+pub(super) fn rooms(now: Millis, planner: &Planner) -> BTreeMap<String, DomainCapacity> {
     let domains = domains(now, planner);
     let rooms = domains.values().map(|domain| (domain.name.to_owned(), room(planner, domain)));
     rooms.collect()
 }
 
-fn room(planner: &Planner, domain: &Domain<'_>) -> Room {
+fn room(planner: &Planner, domain: &Domain<'_>) -> DomainCapacity {
     let hosts = planned_hosts(planner, domain);
     let spares = spare_count(planner, domain, hosts).min(hosts);
     let mut groups: BTreeMap<String, usize> =
@@ -168,5 +168,5 @@
     }
     let models = planner.engine.models.iter();
     let hot = models.map(|model| (model.name.clone(), domain.warm_hosts(model))).collect();
-    Room { hosts: hosts - spares, spares, groups, hot }
+    DomainCapacity { hosts: hosts - spares, spares, groups, hot }
 }
--- a/crates/oliveworks-gateway-core/src/planner/host.rs
+++ b/crates/oliveworks-gateway-core/src/planner/host.rs
@@ -148,7 +148,7 @@
         // A record may be seconds older than the last report or order, so it proves nothing about
         // the current state. It is a reason to probe. Rejected: trusting a record some time after
         // the last order, because members of a group whose head was serving then counted as free.
-        self.wants_probe |= !self.holding.says_the_same(&server.holding);
+        self.wants_probe |= !self.holding.has_same_models_and_group(&server.holding);
     }
 
     /// Returns the start time of the host's incarnation, as far as is known.
--- a/crates/oliveworks-gateway-core/src/planner/heard.rs
+++ b/crates/oliveworks-gateway-core/src/planner/observations.rs
@@ -7,21 +7,21 @@
 impl Planner {
     /// Handles a host's statement in an answer that it is leaving, made in the incarnation that
     /// started at `born`.
-    pub fn leaves(&mut self, id: &str, born: Option<Born>) {
+    pub fn mark_leaving(&mut self, id: &str, born: Option<Born>) {
         if let Some(host) = self.hosts.get_mut(id).filter(|host| host.born() <= born) {
             host.server.draining = true;
         }
     }
 
     /// Handles a host that is no longer listed, because it is leaving or dead.
-    pub fn unlisted(&mut self, id: &str) {
+    pub fn mark_unlisted(&mut self, id: &str) {
         if let Some(host) = self.hosts.get_mut(id) {
             host.unlisted = true;
         }
     }
 
     /// Handles the observation that another backend server answers at a host's address.
-    pub fn replaced(&mut self, now: Millis, id: &str) {
+    pub fn mark_replaced(&mut self, now: Millis, id: &str) {
         if let Some(host) = self.hosts.get_mut(id) {
             host.replaced = true;
             host.record_silence(now, true);
@@ -29,7 +29,7 @@
     }
 
     /// Handles the observation of gateways that a group makes no progress.
-    pub fn suspected(&mut self, epoch: u64) {
+    pub fn suspect_group(&mut self, epoch: u64) {
         let Some(group) = self.groups.get(&epoch) else { return };
         for member in &group.members {
             if let Some(host) = self.hosts.get_mut(member) {
--- a/crates/oliveworks-gateway-core/src/planner/order.rs
+++ b/crates/oliveworks-gateway-core/src/planner/order.rs
@@ -52,7 +52,8 @@
 /// Action that the planner requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Send an order. Its outcome is passed to [`Planner::ordered`](super::Planner::ordered).
+    /// Send an order. Its outcome is passed to
+    /// [`Planner::handle_order_outcome`](super::Planner::handle_order_outcome).
     Order {
         /// Backend server that receives the order.
         server: BackendServerId,
@@ -66,8 +67,8 @@
         expects: Option<u64>,
     },
     /// Request the state of a backend server. The answer is passed to
-    /// [`Planner::reported`](super::Planner::reported) or
-    /// [`Planner::silent`](super::Planner::silent).
+    /// [`Planner::handle_report`](super::Planner::handle_report) or
+    /// [`Planner::handle_silence`](super::Planner::handle_silence).
     Probe {
         /// Backend server to probe.
         server: BackendServerId,
@@ -103,7 +104,7 @@
 
 /// A serving group as gateways need to know it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Serving {
+pub struct ServingGroup {
     /// Epoch of the group.
     pub epoch: u64,
     /// Model that the group serves.
--- a/crates/oliveworks-gateway-core/src/planner/pressure.rs
+++ b/crates/oliveworks-gateway-core/src/planner/pressure.rs
@@ -25,7 +25,7 @@
 impl Planner {
     /// Records the load of a model's groups, of which `serving` serve. Callers leave out models without
     /// a serving group, so that their demand keeps its last value.
-    pub fn set_load(&mut self, now: Millis, model: &str, load: ModelLoad, serving: usize) {
+    pub fn record_load(&mut self, now: Millis, model: &str, load: ModelLoad, serving: usize) {
         let found = 1.0 - load.refused_part.clamp(0.0, REFUSED_PART_MAX);
         let groups = load.open_per_slot / found * serving as f64;
         let demand = self.demand.entry(model.to_owned()).or_insert(Demand { groups, at: now });
--- a/crates/oliveworks-gateway-core/src/planner/parts.rs
+++ b/crates/oliveworks-gateway-core/src/planner/shares.rs
@@ -15,7 +15,7 @@
 
 use super::Planner;
 use crate::Millis;
-use crate::quota::{self, Quotas, Room};
+use crate::quota::{self, DomainCapacity, Quotas};
 
 /// Time between two searches for better shares, in ms. Each search recomputes the quotas, which
 /// takes 11 ms for 2,400 hosts.
@@ -112,13 +112,16 @@
 
     /// Returns the shares that match the demand and the quotas that result from them, if a model
     /// that stayed busy gains groups and no model that loses groups becomes as busy.
-    fn better_shares(&self, rooms: &BTreeMap<String, Room>) -> Option<(Vec<f64>, Quotas)> {
+    fn better_shares(
+        &self,
+        rooms: &BTreeMap<String, DomainCapacity>,
+    ) -> Option<(Vec<f64>, Quotas)> {
         let mut models = self.engine.models.clone();
         for model in &mut models {
             let groups = self.share_adjuster.highest(&model.name) + EXTRA_GROUPS;
             model.share = groups * model.size as f64;
         }
-        let quotas = quota::spread_out(&models, rooms, &self.spread());
+        let quotas = quota::quotas_spread_over_failure_domains(&models, rooms, &self.spread());
         let pressure = |demand: f64, quotas: &Quotas, name: &str| demand / count(quotas, name);
         // Highest sustained demand per group among the models that gain groups.
         let sustained_pressure =
--- a/crates/oliveworks-gateway-core/src/planner/shortage.rs
+++ b/crates/oliveworks-gateway-core/src/planner/shortage.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::Planner;
-use super::allot::hosts_per_share;
+use super::allocation::group_hosts_per_share;
 use super::domain::Domain;
 use super::host::Host;
 use super::pressure::FULL;
@@ -34,7 +34,7 @@
             planner,
             pressures: models().map(pressure).collect(),
             share_ratios: models()
-                .map(|model| (model.name.as_str(), hosts_per_share(model, domains)))
+                .map(|model| (model.name.as_str(), group_hosts_per_share(model, domains)))
                 .collect(),
         }
     }
--- a/crates/oliveworks-gateway-core/src/planner/spares.rs
+++ b/crates/oliveworks-gateway-core/src/planner/spares.rs
@@ -11,11 +11,11 @@
 use std::collections::BTreeMap;
 
 use super::Planner;
-use super::allot::{NewGroup, new_group};
+use super::allocation::{NewGroup, new_group};
 use super::domain::{Domain, can_hold};
+use super::early_service::nearest;
 use super::host::Host;
 use super::shortage::Shortage;
-use super::sooner::nearest;
 use crate::configuration::Model;
 
 /// Number of groups of the smallest model from which on the loss of one matters little.
--- a/crates/oliveworks-gateway-core/src/planner/spread.rs
+++ b/crates/oliveworks-gateway-core/src/planner/spread.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::Planner;
-use crate::quota::{Gap, Spread, gaps};
+use crate::quota::{Spread, SpreadGap, spread_gaps};
 
 impl Planner {
     /// Sets how many failure domains may be lost at once with every model still served.
@@ -27,7 +27,7 @@
     }
 
     /// Returns the models whose groups do not fit into enough failure domains.
-    pub fn spread_gaps(&self) -> Vec<Gap> {
-        gaps(&self.engine.models, &self.quotas, &self.spread())
+    pub fn spread_gaps(&self) -> Vec<SpreadGap> {
+        spread_gaps(&self.engine.models, &self.quotas, &self.spread())
     }
 }
--- a/crates/oliveworks-gateway-core/src/planner/stage.rs
+++ b/crates/oliveworks-gateway-core/src/planner/stage.rs
@@ -14,14 +14,14 @@
 
 use super::Planner;
 use super::domain::{Domain, can_hold, domains, quota};
+use super::early_service;
 use super::group::Phase;
 use super::host::Host;
 use super::shortage::{SPARE_RATIO, Shortage};
-use super::sooner;
 use crate::Millis;
 use crate::backend_servers::BackendServerId;
 use crate::configuration::Model;
-use crate::quota::per_weight;
+use crate::quota::hosts_per_share;
 
 /// A host that should load a model to its memory.
 pub(super) struct Staging {
@@ -99,7 +99,7 @@
 fn capable_hosts_per_share(planner: &Planner, model: &Model) -> f64 {
     let hosts = planner.hosts.values().filter(|host| host.is_eligible());
     let able = hosts.filter(|host| host.has_copy(&model.name) || host.is_staging(&model.name));
-    per_weight(able.count(), model)
+    hosts_per_share(able.count(), model)
 }
 
 /// Assigns the turns of the candidates: idle hosts first, then the hosts of one group after the
@@ -137,7 +137,7 @@
     let short_of = Shortage::of(planner, domains);
     let mut missing: BTreeMap<(&str, &str), usize> = BTreeMap::new();
     for domain in domains.values() {
-        let near = sooner::nearest(&short_of, domain);
+        let near = early_service::nearest(&short_of, domain);
         for model in planner.engine.models.iter().filter(|model| model.size > 1) {
             let staging = domain.free.iter().filter(|host| host.is_staging(&model.name)).count();
             let expected = domain.warm_hosts(model) + staging + domain.loading_spares(model);
--- a/crates/oliveworks-gateway-core/src/quota.rs
+++ b/crates/oliveworks-gateway-core/src/quota.rs
@@ -15,11 +15,11 @@
 
 use crate::configuration::Model;
 use packing::Pool;
-pub use spread::{Gap, Spread, gaps};
+pub use spread::{Spread, SpreadGap, spread_gaps};
 
 /// Capacity and current groups of a domain.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Room {
+pub struct DomainCapacity {
     /// Hosts that may serve: the eligible hosts less the spares.
     pub hosts: usize,
     /// Hosts that are kept as spares, in addition to those that may serve.
@@ -42,7 +42,7 @@
 /// The weight is the model's share. Rejected: the share times the square root of the model's size,
 /// on the ground that there are fewer of larger groups. Once all groups are packed, that leaves too
 /// few groups to the smaller models.
-pub fn per_weight(hosts: usize, model: &Model) -> f64 {
+pub fn hosts_per_share(hosts: usize, model: &Model) -> f64 {
     hosts as f64 / model.share.max(SHARE_MIN)
 }
 
@@ -50,13 +50,20 @@
 /// would have no group otherwise.
 ///
 /// A domain may be no larger than one group, and spares without a group to repair serve nothing.
-pub fn serving_all(models: &[Model], rooms: &BTreeMap<String, Room>) -> Quotas {
-    spread_out(models, rooms, &Spread::default())
+pub fn quotas_releasing_spares(
+    models: &[Model],
+    rooms: &BTreeMap<String, DomainCapacity>,
+) -> Quotas {
+    quotas_spread_over_failure_domains(models, rooms, &Spread::default())
 }
 
-/// Like [`serving_all`], with each model spread over failure domains as far as its groups fit.
-/// Spares are released for these groups, too.
-pub fn spread_out(models: &[Model], rooms: &BTreeMap<String, Room>, spread: &Spread) -> Quotas {
+/// Like [`quotas_releasing_spares`], with each model spread over failure domains as far as its
+/// groups fit. Spares are released for these groups, too.
+pub fn quotas_spread_over_failure_domains(
+    models: &[Model],
+    rooms: &BTreeMap<String, DomainCapacity>,
+    spread: &Spread,
+) -> Quotas {
     let mut rooms = rooms.clone();
     loop {
         let found = fill(models, &rooms, spread);
@@ -71,7 +78,7 @@
 /// of the domain would suffice for one.
 fn domain_to_release_spare(
     models: &[Model],
-    rooms: &BTreeMap<String, Room>,
+    rooms: &BTreeMap<String, DomainCapacity>,
     found: &Quotas,
 ) -> Option<String> {
     let has_group = |model: &Model| found.values().any(|groups| groups.contains_key(&model.name));
@@ -88,11 +95,11 @@
 ///
 /// Existing groups are kept where possible. A domain that lost a large group may have to give up
 /// small ones for it.
-pub fn quotas(models: &[Model], rooms: &BTreeMap<String, Room>) -> Quotas {
+pub fn quotas(models: &[Model], rooms: &BTreeMap<String, DomainCapacity>) -> Quotas {
     fill(models, rooms, &Spread::default())
 }
 
-fn fill(models: &[Model], rooms: &BTreeMap<String, Room>, spread: &Spread) -> Quotas {
+fn fill(models: &[Model], rooms: &BTreeMap<String, DomainCapacity>, spread: &Spread) -> Quotas {
     let pool = Pool::new(models, rooms, spread);
     let mut counts = pool.spread_groups().to_vec();
     let mut open: Vec<usize> = (0..models.len()).filter(|index| models[*index].size > 0).collect();
@@ -145,7 +152,7 @@
 }
 
 fn most_underserved(models: &[Model], open: &[usize], counts: &[usize]) -> usize {
-    let need = |model: usize| per_weight(counts[model] * models[model].size, &models[model]);
+    let need = |model: usize| hosts_per_share(counts[model] * models[model].size, &models[model]);
     // If only one of two models without groups fits, the one with the larger share is served.
     let first = |model: usize| if need(model) > 0.0 { 0.0 } else { -models[model].share };
     let by_need = |a: &&usize, b: &&usize| {
--- a/crates/oliveworks-gateway-core/src/quota/packing.rs
+++ b/crates/oliveworks-gateway-core/src/quota/packing.rs
@@ -6,13 +6,13 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{Quotas, Room, Spread};
+use super::{DomainCapacity, Quotas, Spread};
 use crate::configuration::Model;
 
 /// Domains and models by index, because packing visits each domain for each group.
 pub(super) struct Pool<'a> {
     models: &'a [Model],
-    rooms: &'a BTreeMap<String, Room>,
+    rooms: &'a BTreeMap<String, DomainCapacity>,
     hosts: Vec<usize>,
     spares: Vec<usize>,
     /// Index of the failure domain of each domain.
@@ -34,7 +34,7 @@
     /// Creates a pool from the capacities of the domains.
     pub(super) fn new(
         models: &'a [Model],
-        rooms: &'a BTreeMap<String, Room>,
+        rooms: &'a BTreeMap<String, DomainCapacity>,
         spread: &Spread,
     ) -> Pool<'a> {
         let by_model = |counts: &BTreeMap<String, usize>| -> Vec<usize> {
@@ -142,7 +142,7 @@
 
 /// Returns the index of the failure domain of each domain. A domain with an unknown failure domain
 /// counts as its own failure domain.
-fn numbered(rooms: &BTreeMap<String, Room>, spread: &Spread) -> Vec<usize> {
+fn numbered(rooms: &BTreeMap<String, DomainCapacity>, spread: &Spread) -> Vec<usize> {
     let name = |domain| spread.failure_domains.get(domain).unwrap_or(domain);
     let names: BTreeSet<&String> = rooms.keys().map(name).collect();
     let numbers: BTreeMap<&String, usize> =
--- a/crates/oliveworks-gateway-core/src/quota/spread.rs
+++ b/crates/oliveworks-gateway-core/src/quota/spread.rs
@@ -21,7 +21,7 @@
 
 /// A model with groups in fewer failure domains than it should have.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Gap {
+pub struct SpreadGap {
     /// Name of the model.
     pub model: String,
     /// Number of failure domains that should hold groups of the model.
@@ -31,7 +31,7 @@
 }
 
 /// Returns the models whose groups do not fit into enough failure domains.
-pub fn gaps(models: &[Model], quotas: &Quotas, spread: &Spread) -> Vec<Gap> {
+pub fn spread_gaps(models: &[Model], quotas: &Quotas, spread: &Spread) -> Vec<SpreadGap> {
     if spread.lost == 0 {
         return Vec::new();
     }
@@ -42,6 +42,7 @@
         names.collect::<BTreeSet<_>>().len()
     };
     let all = models.iter().filter(|model| model.size > 0);
-    let gaps = all.map(|model| Gap { model: model.name.clone(), wanted, found: found(model) });
+    let gaps =
+        all.map(|model| SpreadGap { model: model.name.clone(), wanted, found: found(model) });
     gaps.filter(|gap| gap.found < wanted).collect()
 }
--- a/crates/oliveworks-gateway-core/tests/planner/drain.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/drain.rs
@@ -36,8 +36,8 @@
                     leader.give(world, server, order, expects);
                 }
                 Command::Probe { server, .. } => match world.holding(&server) {
-                    Some(holding) => leader.planner.reported(world.now, &server, &holding),
-                    None => leader.planner.silent(world.now, &server, false),
+                    Some(holding) => leader.planner.handle_report(world.now, &server, &holding),
+                    None => leader.planner.handle_silence(world.now, &server, false),
                 },
             }
         }
--- a/crates/oliveworks-gateway-core/tests/planner/heads.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/heads.rs
@@ -30,8 +30,8 @@
 /// The members of the first group that hosts form which are listed at 0, answer, and are planned for at a time.
 fn members(hosts: &[BackendServer], now: u64) -> Vec<String> {
     let mut planner = Planner::new(PlannerConfig::default(), engine(), 1, 0);
-    hosts.iter().for_each(|host| planner.listed(0, host));
-    hosts.iter().for_each(|host| planner.reported(ANSWERED_AT, &host.id, &host.holding));
+    hosts.iter().for_each(|host| planner.handle_listed_host(0, host));
+    hosts.iter().for_each(|host| planner.handle_report(ANSWERED_AT, &host.id, &host.holding));
     let joins = planner.tick(now).into_iter().find_map(|command| match command {
         Command::Order { order: Order::Join { members, .. }, .. } => Some(members),
         _ => None,
--- a/crates/oliveworks-gateway-core/tests/planner/leader.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/leader.rs
@@ -51,11 +51,11 @@
         let mut planner = Planner::new(config, world.engine.clone(), fence, world.now);
         let mut known = BTreeSet::new();
         for server in world.listed() {
-            planner.listed(world.now, &server);
+            planner.handle_listed_host(world.now, &server);
             known.insert(server.id.clone());
             match world.holding(&server.id) {
-                Some(holding) => planner.reported(world.now, &server.id, &holding),
-                None => planner.silent(world.now, &server.id, false),
+                Some(holding) => planner.handle_report(world.now, &server.id, &holding),
+                None => planner.handle_silence(world.now, &server.id, false),
             }
         }
         planner.adopt_ended(ended);
@@ -66,12 +66,12 @@
     pub fn read_list(&mut self, world: &World) {
         let listed = world.listed();
         for server in &listed {
-            self.planner.listed(world.now, server);
+            self.planner.handle_listed_host(world.now, server);
             self.known.insert(server.id.clone());
         }
         let gone = self.known.iter().filter(|id| !listed.iter().any(|w| w.id == **id));
         for id in gone.cloned().collect::<Vec<_>>() {
-            self.planner.unlisted(&id);
+            self.planner.mark_unlisted(&id);
             self.known.remove(&id);
         }
     }
@@ -84,8 +84,8 @@
         for command in self.planner.tick(world.now) {
             match command {
                 Command::Probe { server, .. } => match world.holding(&server) {
-                    Some(holding) => self.planner.reported(world.now, &server, &holding),
-                    None => self.planner.silent(world.now, &server, false),
+                    Some(holding) => self.planner.handle_report(world.now, &server, &holding),
+                    None => self.planner.handle_silence(world.now, &server, false),
                 },
                 Command::Order { server, order, expects, .. } => {
                     self.give(world, server, order, expects);
@@ -100,7 +100,7 @@
         let serving = self.planner.serving(world.now);
         let groups = serving.iter().filter(|group| group.model == model).count();
         if groups > 0 {
-            self.planner.set_load(world.now, model, load, groups);
+            self.planner.record_load(world.now, model, load, groups);
         }
     }
 
@@ -124,6 +124,6 @@
             world.carry_out(self.fence, &server, &order, expects)
         };
         self.over |= outcome == Outcome::Fenced;
-        self.planner.ordered(world.now, &server, &order, outcome);
+        self.planner.handle_order_outcome(world.now, &server, &order, outcome);
     }
 }
--- a/crates/oliveworks-gateway-core/tests/planner/policy.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/policy.rs
@@ -243,7 +243,7 @@
     let before = group(&leader, world.now);
     let slow = before.members[1].clone();
     world.hosts.get_mut(&slow).expect("a host").pace = 5.0;
-    leader.planner.runs_slowly(world.now, before.epoch);
+    leader.planner.probe_slow_group(world.now, before.epoch);
     run_for(&mut world, &mut leader, STAGED_REPAIR_MS, true);
     let slow_domain = world.hosts[&slow].server.domain.clone();
     assert_eq!(serving(&world, &leader, "large", &slow_domain), 1, "{domain}");
@@ -263,7 +263,7 @@
     for _ in 0..10 {
         let epochs: Vec<u64> =
             leader.planner.serving(world.now).iter().map(|group| group.epoch).collect();
-        epochs.iter().for_each(|epoch| leader.planner.runs_slowly(world.now, *epoch));
+        epochs.iter().for_each(|epoch| leader.planner.probe_slow_group(world.now, *epoch));
         run_for(&mut world, &mut leader, 2_000, true);
     }
     assert!(leader.planner.serving(world.now).len() >= 5, "{:?}", leader.planner.describe());
@@ -281,10 +281,10 @@
         world.hosts.get_mut(id).expect("a spare").alive = false;
     }
     run_for(&mut world, &mut leader, 3_000, true);
-    let large = |group: &oliveworks_gateway_core::planner::Serving| group.model == "large";
+    let large = |group: &oliveworks_gateway_core::planner::ServingGroup| group.model == "large";
     let group = leader.planner.serving(world.now).into_iter().find(large).expect("a large group");
     world.hosts.get_mut(&group.members[1]).expect("a host").pace = 5.0;
-    leader.planner.runs_slowly(world.now, group.epoch);
+    leader.planner.probe_slow_group(world.now, group.epoch);
     run_for(&mut world, &mut leader, 500, true);
     let after = leader.planner.serving(world.now);
     let same = after.iter().find(|other| other.epoch == group.epoch).expect("it serves on");
--- a/crates/oliveworks-gateway-core/tests/planner/restart.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/restart.rs
@@ -35,7 +35,7 @@
     world.restart(&id);
     run_for(&mut world, &mut leader, 10_000, true);
     let before = leader.planner.describe();
-    leader.planner.listed(world.now, &earlier);
+    leader.planner.handle_listed_host(world.now, &earlier);
     run_for(&mut world, &mut leader, TICK_MS, true);
     assert_eq!(leader.planner.describe(), before);
 }
--- a/crates/oliveworks-gateway-core/tests/planner/world.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/world.rs
@@ -516,7 +516,7 @@
     let host = world.hosts.get(id);
     let epoch = host.and_then(|host| host.group.as_ref()).map(|(member, _, _)| member.epoch);
     for leader in leaders {
-        epoch.iter().for_each(|epoch| leader.planner.suspected(*epoch));
+        epoch.iter().for_each(|epoch| leader.planner.suspect_group(*epoch));
     }
 }
 
--- a/crates/oliveworks-gateway-core/tests/quota/main.rs
+++ b/crates/oliveworks-gateway-core/tests/quota/main.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use oliveworks_gateway_core::configuration::Model;
-use oliveworks_gateway_core::quota::{Room, quotas, serving_all};
+use oliveworks_gateway_core::quota::{DomainCapacity, quotas, quotas_releasing_spares};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use test_case::test_case;
@@ -17,15 +17,15 @@
     Model { name: name.into(), size, share, pace: 1.0, load_ms: 16_000, warm_ms: 1_600 }
 }
 
-fn room(hosts: usize, large: usize, small: usize) -> Room {
+fn room(hosts: usize, large: usize, small: usize) -> DomainCapacity {
     let groups = [("large".to_owned(), large), ("small".to_owned(), small)];
     let groups = groups.into_iter().filter(|(_, count)| *count > 0).collect();
-    Room { hosts, groups, ..Room::default() }
+    DomainCapacity { hosts, groups, ..DomainCapacity::default() }
 }
 
 /// The same, where so many free hosts hold the large model.
-fn hot(room: Room, large: usize) -> Room {
-    Room { hot: BTreeMap::from([("large".to_owned(), large)]), ..room }
+fn hot(room: DomainCapacity, large: usize) -> DomainCapacity {
+    DomainCapacity { hot: BTreeMap::from([("large".to_owned(), large)]), ..room }
 }
 
 /// Groups of the large and of the small model in each domain.
@@ -39,9 +39,9 @@
 #[test_case(4, &[hot(room(13, 1, 3), 3), room(14, 2, 3), room(14, 1, 4)], &[(2, 2), (2, 3), (1, 5)]; "what is left of a group is completed there")]
 #[test_case(8, &[room(6, 0, 0), room(7, 0, 0)], &[(0, 3), (0, 3)]; "no room for a large one")]
 #[test_case(8, &[room(0, 0, 0)], &[(0, 0)]; "no hosts")]
-fn groups(size: usize, rooms: &[Room], expected: &[(usize, usize)]) {
+fn groups(size: usize, rooms: &[DomainCapacity], expected: &[(usize, usize)]) {
     let models = [model("large", size, 0.5), model("small", 2, 0.5)];
-    let rooms: BTreeMap<String, Room> =
+    let rooms: BTreeMap<String, DomainCapacity> =
         rooms.iter().enumerate().map(|(index, room)| (format!("d{index}"), room.clone())).collect();
     let quotas = quotas(&models, &rooms);
     let count = |domain: &str, model: &str| quotas[domain].get(model).copied().unwrap_or(0);
@@ -52,7 +52,10 @@
 
 #[test]
 fn one_model_of_single_hosts_fills_all() {
-    let rooms = BTreeMap::from([("d".to_owned(), Room { hosts: 5, ..Room::default() })]);
+    let rooms = BTreeMap::from([(
+        "d".to_owned(),
+        DomainCapacity { hosts: 5, ..DomainCapacity::default() },
+    )]);
     let quotas = quotas(&[model("only", 1, 1.0)], &rooms);
     assert_eq!(quotas["d"]["only"], 5);
 }
@@ -71,10 +74,10 @@
 ) {
     let models: Vec<Model> = models.iter().map(|(name, size)| model(name, *size, 0.5)).collect();
     let rooms = rooms.iter().enumerate().map(|(index, (hosts, spares))| {
-        let room = Room { hosts: *hosts, spares: *spares, ..Room::default() };
+        let room = DomainCapacity { hosts: *hosts, spares: *spares, ..DomainCapacity::default() };
         (format!("d{index}"), room)
     });
-    let found = serving_all(&models, &rooms.collect());
+    let found = quotas_releasing_spares(&models, &rooms.collect());
     let served = |model: &&Model| found.values().any(|groups| groups.contains_key(&model.name));
     let served: Vec<&str> = models.iter().filter(served).map(|model| model.name.as_str()).collect();
     assert_eq!(served, expected);
@@ -83,15 +86,15 @@
 /// Where every model has its group, spares stay.
 #[test]
 fn spares_stay_where_all_models_are_served() {
-    let room = Room { hosts: 8, spares: 2, ..Room::default() };
+    let room = DomainCapacity { hosts: 8, spares: 2, ..DomainCapacity::default() };
     let rooms = BTreeMap::from([("d".to_owned(), room)]);
     let models = [model("large", 4, 0.5), model("small", 2, 0.5)];
-    assert_eq!(serving_all(&models, &rooms), quotas(&models, &rooms));
+    assert_eq!(quotas_releasing_spares(&models, &rooms), quotas(&models, &rooms));
 }
 
-fn random_room(rng: &mut ChaCha8Rng, models: &[Model]) -> Room {
+fn random_room(rng: &mut ChaCha8Rng, models: &[Model]) -> DomainCapacity {
     let hosts = rng.random_range(0..24);
-    let mut room = Room { hosts, ..Room::default() };
+    let mut room = DomainCapacity { hosts, ..DomainCapacity::default() };
     for model in models {
         let groups = rng.random_range(0..=hosts / model.size);
         room.groups.insert(model.name.clone(), groups);
@@ -113,7 +116,7 @@
             models.push(model("third", rng.random_range(2..6), rng.random_range(0.05..1.0)));
         }
         let domains = rng.random_range(1..9);
-        let rooms: BTreeMap<String, Room> =
+        let rooms: BTreeMap<String, DomainCapacity> =
             (0..domains).map(|n| (format!("d{n}"), random_room(&mut rng, &models))).collect();
         assert_eq!(quotas(&models, &rooms), one_by_one(&models, &rooms), "{models:?} {rooms:?}");
     }
--- a/crates/oliveworks-gateway-core/tests/quota/one_by_one.rs
+++ b/crates/oliveworks-gateway-core/tests/quota/one_by_one.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 
 use oliveworks_gateway_core::configuration::Model;
-use oliveworks_gateway_core::quota::{Quotas, Room, per_weight};
+use oliveworks_gateway_core::quota::{DomainCapacity, Quotas, hosts_per_share};
 
 /// The groups that each domain should hold, tried one by one.
-pub fn one_by_one(models: &[Model], rooms: &BTreeMap<String, Room>) -> Quotas {
+pub fn one_by_one(models: &[Model], rooms: &BTreeMap<String, DomainCapacity>) -> Quotas {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     let mut best = rooms.keys().map(|domain| (domain.clone(), BTreeMap::new())).collect();
     let mut open: Vec<&Model> = models.iter().filter(|model| model.size > 0).collect();
@@ -27,7 +27,7 @@
 fn neediest(open: &[&Model], counts: &BTreeMap<&str, usize>) -> Option<usize> {
     let need = |model: &Model| {
         let groups = counts.get(model.name.as_str()).copied().unwrap_or(0);
-        per_weight(groups * model.size, model)
+        hosts_per_share(groups * model.size, model)
     };
     // Where only one of two models fits, the one with the larger part of the work is served.
     let first = |model: &Model| if need(model) > 0.0 { 0.0 } else { -model.share };
@@ -41,7 +41,7 @@
 /// Places so many groups of each model, the largest first; nothing if they do not fit.
 fn pack(
     models: &[Model],
-    rooms: &BTreeMap<String, Room>,
+    rooms: &BTreeMap<String, DomainCapacity>,
     counts: &BTreeMap<&str, usize>,
 ) -> Option<Quotas> {
     let mut packed: Quotas = rooms.keys().map(|domain| (domain.clone(), BTreeMap::new())).collect();
--- a/crates/oliveworks-gateway-core/tests/quota/spread.rs
+++ b/crates/oliveworks-gateway-core/tests/quota/spread.rs
@@ -3,7 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use oliveworks_gateway_core::configuration::Model;
-use oliveworks_gateway_core::quota::{Quotas, Room, Spread, gaps, serving_all, spread_out};
+use oliveworks_gateway_core::quota::{
+    DomainCapacity, Quotas, Spread, quotas_releasing_spares, quotas_spread_over_failure_domains,
+    spread_gaps,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use test_case::test_case;
@@ -11,17 +14,17 @@
 use crate::{model, random_room};
 
 /// Domains, each of them a failure domain.
-fn each_its_own(rooms: &BTreeMap<String, Room>, lost: usize) -> Spread {
+fn each_its_own(rooms: &BTreeMap<String, DomainCapacity>, lost: usize) -> Spread {
     let failure_domains = rooms.keys().map(|domain| (domain.clone(), domain.clone())).collect();
     Spread { lost, failure_domains }
 }
 
-fn named(rooms: impl IntoIterator<Item = Room>) -> BTreeMap<String, Room> {
+fn named(rooms: impl IntoIterator<Item = DomainCapacity>) -> BTreeMap<String, DomainCapacity> {
     rooms.into_iter().enumerate().map(|(n, room)| (format!("d{n}"), room)).collect()
 }
 
-fn empty(hosts: usize, spares: usize) -> Room {
-    Room { hosts, spares, ..Room::default() }
+fn empty(hosts: usize, spares: usize) -> DomainCapacity {
+    DomainCapacity { hosts, spares, ..DomainCapacity::default() }
 }
 
 fn count(quotas: &Quotas, domain: &str, model: &str) -> usize {
@@ -57,7 +60,7 @@
 ) {
     let models = [model("large", large, share), model("small", small, 1.0 - share)];
     let rooms = named(rooms.iter().map(|(hosts, spares)| empty(*hosts, *spares)));
-    let found = spread_out(&models, &rooms, &each_its_own(&rooms, 1));
+    let found = quotas_spread_over_failure_domains(&models, &rooms, &each_its_own(&rooms, 1));
     assert_eq!(by_domain(&found), expected);
 }
 
@@ -68,12 +71,12 @@
     let held =
         |large, small| BTreeMap::from([("large".to_owned(), large), ("small".to_owned(), small)]);
     let rooms = named([
-        Room { groups: held(2, 0), ..empty(16, 0) },
-        Room { groups: held(0, 4), ..empty(16, 0) },
-        Room { groups: held(0, 4), ..empty(16, 0) },
+        DomainCapacity { groups: held(2, 0), ..empty(16, 0) },
+        DomainCapacity { groups: held(0, 4), ..empty(16, 0) },
+        DomainCapacity { groups: held(0, 4), ..empty(16, 0) },
     ]);
-    assert_eq!(by_domain(&serving_all(&models, &rooms)), [(2, 0), (0, 4), (0, 4)]);
-    let found = spread_out(&models, &rooms, &each_its_own(&rooms, 1));
+    assert_eq!(by_domain(&quotas_releasing_spares(&models, &rooms)), [(2, 0), (0, 4), (0, 4)]);
+    let found = quotas_spread_over_failure_domains(&models, &rooms, &each_its_own(&rooms, 1));
     assert_eq!(by_domain(&found), [(1, 2), (1, 2), (0, 4)]);
 }
 
@@ -87,7 +90,7 @@
         lost: 1,
         failure_domains: rooms.keys().cloned().zip(failure_domains_of).collect(),
     };
-    let found = spread_out(&models, &rooms, &spread);
+    let found = quotas_spread_over_failure_domains(&models, &rooms, &spread);
     assert_eq!(count(&found, "d2", "large"), 1);
     assert_eq!(failure_domains(&found, &spread, "small"), 2);
 }
@@ -97,7 +100,7 @@
     let models = [model("large", 8, 0.1), model("small", 4, 0.9)];
     let rooms = named([empty(12, 0), empty(12, 0), empty(12, 0), empty(12, 0)]);
     let spread = each_its_own(&rooms, 2);
-    let found = spread_out(&models, &rooms, &spread);
+    let found = quotas_spread_over_failure_domains(&models, &rooms, &spread);
     let spreads = ["large", "small"].map(|name| failure_domains(&found, &spread, name));
     assert_eq!(spreads, [3, 4]);
 }
@@ -108,13 +111,17 @@
     let models = [model("large", 8, 0.5), model("small", 4, 0.5)];
     let rooms = named([empty(13, 0), empty(5, 0), empty(4, 0)]);
     let spread = each_its_own(&rooms, 1);
-    let found = gaps(&models, &spread_out(&models, &rooms, &spread), &spread);
+    let found = spread_gaps(
+        &models,
+        &quotas_spread_over_failure_domains(&models, &rooms, &spread),
+        &spread,
+    );
     let found: Vec<_> = found.iter().map(|gap| (&*gap.model, gap.found, gap.wanted)).collect();
     assert_eq!(found, [("large", 1, 2)]);
-    assert!(gaps(&models, &Quotas::new(), &each_its_own(&rooms, 0)).is_empty());
+    assert!(spread_gaps(&models, &Quotas::new(), &each_its_own(&rooms, 0)).is_empty());
 }
 
-fn random_case(rng: &mut ChaCha8Rng) -> (Vec<Model>, BTreeMap<String, Room>) {
+fn random_case(rng: &mut ChaCha8Rng) -> (Vec<Model>, BTreeMap<String, DomainCapacity>) {
     let models = vec![
         model("large", rng.random_range(3..13), rng.random_range(0.05..1.0)),
         model("small", rng.random_range(1..7), rng.random_range(0.05..1.0)),
@@ -133,8 +140,8 @@
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     for _ in 0..200 {
         let (models, rooms) = random_case(&mut rng);
-        let found = spread_out(&models, &rooms, &each_its_own(&rooms, 0));
-        assert_eq!(found, serving_all(&models, &rooms), "{models:?} {rooms:?}");
+        let found = quotas_spread_over_failure_domains(&models, &rooms, &each_its_own(&rooms, 0));
+        assert_eq!(found, quotas_releasing_spares(&models, &rooms), "{models:?} {rooms:?}");
     }
 }
 
@@ -146,7 +153,10 @@
     for _ in 0..1_000 {
         let (models, rooms) = random_case(&mut rng);
         let spread = each_its_own(&rooms, 1);
-        let (before, found) = (serving_all(&models, &rooms), spread_out(&models, &rooms, &spread));
+        let (before, found) = (
+            quotas_releasing_spares(&models, &rooms),
+            quotas_spread_over_failure_domains(&models, &rooms, &spread),
+        );
         for (domain, room) in &rooms {
             let used: usize =
                 models.iter().map(|model| model.size * count(&found, domain, &model.name)).sum();
@@ -196,7 +206,7 @@
         let domains = rng.random_range(2..4);
         let hosts: Vec<usize> = (0..domains).map(|_| rng.random_range(2..16)).collect();
         let rooms = named(hosts.iter().map(|hosts| empty(*hosts, 0)));
-        let found = spread_out(&models, &rooms, &each_its_own(&rooms, 1));
+        let found = quotas_spread_over_failure_domains(&models, &rooms, &each_its_own(&rooms, 1));
         let found: Vec<[usize; 2]> = by_domain(&found).into_iter().map(Into::into).collect();
         let served = |layout: &[[usize; 2]]| [0, 1].map(|m| layout.iter().any(|g| g[m] > 0));
         let same = layouts(&hosts, sizes).into_iter().filter(|all| served(all) == served(&found));
--- a/crates/oliveworks-gateway/src/host_statements.rs
+++ b/crates/oliveworks-gateway/src/host_statements.rs
@@ -105,7 +105,7 @@
             .with("told_by", reported_by)
             .write();
         for planner in self.planners.borrow_mut().values_mut() {
-            planner.leaves(server, incarnation);
+            planner.mark_leaving(server, incarnation);
         }
         self.plan_now.notify_one();
         let report = Leaving { target: Target::of(server), life: incarnation };
--- a/crates/oliveworks-gateway/src/leader.rs
+++ b/crates/oliveworks-gateway/src/leader.rs
@@ -142,16 +142,20 @@
         gateway.directory.borrow().of_service(service).cloned().collect();
     let mut probes = Vec::new();
     for server in &servers {
-        planner.listed(gateway.now(), server);
+        planner.handle_listed_host(gateway.now(), server);
         let (gateway, id, address) = (gateway.clone(), server.id.clone(), server.address);
         let answer = ntex::rt::spawn(async move { probe(&gateway, &id, address).await });
         probes.push((server.id.clone(), answer));
     }
     for (id, answer) in probes {
         match answer.await {
-            Ok(ProbeOutcome::Holding(holding)) => planner.reported(gateway.now(), &id, &holding),
-            Ok(ProbeOutcome::Silent { refused }) => planner.silent(gateway.now(), &id, refused),
-            Ok(ProbeOutcome::Replaced) => planner.replaced(gateway.now(), &id),
+            Ok(ProbeOutcome::Holding(holding)) => {
+                planner.handle_report(gateway.now(), &id, &holding)
+            }
+            Ok(ProbeOutcome::Silent { refused }) => {
+                planner.handle_silence(gateway.now(), &id, refused)
+            }
+            Ok(ProbeOutcome::Replaced) => planner.mark_replaced(gateway.now(), &id),
             Err(_) => {}
         }
     }
@@ -227,8 +231,8 @@
         refresh(gateway, service, planner);
         planner.set_traffic(gateway.traffic.get());
         report_load(gateway, service, planner);
-        slow.iter().for_each(|epoch| planner.runs_slowly(now, *epoch));
-        let shares_before = planner.parts();
+        slow.iter().for_each(|epoch| planner.probe_slow_group(now, *epoch));
+        let shares_before = planner.target_shares();
         commands.extend(planner.tick(now).into_iter().map(|command| (service.clone(), command)));
         log_shares(planner, &shares_before);
         log_waiting_hosts(gateway, planner);
@@ -247,7 +251,7 @@
 /// Logs each model whose share of the hosts has changed.
 fn log_shares(planner: &Planner, before: &BTreeMap<String, f64>) {
     for (model, share) in
-        planner.parts().iter().filter(|(model, share)| before.get(*model) != Some(share))
+        planner.target_shares().iter().filter(|(model, share)| before.get(*model) != Some(share))
     {
         Event::new("part_follows_callers")
             .with("model", model.as_str())
@@ -319,7 +323,7 @@
             open_per_slot: f64::from(serving.outstanding) / f64::from(serving.slots.max(1)),
             refused_part: gateway.demand.borrow().refused_part(now, key),
         };
-        planner.set_load(now, &model, load, serving.groups);
+        planner.record_load(now, &model, load, serving.groups);
     }
 }
 
@@ -394,10 +398,10 @@
                 ProbeOutcome::Holding(holding) => {
                     log_slow_host(&server, holding.pace);
                     log_changed_holding(planner, &server, &holding);
-                    planner.reported(now, &server, &holding);
+                    planner.handle_report(now, &server, &holding);
                 }
-                ProbeOutcome::Silent { refused } => planner.silent(now, &server, refused),
-                ProbeOutcome::Replaced => planner.replaced(now, &server),
+                ProbeOutcome::Silent { refused } => planner.handle_silence(now, &server, refused),
+                ProbeOutcome::Replaced => planner.mark_replaced(now, &server),
             }
         }
         Command::Order { server, address, order, expects } => {
@@ -472,6 +476,6 @@
     let now = gateway.now();
     let mut planners = gateway.planners.borrow_mut();
     if let Some(planner) = planners.get_mut(service).filter(|p| p.fence() == fence) {
-        planner.ordered(now, server, order, outcome);
+        planner.handle_order_outcome(now, server, order, outcome);
     }
 }
--- a/crates/oliveworks-gateway/src/missing.rs
+++ b/crates/oliveworks-gateway/src/missing.rs
@@ -20,7 +20,7 @@
         Event::new("host_gone").with("host", &*id).with("missing_ms", missing_ms).write();
         gateway.directory.borrow_mut().remove(&id);
         for planner in gateway.planners.borrow_mut().values_mut() {
-            planner.unlisted(&id);
+            planner.mark_unlisted(&id);
         }
     }
 }
--- a/crates/oliveworks-gateway/src/records.rs
+++ b/crates/oliveworks-gateway/src/records.rs
@@ -183,7 +183,7 @@
 fn has_restarted(gateway: &Gateway, server: &BackendServer) -> bool {
     let directory = gateway.directory.borrow();
     let known = directory.get(&server.id);
-    let known = known.filter(|known| server.holding.is_of_later_life(known.holding.born));
+    let known = known.filter(|known| server.holding.is_of_later_incarnation(known.holding.born));
     let Some(known) = known else { return false };
     gateway.count("hosts_started_again");
     gateway.backoffs.borrow_mut().starts_anew(Target::of(&server.id));
@@ -232,7 +232,7 @@
                 let is_back = missing.found(now, &server.id) && !restarted;
                 listed.insert(server.id.clone());
                 if let Some(planner) = gateway.planners.borrow_mut().get_mut(&server.service) {
-                    planner.listed(now, server);
+                    planner.handle_listed_host(now, server);
                 }
                 if gateway.directory.borrow().get(&server.id).is_none() {
                     update.new = true;
--- a/crates/oliveworks-gateway/src/suspicions.rs
+++ b/crates/oliveworks-gateway/src/suspicions.rs
@@ -37,7 +37,7 @@
     pub fn process_slow_group(&self, epoch: u64) {
         let now = self.now();
         for planner in self.planners.borrow_mut().values_mut() {
-            planner.runs_slowly(now, epoch);
+            planner.probe_slow_group(now, epoch);
         }
     }
 
@@ -49,7 +49,7 @@
             self.send_now.notify_one();
         }
         for planner in self.planners.borrow_mut().values_mut() {
-            planner.suspected(epoch);
+            planner.suspect_group(epoch);
         }
     }
 
@@ -70,7 +70,7 @@
         }
         drop(table);
         for planner in self.planners.borrow_mut().values_mut() {
-            planner.suspected(epoch);
+            planner.suspect_group(epoch);
         }
     }
 }
