--- a/crates/oliveworks-gateway/src/crashers.rs
+++ b/crates/oliveworks-gateway/src/crashers.rs
@@ -8,7 +8,7 @@
 use ring::digest::{Context, SHA256};
 
 use crate::connection::ReceivedRequest;
-use crate::dialect::Asked;
+use crate::dialect::RequestInfo;
 use crate::events::Event;
 use crate::exchange::{Exchange, NoConnection};
 use crate::places::Place;
@@ -20,7 +20,7 @@
 /// try, and parts of a prompt are hints.
 pub fn fingerprint(
     request: &ReceivedRequest,
-    asked: &Asked,
+    asked: &RequestInfo,
     workspace: Option<&str>,
 ) -> Fingerprint {
     let parts: [&[u8]; 6] = [
--- a/crates/oliveworks-gateway/src/dialect.rs
+++ b/crates/oliveworks-gateway/src/dialect.rs
@@ -107,7 +107,7 @@
 
 /// Result of a claim to the leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Claimed {
+pub enum ClaimOutcome {
     /// The claim is written at this offset.
     Written(u64),
     /// Another record was written meanwhile.
@@ -118,7 +118,7 @@
 
 /// Properties of a request, read from its headers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Asked {
+pub struct RequestInfo {
     /// Id of the request.
     pub id: String,
     /// Key of the caller.
@@ -137,7 +137,7 @@
 
 /// Information that this system adds to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Said<'a> {
+pub struct ForwardInfo<'a> {
     /// Time left for the backend server, in ms.
     pub deadline_ms: u64,
     /// Id of the intended backend server.
@@ -188,7 +188,7 @@
 
 /// Properties of an answer, read from its head.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Answered {
+pub struct AnswerInfo {
     /// Id of the request that is answered.
     pub id: Option<String>,
     /// Whether the answer carries the backend server's signature.
@@ -204,7 +204,7 @@
     /// Rate limit named by the backend server.
     pub limit: NamedLimit,
     /// Names of headers about the backend server that this gateway does not read.
-    pub unread: Vec<String>,
+    pub unknown_headers: Vec<String>,
 }
 
 /// Message formats of a platform.
@@ -213,56 +213,62 @@
     ///
     /// # Errors
     /// Returns an error if the request has no id.
-    fn asked(&self, headers: &Headers) -> Result<Asked, Malformed>;
+    fn parse_request(&self, headers: &Headers) -> Result<RequestInfo, Malformed>;
     /// Returns the headers for a backend server: those of the caller, except for headers reserved
     /// for this system, and those with the information in `said`.
-    fn outgoing(&self, headers: &Headers, said: &Said<'_>) -> Headers;
+    fn outgoing_headers(&self, headers: &Headers, said: &ForwardInfo<'_>) -> Headers;
     /// Reads the relevant parts of an answer's head.
-    fn answered(&self, status: u16, headers: &Headers) -> Answered;
+    fn parse_answer(&self, status: u16, headers: &Headers) -> AnswerInfo;
     /// Returns the header with the time after which a caller may retry.
-    fn come_back(&self, ms: u64) -> (String, String);
+    fn retry_after_header(&self, ms: u64) -> (String, String);
     /// Returns the header with the request id for an answer of this system itself.
-    fn request_id(&self, id: &str) -> (String, String);
+    fn request_id_header(&self, id: &str) -> (String, String);
     /// Returns the path at which the platform checks the readiness of a process.
     fn ready_path(&self) -> &'static str;
 
     /// Reads the era named in an answer of the store.
-    fn store_era(&self, headers: &Headers) -> NamedEra;
+    fn parse_store_era(&self, headers: &Headers) -> NamedEra;
     /// Builds the call for a page of a topic's newest records.
-    fn newest(&self, topic: Topic, after: Option<&str>) -> Call;
+    fn newest_call(&self, topic: Topic, after: Option<&str>) -> Call;
     /// Parses the answer to that call.
     ///
     /// # Errors
     /// Returns an error if the answer cannot be parsed.
-    fn page(&self, topic: Topic, status: u16, body: &[u8]) -> Result<Page, Malformed>;
+    fn parse_page(&self, topic: Topic, status: u16, body: &[u8]) -> Result<Page, Malformed>;
     /// Builds the call that reads a topic from an offset; the store may wait up to `wait_ms` for a
     /// record.
-    fn tail(&self, topic: Topic, from: u64, wait_ms: u64) -> Call;
+    fn tail_call(&self, topic: Topic, from: u64, wait_ms: u64) -> Call;
     /// Parses the answer to a read from offset `from`.
     ///
     /// # Errors
     /// Returns an error if the answer cannot be parsed.
-    fn tailed(&self, topic: Topic, from: u64, status: u16, body: &[u8]) -> Result<Tail, Malformed>;
+    fn parse_tail(
+        &self,
+        topic: Topic,
+        from: u64,
+        status: u16,
+        body: &[u8],
+    ) -> Result<Tail, Malformed>;
     /// Builds the call that claims the leadership if the topic still ends at `end`.
-    fn claim(&self, end: Place, claimant: u64) -> Call;
+    fn claim_call(&self, end: Place, claimant: u64) -> Call;
     /// Parses the answer to a claim.
     ///
     /// # Errors
     /// Returns an error if the answer cannot be parsed.
-    fn claimed(&self, status: u16, body: &[u8]) -> Result<Claimed, Malformed>;
+    fn parse_claim(&self, status: u16, body: &[u8]) -> Result<ClaimOutcome, Malformed>;
 
     /// Builds the call that sends an order to a backend server.
     ///
     /// The server rejects the order if `expects` is given and differs from the number of orders
     /// that the server has begun.
-    fn order(&self, server: &str, fence: u64, order: &Order, expects: Option<u64>) -> Call;
+    fn order_call(&self, server: &str, fence: u64, order: &Order, expects: Option<u64>) -> Call;
     /// Interprets the status of the answer to an order.
-    fn ordered(&self, status: u16) -> Outcome;
+    fn parse_order_status(&self, status: u16) -> Outcome;
     /// Builds the call that asks a backend server for its state.
-    fn report(&self, server: &str) -> Call;
+    fn report_call(&self, server: &str) -> Call;
     /// Parses the state; none if another backend server answers at the address.
     ///
     /// # Errors
     /// Returns an error if the answer cannot be parsed.
-    fn reported(&self, status: u16, body: &[u8]) -> Result<Option<Holding>, Malformed>;
+    fn parse_report(&self, status: u16, body: &[u8]) -> Result<Option<Holding>, Malformed>;
 }
--- a/crates/oliveworks-gateway/src/follow.rs
+++ b/crates/oliveworks-gateway/src/follow.rs
@@ -252,10 +252,10 @@
             return self.tail(Place::new(gateway.era(), 0), 0).await;
         }
         loop {
-            let call = gateway.dialect.newest(self.topic, after.as_deref());
+            let call = gateway.dialect.newest_call(self.topic, after.as_deref());
             let (status, body) = self.client.call(&call, 0).await?;
             let page =
-                gateway.dialect.page(self.topic, status, &body).map_err(|e| e.to_string())?;
+                gateway.dialect.parse_page(self.topic, status, &body).map_err(|e| e.to_string())?;
             records.extend(page.records);
             // Pages do not form a consistent snapshot: changes since the first page are read again.
             let end = *first_end.get_or_insert(Place::new(gateway.era(), page.end));
@@ -275,7 +275,7 @@
         let gateway = self.client.gateway().clone();
         let sent = gateway.now();
         let from = place.offset;
-        let call = gateway.dialect.tail(self.topic, from, wait_ms);
+        let call = gateway.dialect.tail_call(self.topic, from, wait_ms);
         let (status, body) = self.client.call(&call, wait_ms).await?;
         let era = gateway.era();
         if era != place.era && from != 0 {
@@ -284,7 +284,7 @@
         }
         let tail = gateway
             .dialect
-            .tailed(self.topic, from, status, &body)
+            .parse_tail(self.topic, from, status, &body)
             .map_err(|error| error.to_string())?;
         match tail {
             Tail::Records(records, next) => {
--- a/crates/oliveworks-gateway/src/host_statements.rs
+++ b/crates/oliveworks-gateway/src/host_statements.rs
@@ -7,7 +7,7 @@
 use oliveworks_gateway_core::balance::Target;
 use serde::{Deserialize, Serialize};
 
-use crate::dialect::{Answered, RetryAfter};
+use crate::dialect::{AnswerInfo, RetryAfter};
 use crate::events::Event;
 use crate::state::Gateway;
 
@@ -43,10 +43,10 @@
 
 impl Gateway {
     /// Processes what an answer to a request or a call says about its sender.
-    pub fn process_statements(&self, sender: Sender<'_>, answered: &Answered, request: &str) {
+    pub fn process_statements(&self, sender: Sender<'_>, answered: &AnswerInfo, request: &str) {
         let Sender { server, incarnation, .. } = sender;
         self.record_limit(sender, answered, request);
-        self.report_unread(server, &answered.unread);
+        self.report_unread(server, &answered.unknown_headers);
         if answered.leaving {
             self.count("answers_of_leaving_hosts");
             self.mark_leaving(server, incarnation, "an answer");
--- a/crates/oliveworks-gateway/src/leader.rs
+++ b/crates/oliveworks-gateway/src/leader.rs
@@ -183,10 +183,16 @@
 async fn probe(gateway: &Gateway, server: &str, address: SocketAddr) -> ProbeOutcome {
     gateway.count("probes");
     let _slot = gateway.calls.acquire_slot(CallKind::Probe).await;
-    match call_server(gateway, server, address, &gateway.dialect.report(server), PROBE_TIMEOUT_MS)
-        .await
+    match call_server(
+        gateway,
+        server,
+        address,
+        &gateway.dialect.report_call(server),
+        PROBE_TIMEOUT_MS,
+    )
+    .await
     {
-        Ok(Reply { status, body, .. }) => match gateway.dialect.reported(status, &body) {
+        Ok(Reply { status, body, .. }) => match gateway.dialect.parse_report(status, &body) {
             Ok(Some(holding)) => ProbeOutcome::Holding(holding),
             Ok(None) => ProbeOutcome::Replaced,
             Err(_) => ProbeOutcome::Silent { refused: false },
@@ -212,7 +218,7 @@
     let answer = exchange::call(&mut open, address, call, within_ms).await;
     let reply = answer.map_err(|_: ExchangeError| false)?;
     if reply.status != MISDIRECTED {
-        let answered = gateway.dialect.answered(reply.status, &reply.headers);
+        let answered = gateway.dialect.parse_answer(reply.status, &reply.headers);
         let sender = Sender { server, incarnation, sent_at, to_request: false };
         gateway.process_statements(sender, &answered, &call.target);
     }
@@ -405,7 +411,7 @@
             }
         }
         Command::Order { server, address, order, expects } => {
-            let call = gateway.dialect.order(&server, fence, &order, expects);
+            let call = gateway.dialect.order_call(&server, fence, &order, expects);
             let outcome = send_order(&gateway, fence, &server, address, &call).await;
             Event::new("order")
                 .with("host", &*server)
@@ -457,7 +463,7 @@
     }
     gateway.count("orders");
     match call_server(gateway, server, address, order, ORDER_TIMEOUT_MS).await {
-        Ok(Reply { status, .. }) => gateway.dialect.ordered(status),
+        Ok(Reply { status, .. }) => gateway.dialect.parse_order_status(status),
         Err(_) => Outcome::Unanswered,
     }
 }
--- a/crates/oliveworks-gateway/src/rate_limits.rs
+++ b/crates/oliveworks-gateway/src/rate_limits.rs
@@ -11,7 +11,7 @@
 use oliveworks_gateway_core::rate_limits::limits::{Heard, Limit, Limits};
 use oliveworks_gateway_core::rate_limits::{Answer, NoPermit, Question, Rate, Step};
 
-use crate::dialect::{Answered, NamedLimit};
+use crate::dialect::{AnswerInfo, NamedLimit};
 use crate::events::Event;
 use crate::host_statements::Sender;
 use crate::members;
@@ -34,7 +34,7 @@
 
 impl Gateway {
     /// Processes the limit named in an answer.
-    pub fn record_limit(&self, sender: Sender<'_>, answered: &Answered, request: &str) {
+    pub fn record_limit(&self, sender: Sender<'_>, answered: &AnswerInfo, request: &str) {
         let rate = match &answered.limit {
             NamedLimit::NotTold => None,
             NamedLimit::Rate(rate) => {
--- a/crates/oliveworks-gateway/src/relay.rs
+++ b/crates/oliveworks-gateway/src/relay.rs
@@ -22,7 +22,7 @@
 
 use crate::connection::{Connection, Disconnected, ReceivedRequest};
 use crate::crashers::{FailedRun, fingerprint};
-use crate::dialect::{Asked, Headers};
+use crate::dialect::{Headers, RequestInfo};
 use crate::events::Event;
 use crate::places::Place;
 use crate::state::Gateway;
@@ -59,7 +59,7 @@
 struct Job<'a> {
     gateway: &'a Gateway,
     request: &'a ReceivedRequest,
-    asked: Asked,
+    asked: RequestInfo,
     route: Route,
     service: String,
     /// Requested model, if the service serves models by replica groups.
@@ -99,13 +99,13 @@
     gateway.count(answer.code);
     let mut headers: Headers = Vec::new();
     if !id.is_empty() {
-        let (name, value) = gateway.dialect.request_id(id);
+        let (name, value) = gateway.dialect.request_id_header(id);
         headers.push((name, value.into()));
     }
     if answer.come_back {
         let (name, value) = gateway
             .dialect
-            .come_back(retry_after_ms + rand::random_range(0..RETRY_AFTER_JITTER_MS));
+            .retry_after_header(retry_after_ms + rand::random_range(0..RETRY_AFTER_JITTER_MS));
         headers.push((name, value.into()));
     }
     headers.push(("content-type".into(), "application/json".into()));
@@ -125,7 +125,7 @@
 ) -> End {
     gateway.count("requests");
     gateway.traffic.set(true);
-    let asked = match gateway.dialect.asked(&request.headers) {
+    let asked = match gateway.dialect.parse_request(&request.headers) {
         Ok(asked) => asked,
         Err(_) => return reject(gateway, connection, "", Verdict::BadRequest, 0).await,
     };
@@ -175,7 +175,7 @@
     gateway: &'a Gateway,
     lookup: &Lookup,
     request: &'a ReceivedRequest,
-    asked: Asked,
+    asked: RequestInfo,
 ) -> Result<Job<'a>, Verdict> {
     let host = request.header("host").ok_or(Verdict::BadRequest)?;
     let path = request.target.split('?').next().unwrap_or_default();
--- a/crates/oliveworks-gateway/src/relay/attempt.rs
+++ b/crates/oliveworks-gateway/src/relay/attempt.rs
@@ -14,7 +14,7 @@
 
 use super::Job;
 use crate::connection::{Connection, Disconnected};
-use crate::dialect::{Answered, Headers, Said};
+use crate::dialect::{AnswerInfo, ForwardInfo, Headers};
 use crate::events::Event;
 use crate::exchange::{Exchange, MISDIRECTED, NoConnection, headers_of};
 use crate::host_statements::Sender;
@@ -54,7 +54,7 @@
 impl Job<'_> {
     fn build_request(&self, place: &Place) -> Option<Request<Full<Bytes>>> {
         let now = self.gateway.now();
-        let said = Said {
+        let said = ForwardInfo {
             deadline_ms: self.deadline.saturating_sub(now).max(1),
             server: &place.server,
             workspace: self.workspace.as_deref(),
@@ -63,7 +63,7 @@
         };
         let mut builder = Request::builder();
         builder = builder.method(self.request.method.as_str()).uri(&self.request.target);
-        for (name, value) in self.gateway.dialect.outgoing(&self.request.headers, &said) {
+        for (name, value) in self.gateway.dialect.outgoing_headers(&self.request.headers, &said) {
             if !HOP_BY_HOP_HEADERS.contains(&name.as_str()) {
                 builder = builder.header(name, value.as_ref());
             }
@@ -113,7 +113,7 @@
         };
         let status = response.status().as_u16();
         let headers = headers_of(&response);
-        let answered = self.gateway.dialect.answered(status, &headers);
+        let answered = self.gateway.dialect.parse_answer(status, &headers);
         if self.is_from_target(status, &answered) {
             let server = &*place.server;
             let sender = Sender { server, incarnation, sent_at: sent, to_request: true };
@@ -139,7 +139,7 @@
 
     /// Returns whether an answer belongs to this request and comes from the intended backend
     /// server, so that its statements about the sender are valid.
-    fn is_from_target(&self, status: u16, answered: &Answered) -> bool {
+    fn is_from_target(&self, status: u16, answered: &AnswerInfo) -> bool {
         status != MISDIRECTED && answered.id.as_deref().is_none_or(|id| id == self.asked.id)
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// Returns the outcome of the attempt if the head of the answer alone decides it.
-    fn outcome_of_head(&self, status: u16, answered: &Answered) -> Option<AttemptOutcome> {
+    fn outcome_of_head(&self, status: u16, answered: &AnswerInfo) -> Option<AttemptOutcome> {
         let answers_this_request = answered.id.as_deref().is_none_or(|id| id == self.asked.id);
         let success = (200..300).contains(&status);
         if !answers_this_request || answered.encoded || (success && !answered.signed) {
--- a/crates/oliveworks-gateway/src/store.rs
+++ b/crates/oliveworks-gateway/src/store.rs
@@ -6,7 +6,7 @@
 use oliveworks_gateway_core::era::EraChange;
 use oliveworks_gateway_core::place::Place;
 
-use crate::dialect::{Call, Claimed};
+use crate::dialect::{Call, ClaimOutcome};
 use crate::events::Event;
 use crate::exchange::{self, Exchange};
 use crate::state::Gateway;
@@ -54,7 +54,7 @@
         match exchange::call(&mut open, store.address, call, within_ms).await {
             Ok(answer) => {
                 self.exchange = Some(open);
-                let era = self.gateway.dialect.store_era(&answer.headers);
+                let era = self.gateway.dialect.parse_store_era(&answer.headers);
                 if self.gateway.record_store_era(sent, &era, &call.target) == EraChange::Late {
                     return Err("an answer of a former copy of the store".to_owned());
                 }
@@ -73,26 +73,26 @@
 /// Claims the leadership.
 pub async fn claim_leadership(gateway: Rc<Gateway>, end: Place) {
     let mut client = Client::new(&gateway);
-    let call = gateway.dialect.claim(end, gateway.incarnation);
+    let call = gateway.dialect.claim_call(end, gateway.incarnation);
     Event::new("claims_to_lead").with("end", end.offset).with("era", end.era.0).write();
     let answer = client.call(&call, 0).await;
     let claimed = answer.and_then(|(status, body)| {
-        gateway.dialect.claimed(status, &body).map_err(|error| error.to_string())
+        gateway.dialect.parse_claim(status, &body).map_err(|error| error.to_string())
     });
     let now = gateway.now();
     match claimed {
         // The record names the era in which the topic ended at `end`. In another era, other
         // gateways would not compute the same fence.
-        Ok(Claimed::Written(_)) if gateway.era() != end.era => {
+        Ok(ClaimOutcome::Written(_)) if gateway.era() != end.era => {
             gateway.election.borrow_mut().refused(now);
         }
-        Ok(Claimed::Written(offset)) => {
+        Ok(ClaimOutcome::Written(offset)) => {
             let claim = Claim { place: Place::new(end.era, offset), claimant: gateway.incarnation };
             let next = Place::new(end.era, offset + 1);
             gateway.election.borrow_mut().read(now, Some(claim), next);
         }
-        Ok(Claimed::Lost) => gateway.election.borrow_mut().refused(now),
-        Ok(Claimed::Refused(status)) => gateway.store_failed("claim", &status.to_string()),
+        Ok(ClaimOutcome::Lost) => gateway.election.borrow_mut().refused(now),
+        Ok(ClaimOutcome::Refused(status)) => gateway.store_failed("claim", &status.to_string()),
         Err(why) => gateway.store_failed("claim", &why),
     }
 }
