--- a/crates/oliveworks-gateway-core/src/admission.rs
+++ b/crates/oliveworks-gateway-core/src/admission.rs
@@ -68,7 +68,7 @@
 
 /// A request that is looking for a replica group.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Asking {
+pub struct AdmissionRequest {
     /// Number of tokens of the prompt.
     pub tokens: u32,
     /// Load, as a multiple of the slots, up to which the request may fill a group.
@@ -79,7 +79,7 @@
     pub parts: CapacityShares,
 }
 
-impl Asking {
+impl AdmissionRequest {
     fn share(&self, candidate: &Candidate) -> f64 {
         if candidate.is_local { self.parts.local } else { self.parts.remote }
     }
@@ -138,7 +138,7 @@
         &mut self,
         now: Millis,
         balance: &Balance,
-        asking: &Asking,
+        asking: &AdmissionRequest,
         candidates: &mut Vec<Candidate>,
     ) {
         candidates.retain(|candidate| {
@@ -154,7 +154,7 @@
         &self,
         now: Millis,
         balance: &Balance,
-        asking: &Asking,
+        asking: &AdmissionRequest,
         candidate: &Candidate,
     ) -> bool {
         let slots = f64::from(candidate.slots) * asking.full_at;
@@ -172,7 +172,7 @@
         &self,
         now: Millis,
         balance: &Balance,
-        asking: &Asking,
+        asking: &AdmissionRequest,
         candidate: &Candidate,
         unread_ms: f64,
     ) -> bool {
--- a/crates/oliveworks-gateway-core/src/backoff.rs
+++ b/crates/oliveworks-gateway-core/src/backoff.rs
@@ -42,7 +42,7 @@
 
     /// Clears the backoff of a backend server that has restarted, because its new process has not
     /// asked for one.
-    pub fn starts_anew(&mut self, target: Target) {
+    pub fn remove(&mut self, target: Target) {
         self.until.remove(&target);
     }
 
--- a/crates/oliveworks-gateway-core/src/crashers.rs
+++ b/crates/oliveworks-gateway-core/src/crashers.rs
@@ -165,7 +165,7 @@
 
     /// Applies another gateway's report of a request, and returns whether the report contains
     /// anything new.
-    pub fn told(&mut self, now: Millis, chain: Chain) -> bool {
+    pub fn apply_report(&mut self, now: Millis, chain: Chain) -> bool {
         let held_ms = if chain.is_convicted { CONVICTED_MS } else { SUSPECT_MS };
         let is_recent = |ago_ms: u64| ago_ms < held_ms;
         let ends = chain.ends.iter().filter(|end| is_recent(end.ago_ms));
@@ -246,7 +246,7 @@
 
     /// Returns the chains to report to other gateways, most important first: recent changes, and at
     /// intervals all convicted requests, for gateways that have started or were cut off.
-    pub fn to_tell(&mut self, now: Millis) -> Vec<Chain> {
+    pub fn chains_to_report(&mut self, now: Millis) -> Vec<Chain> {
         self.settle(now);
         let all = now >= self.all_reported_at + REPORT_ALL_INTERVAL_MS;
         if all {
@@ -290,7 +290,7 @@
     /// Returns whether a request has to wait for the result of a run of the same request at any
     /// gateway, because each of several concurrent copies could crash a backend server. A request
     /// that many callers send at once completes somewhere and is no suspect.
-    pub fn is_tried_already(&self, now: Millis, request: Fingerprint) -> bool {
+    pub fn must_wait_for_trial(&self, now: Millis, request: Fingerprint) -> bool {
         let Some(record) = self.records.get(&request) else { return false };
         record.runs_one_by_one()
             && (self.running.has_request(request) || record.is_being_tried(now))
--- a/crates/oliveworks-gateway-core/src/drains.rs
+++ b/crates/oliveworks-gateway-core/src/drains.rs
@@ -75,7 +75,7 @@
 
     /// Replaces the drains by those of a read of all newest records: any other drain has ended.
     /// Returns the drains that ended.
-    pub fn read_anew(&mut self, now: Millis, drained: &BTreeSet<String>) -> Vec<Ended> {
+    pub fn replace_all(&mut self, now: Millis, drained: &BTreeSet<String>) -> Vec<Ended> {
         self.unconfirmed.clear();
         let ended: Vec<String> =
             self.since.keys().filter(|name| !drained.contains(*name)).cloned().collect();
@@ -98,7 +98,7 @@
     /// Records that another gateway observed the end of a drain, and returns whether the end is
     /// new. This gateway may have started since, in which case it never knew of the drain, and the
     /// records that it reads may predate the end.
-    pub fn ended_elsewhere(&mut self, failure_domain: &str, at: Millis) -> bool {
+    pub fn record_remote_end(&mut self, failure_domain: &str, at: Millis) -> bool {
         let known = self.ended.get(failure_domain);
         if self.holds(failure_domain) || known.is_some_and(|known| at <= known.at + SAME_END_MS) {
             return false;
--- a/crates/oliveworks-gateway-core/src/election.rs
+++ b/crates/oliveworks-gateway-core/src/election.rs
@@ -138,7 +138,7 @@
 
     /// Handles a heartbeat, from the leader itself or forwarded. Returns whether the heartbeat is
     /// new.
-    pub fn heard(&mut self, now: Millis, heartbeat: Heartbeat) -> bool {
+    pub fn observe_heartbeat(&mut self, now: Millis, heartbeat: Heartbeat) -> bool {
         let Heartbeat { fence, number, .. } = heartbeat;
         let older_leader = self.newest.as_ref().is_some_and(|newest| fence < newest.fence());
         let known = self.heartbeat.is_some_and(|last| (fence, number) <= (last.fence, last.number));
@@ -150,7 +150,7 @@
         if heartbeat.reaches_store {
             self.store_reached_at = now;
         }
-        if fence > self.deposed_fence && self.leads().is_some_and(|own| own < fence) {
+        if fence > self.deposed_fence && self.leading_fence().is_some_and(|own| own < fence) {
             self.deposed_fence = fence;
         }
         true
@@ -162,8 +162,8 @@
     }
 
     /// Creates the next heartbeat of this gateway, if it leads.
-    pub fn beat(&mut self, table: u64, reaches_store: bool) -> Option<Heartbeat> {
-        let fence = self.leads()?;
+    pub fn next_heartbeat(&mut self, table: u64, reaches_store: bool) -> Option<Heartbeat> {
+        let fence = self.leading_fence()?;
         let last = self.heartbeat.filter(|last| last.fence == fence);
         let number = last.map_or(0, |last| last.number + 1);
         self.heartbeat = Some(Heartbeat { fence, number, table, reaches_store });
@@ -198,7 +198,7 @@
     }
 
     /// Returns the fence under which this gateway leads, if it leads.
-    pub fn leads(&self) -> Option<u64> {
+    pub fn leading_fence(&self) -> Option<u64> {
         let newest = self.newest.as_ref()?;
         let fence = newest.fence();
         (newest.claimant == self.claimant && fence > self.deposed_fence).then_some(fence)
@@ -218,7 +218,7 @@
     /// conditional on. `rank` is the number of gateways ranked before this one.
     pub fn claim(&mut self, now: Millis, rank: u64) -> Option<Place> {
         let end = self.read_to?;
-        if self.leads().is_some() {
+        if self.leading_fence().is_some() {
             return None;
         }
         // A claim that the store does not answer is a priced call without a benefit.
@@ -240,7 +240,7 @@
 
     /// Records that a claim was refused because the topic had grown; the next claim follows a new
     /// read.
-    pub fn refused(&mut self, now: Millis) {
+    pub fn claim_refused(&mut self, now: Millis) {
         self.claimed_at = None;
         self.last_heartbeat_at = now;
         self.store_reached_at = now;
--- a/crates/oliveworks-gateway-core/src/missing.rs
+++ b/crates/oliveworks-gateway-core/src/missing.rs
@@ -21,7 +21,7 @@
 
 /// State of the store at the time of a sweep.
 #[derive(Clone, Copy, Debug)]
-pub struct Look {
+pub struct StoreState {
     /// Time at which a call to the store last failed.
     pub store_failed_at: Option<Millis>,
     /// Time up to which the store's list is known.
@@ -60,7 +60,7 @@
 
 /// A backend server that counts as gone from now on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Left {
+pub struct Departed {
     /// Id of the backend server.
     pub id: BackendServerId,
     /// How long the backend server was missing, in ms.
@@ -152,7 +152,7 @@
 
     /// Removes the backend servers that have been missing for long and returns them; they count as
     /// gone.
-    pub fn sweep(&mut self, now: Millis, look: Look, directory: &Directory) -> Vec<Left> {
+    pub fn sweep(&mut self, now: Millis, look: StoreState, directory: &Directory) -> Vec<Departed> {
         if now < self.rewrite_deadline(look, directory.len()) {
             return Vec::new();
         }
@@ -160,9 +160,9 @@
         let is_final =
             |loss: &Loss| loss.may_return_until.is_none_or(|until| look.read_at >= until);
         let removed = self.lost.extract_if(.., |_, loss| is_final(loss));
-        let left: Vec<Left> =
-            removed.map(|(id, loss)| Left { id, missing_ms: now - loss.since }).collect();
-        for Left { id, .. } in &left {
+        let left: Vec<Departed> =
+            removed.map(|(id, loss)| Departed { id, missing_ms: now - loss.since }).collect();
+        for Departed { id, .. } in &left {
             let before = self.gone.get(id).and_then(|gone| gone.last);
             let last = directory.get(id).map(Last::of).or(before);
             self.gone.insert(id.clone(), Gone { at: now, last });
@@ -177,7 +177,7 @@
     }
 
     /// Returns the time until which entries that went missing together may come back.
-    fn rewrite_deadline(&self, look: Look, listed: usize) -> Millis {
+    fn rewrite_deadline(&self, look: StoreState, listed: usize) -> Millis {
         let many = self.lost.len() >= MIN_JOINT_LOSSES
             && self.lost.len() * 100 >= listed * MIN_JOINT_LOSS_PERCENT;
         match look.store_failed_at {
--- a/crates/oliveworks-gateway-core/src/obstacles.rs
+++ b/crates/oliveworks-gateway-core/src/obstacles.rs
@@ -105,7 +105,7 @@
 
 impl NoPlace {
     /// Returns the result if every existing place has one of these obstacles.
-    pub fn kept_by(obstacles: &[Obstacle]) -> NoPlace {
+    pub fn from_obstacles(obstacles: &[Obstacle]) -> NoPlace {
         let free_at = obstacles.iter().map(|obstacle| obstacle.ends_at()).min();
         let temporary = obstacles.iter().filter(|obstacle| obstacle.is_temporary());
         let reason = temporary.fold(NoTarget::None, |reason, obstacle| match obstacle {
--- a/crates/oliveworks-gateway-core/src/rate_limits.rs
+++ b/crates/oliveworks-gateway-core/src/rate_limits.rs
@@ -62,7 +62,7 @@
 
 /// A request for a permit, sent to a limiter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
+pub struct PermitRequest {
     /// The limit as known by the requesting gateway.
     pub limit: Limit,
     /// The purpose of the permit.
@@ -93,7 +93,7 @@
     /// This gateway is the limiter and has decided.
     Decided(Grant),
     /// Send the permit request to the limiter with this name hash.
-    Ask(u64, Question),
+    Ask(u64, PermitRequest),
 }
 
 /// The rate limits that this gateway knows, and the buckets and permits that it holds.
@@ -142,7 +142,7 @@
         if !self.permits.begin_to_ask(now, target, need) {
             return Step::Wait;
         }
-        let question = Question { limit, need };
+        let question = PermitRequest { limit, need };
         let limiter = members.limiter(now, target);
         if limiter != members.own() {
             self.buckets.hand_over(target);
@@ -154,8 +154,8 @@
     }
 
     /// Answers a permit request of another gateway or of this one.
-    pub fn answer(&mut self, now: Millis, question: Question, members: &Members) -> Answer {
-        self.limits.told(now, question.limit);
+    pub fn answer(&mut self, now: Millis, question: PermitRequest, members: &Members) -> Answer {
+        self.limits.apply_report(now, question.limit);
         let target = question.limit.target;
         let limit = self.limits.get(target).unwrap_or(question.limit);
         let is_limiter = members.limiter(now, target) == members.own();
@@ -175,7 +175,7 @@
 
     /// Applies a limiter's answer.
     pub fn answered(&mut self, now: Millis, answer: Answer) {
-        self.limits.told(now, answer.limit);
+        self.limits.apply_report(now, answer.limit);
         let target = answer.limit.target;
         match answer.grant {
             Grant::Permit => self.permits.granted(target),
--- a/crates/oliveworks-gateway-core/src/rate_limits/limits.rs
+++ b/crates/oliveworks-gateway-core/src/rate_limits/limits.rs
@@ -65,7 +65,7 @@
 
 /// The rate information in an answer of a backend server.
 #[derive(Clone, Copy, Debug)]
-pub struct Heard {
+pub struct RateObservation {
     /// The backend server that answered.
     pub target: Target,
     /// The incarnation of the backend server, as known when the request was sent.
@@ -93,8 +93,8 @@
 
 impl Limits {
     /// Applies the rate information of an answer, and returns whether the known limit changes.
-    pub fn heard(&mut self, now: Millis, heard: Heard) -> bool {
-        let Heard { target, life, sent_at, rate, would_name } = heard;
+    pub fn observe(&mut self, now: Millis, heard: RateObservation) -> bool {
+        let RateObservation { target, life, sent_at, rate, would_name } = heard;
         if rate.is_none() && !would_name {
             return false;
         }
@@ -124,7 +124,7 @@
     }
 
     /// Applies a limit reported by another gateway, and returns whether the known limit changes.
-    pub fn told(&mut self, now: Millis, limit: Limit) -> bool {
+    pub fn apply_report(&mut self, now: Millis, limit: Limit) -> bool {
         let known = self.0.get(&limit.target);
         known.is_none_or(|known| limit.supersedes(&known.limit)) && self.learn(now, limit)
     }
@@ -162,7 +162,7 @@
 
     /// Returns the limits to include in a heartbeat: the most recent changes, and some of the older
     /// limits, starting at a random one.
-    pub fn telling(&self, now: Millis, draw: u64) -> Vec<Limit> {
+    pub fn limits_to_report(&self, now: Millis, draw: u64) -> Vec<Limit> {
         let is_recent = |known: &&KnownLimit| now < known.learned_at + CHANGE_REPORT_MS;
         let (mut recent, mut older): (Vec<&KnownLimit>, Vec<&KnownLimit>) =
             self.0.values().partition(is_recent);
@@ -177,7 +177,7 @@
 
     /// Drops the limit of a backend server that has restarted, because its new process has not
     /// named one.
-    pub fn starts_anew(&mut self, target: Target) {
+    pub fn remove(&mut self, target: Target) {
         self.0.remove(&target);
     }
 
--- a/crates/oliveworks-gateway-core/src/slow_start.rs
+++ b/crates/oliveworks-gateway-core/src/slow_start.rs
@@ -24,7 +24,7 @@
 use crate::balance::Target;
 use crate::configuration::SlowStart;
 use crate::members::Members;
-use cold::{ColdHosts, Evidence, Known, Listed};
+use cold::{ColdHosts, ColdState, Evidence, Listed};
 use sends::Sends;
 
 /// The limit on requests to a cold backend server, and the maximum age of its records.
@@ -86,7 +86,7 @@
         lasts_ms: Option<u64>,
         cold_ms: u64,
         listed: Listed,
-    ) -> Option<Known> {
+    ) -> Option<ColdState> {
         self.cold.record(now, target, lasts_ms, cold_ms, listed)
     }
 
@@ -98,7 +98,7 @@
         now: Millis,
         target: Target,
         terms: Option<SlowStart>,
-    ) -> Option<Known> {
+    ) -> Option<ColdState> {
         let until = terms.map(|terms| now + terms.lasts_ms);
         self.cold.doubt(now, target, until, Evidence::DrainEnded)
     }
@@ -110,19 +110,19 @@
         target: Target,
         born: Born,
         terms: Option<SlowStart>,
-    ) -> Option<Known> {
+    ) -> Option<ColdState> {
         self.cold.started_again(now, target, born, terms.map(|terms| terms.lasts_ms))
     }
 
     /// Records that a backend server could not be reached, so it may be cold when it returns.
-    pub fn lost(&mut self, now: Millis, target: Target) -> Option<Known> {
+    pub fn lost(&mut self, now: Millis, target: Target) -> Option<ColdState> {
         self.cold.doubt(now, target, None, Evidence::Lost)
     }
 
     /// Returns the remaining time for which a backend server counts as cold, in ms, for a gateway
     /// that copies the list from this one.
-    pub fn told_ms(&self, now: Millis, target: Target, lasts_ms: u64) -> u64 {
-        self.cold.told_ms(now, target, lasts_ms)
+    pub fn remaining_cold_ms(&self, now: Millis, target: Target, lasts_ms: u64) -> u64 {
+        self.cold.remaining_cold_ms(now, target, lasts_ms)
     }
 
     /// Returns whether any backend server counts as cold for another reason than its record, in
--- a/crates/oliveworks-gateway-core/src/slow_start/cold.rs
+++ b/crates/oliveworks-gateway-core/src/slow_start/cold.rs
@@ -83,7 +83,7 @@
 
 /// The state of a cold backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Known {
+pub struct ColdState {
     /// End of the time for which the backend server counts as cold; `None` until data is received
     /// from it.
     pub until: Option<Millis>,
@@ -109,12 +109,12 @@
 }
 
 impl Host {
-    fn state(&self, now: Millis) -> Option<Known> {
+    fn state(&self, now: Millis) -> Option<ColdState> {
         let doubt = self.doubt.filter(|doubt| doubt.until.is_none_or(|until| now < until));
         match doubt {
-            Some(doubt) => Some(Known { until: doubt.until, evidence: doubt.evidence }),
+            Some(doubt) => Some(ColdState { until: doubt.until, evidence: doubt.evidence }),
             None if now < self.until => {
-                Some(Known { until: Some(self.until), evidence: Evidence::Record })
+                Some(ColdState { until: Some(self.until), evidence: Evidence::Record })
             }
             None => None,
         }
@@ -144,7 +144,7 @@
         lasts_ms: Option<u64>,
         cold_ms: u64,
         listed: Listed,
-    ) -> Option<Known> {
+    ) -> Option<ColdState> {
         let was_cold = self.hosts.get(&target).is_some_and(|host| host.state(now).is_some());
         let host = self.hosts.entry(target).or_default();
         host.until = if cold_ms > 0 { now + cold_ms } else { 0 };
@@ -179,7 +179,7 @@
         target: Target,
         until: Option<Millis>,
         evidence: Evidence,
-    ) -> Option<Known> {
+    ) -> Option<ColdState> {
         let host = self.hosts.get_mut(&target)?;
         let was_cold = host.state(now).is_some();
         // A doubt without an end lasts until data is received, even if another doubt would end
@@ -199,7 +199,7 @@
         target: Target,
         born: Born,
         lasts_ms: Option<u64>,
-    ) -> Option<Known> {
+    ) -> Option<ColdState> {
         let host = self.hosts.get_mut(&target)?;
         if host.incarnation >= Some(born) {
             return None;
@@ -222,11 +222,11 @@
     /// that copies the list from this one and does not know the doubts held here. If the doubt
     /// lasts until data is received, the complete cold time plus the maximum age of records is
     /// returned: by the end of that time a newer record has been read.
-    pub fn told_ms(&self, now: Millis, target: Target, lasts_ms: u64) -> u64 {
+    pub fn remaining_cold_ms(&self, now: Millis, target: Target, lasts_ms: u64) -> u64 {
         match self.hosts.get(&target).and_then(|host| host.state(now)) {
             None => 0,
-            Some(Known { until: Some(until), .. }) => until.saturating_sub(now),
-            Some(Known { until: None, .. }) => lasts_ms + self.record_lag_ms,
+            Some(ColdState { until: Some(until), .. }) => until.saturating_sub(now),
+            Some(ColdState { until: None, .. }) => lasts_ms + self.record_lag_ms,
         }
     }
 
--- a/crates/oliveworks-gateway-core/src/speed.rs
+++ b/crates/oliveworks-gateway-core/src/speed.rs
@@ -32,7 +32,7 @@
 
 impl Speeds {
     /// Records a pause between two events of a stream at a target.
-    pub fn paused(&mut self, now: Millis, target: Target, pause_ms: u64) {
+    pub fn record_pause(&mut self, now: Millis, target: Target, pause_ms: u64) {
         let speed = self.0.entry(target).or_default();
         if now > speed.at + SAMPLE_MAX_AGE_MS {
             *speed = Speed { pause_ms: pause_ms as f64, ..Speed::default() };
--- a/crates/oliveworks-gateway-core/src/suspensions.rs
+++ b/crates/oliveworks-gateway-core/src/suspensions.rs
@@ -48,7 +48,7 @@
     }
 
     /// Returns whether a target is suspended.
-    pub fn holds(&self, now: Millis, target: Target) -> bool {
+    pub fn is_suspended(&self, now: Millis, target: Target) -> bool {
         self.targets.get(&target).is_some_and(|suspension| now < suspension.until)
     }
 
--- a/crates/oliveworks-gateway-core/src/table.rs
+++ b/crates/oliveworks-gateway-core/src/table.rs
@@ -308,7 +308,7 @@
 impl Assembly {
     /// Adds a part and returns the table once it is complete. Parts of a version older than the one
     /// being assembled are ignored.
-    pub fn take(&mut self, part: Part) -> Option<Table> {
+    pub fn add_part(&mut self, part: Part) -> Option<Table> {
         let assembling = self.parts.values().next().map(|part| part.version);
         if assembling.is_some_and(|assembling| part.version < assembling) {
             return None;
--- a/crates/oliveworks-gateway-core/tests/backoff.rs
+++ b/crates/oliveworks-gateway-core/tests/backoff.rs
@@ -33,6 +33,6 @@
 fn a_host_that_starts_again_has_asked_for_nothing() {
     let mut backoffs = Backoffs::default();
     backoffs.asked(0, HOST, 3_000);
-    backoffs.starts_anew(HOST);
+    backoffs.remove(HOST);
     assert_eq!(backoffs.until(1, HOST), None);
 }
--- a/crates/oliveworks-gateway-core/tests/crashers.rs
+++ b/crates/oliveworks-gateway-core/tests/crashers.rs
@@ -63,8 +63,8 @@
     }
     assert!(!is_convicted(&mut crashers, 3_000, GUILTY));
     crashers.host_ended(4_000, request(GUILTY), Target(4), 0);
-    for chain in crashers.to_tell(3_900) {
-        other.told(4_010, chain);
+    for chain in crashers.chains_to_report(3_900) {
+        other.apply_report(4_010, chain);
     }
     for known in [&mut crashers, &mut other] {
         assert!(is_convicted(known, 4_100, GUILTY));
@@ -96,15 +96,17 @@
             one.host_ended(end, request(number), Target(host), 0);
         }
     }
-    one.to_tell(2_000).into_iter().for_each(|chain| assert!(other.told(2_100, chain)));
+    one.chains_to_report(2_000)
+        .into_iter()
+        .for_each(|chain| assert!(other.apply_report(2_100, chain)));
     one.host_ended(3_000, request(GUILTY), Target(3), 0);
     other.host_ended(3_000, request(GUILTY), Target(4), 0);
     one.host_ended(3_000, request(1), Target(3), 0);
-    for chain in one.to_tell(3_050) {
-        other.told(3_060, chain);
+    for chain in one.chains_to_report(3_050) {
+        other.apply_report(3_060, chain);
     }
-    for chain in other.to_tell(3_050) {
-        one.told(3_060, chain);
+    for chain in other.chains_to_report(3_050) {
+        one.apply_report(3_060, chain);
     }
     assert!(!is_convicted(&mut other, 3_100, 1), "the guilty one explains its end elsewhere");
 }
@@ -132,20 +134,22 @@
     for (end, host) in [(1_000, 1), (2_000, 2), (3_000, 3)] {
         one.host_ended(end, request(GUILTY), Target(host), 0);
     }
-    one.to_tell(3_100).into_iter().for_each(|chain| assert!(other.told(3_100, chain)));
+    one.chains_to_report(3_100)
+        .into_iter()
+        .for_each(|chain| assert!(other.apply_report(3_100, chain)));
     let Standing::Convicted { until } = one.standing(3_100, request(GUILTY)) else {
         panic!("not convicted");
     };
     let standing = one.standing(until, request(GUILTY));
-    assert!(!one.is_tried_already(until, request(GUILTY)));
+    assert!(!one.must_wait_for_trial(until, request(GUILTY)));
     assert!(one.placed(until, Target(4), request(GUILTY), standing), "others wait");
-    assert!(one.is_tried_already(until, request(GUILTY)));
+    assert!(one.must_wait_for_trial(until, request(GUILTY)));
     other.standing(until, request(GUILTY));
-    assert!(!other.is_tried_already(until, request(GUILTY)));
-    for chain in one.to_tell(until + 5) {
-        other.told(until + 10, chain);
+    assert!(!other.must_wait_for_trial(until, request(GUILTY)));
+    for chain in one.chains_to_report(until + 5) {
+        other.apply_report(until + 10, chain);
     }
-    assert!(other.is_tried_already(until + 10, request(GUILTY)));
+    assert!(other.must_wait_for_trial(until + 10, request(GUILTY)));
 }
 
 /// A lost failure domain of a large deployment, and more: what is remembered stays bound.
@@ -158,7 +162,7 @@
     for number in 1..10_000 {
         crashers.host_ended(3_500, request(number), Target(4), 0);
     }
-    crashers.to_tell(3_600);
+    crashers.chains_to_report(3_600);
     let known = (1..10_000).filter(|number| crashers.assess(request(*number)).is_some()).count();
     assert!(known <= 4_096, "{known} are remembered");
     assert!(is_convicted(&mut crashers, 3_600, GUILTY));
@@ -168,16 +172,16 @@
 fn a_chain_is_told_once_and_not_for_ever() {
     let (mut one, mut other) = (Crashers::default(), Crashers::default());
     one.host_ended(1_000, request(GUILTY), Target(1), 0);
-    let told = one.to_tell(1_000);
-    assert!(other.told(8_900, told[0].clone()), "each gateway may have seen one");
+    let told = one.chains_to_report(1_000);
+    assert!(other.apply_report(8_900, told[0].clone()), "each gateway may have seen one");
     assert_eq!(other.standing(8_900, request(GUILTY)), Standing::Suspect { ends: 1 });
     one.host_ended(2_000, request(GUILTY), Target(2), 0);
-    let told = one.to_tell(2_000);
+    let told = one.chains_to_report(2_000);
     assert_eq!(told.len(), 1);
-    assert!(other.told(9_000, told[0].clone()));
-    assert!(!other.told(9_100, told[0].clone()));
-    assert!(!one.told(2_100, told[0].clone()), "it comes back");
-    assert!(one.to_tell(3_500).is_empty());
+    assert!(other.apply_report(9_000, told[0].clone()));
+    assert!(!other.apply_report(9_100, told[0].clone()));
+    assert!(!one.apply_report(2_100, told[0].clone()), "it comes back");
+    assert!(one.chains_to_report(3_500).is_empty());
 }
 
 /// A run of a request.
@@ -196,9 +200,9 @@
     for (end, host) in [(1_000, 1), (2_000, 2), (3_000, 3)] {
         one.host_ended(end, request(GUILTY), Target(host), 0);
     }
-    let told = one.to_tell(60_000);
+    let told = one.chains_to_report(60_000);
     assert_eq!(told.len(), 1);
-    assert!(other.told(200_000, told[0].clone()), "its clock is another one");
+    assert!(other.apply_report(200_000, told[0].clone()), "its clock is another one");
     let Standing::Convicted { until } = one.standing(60_000, request(GUILTY)) else {
         panic!("not convicted");
     };
@@ -214,10 +218,10 @@
     for (end, host) in [(1_000, 1), (2_000, 2), (3_000, 3)] {
         one.host_ended(end, request(GUILTY), Target(host), 0);
     }
-    let told = one.to_tell(60_000);
-    assert!(other.told(40, told[0].clone()));
+    let told = one.chains_to_report(60_000);
+    assert!(other.apply_report(40, told[0].clone()));
     assert!(is_convicted(&mut other, 50, GUILTY));
-    assert_eq!(other.to_tell(600), Vec::<Chain>::new());
+    assert_eq!(other.chains_to_report(600), Vec::<Chain>::new());
 }
 
 /// A pool in which requests run at hosts, hosts end, and those that ran there are sent on.
@@ -302,10 +306,11 @@
     }
 
     fn tell(&mut self, now: u64) {
-        let chains: Vec<Chain> = self.gateways.iter_mut().flat_map(|g| g.to_tell(now)).collect();
+        let chains: Vec<Chain> =
+            self.gateways.iter_mut().flat_map(|g| g.chains_to_report(now)).collect();
         for gateway in &mut self.gateways {
             for chain in &chains {
-                gateway.told(now + 2, chain.clone());
+                gateway.apply_report(now + 2, chain.clone());
             }
         }
     }
--- a/crates/oliveworks-gateway-core/tests/crashers_under_load.rs
+++ b/crates/oliveworks-gateway-core/tests/crashers_under_load.rs
@@ -149,7 +149,7 @@
             self.convicted.insert(number);
             return;
         }
-        if self.gateways[gateway].is_tried_already(self.now, fingerprint(number)) {
+        if self.gateways[gateway].must_wait_for_trial(self.now, fingerprint(number)) {
             return;
         }
         let Some(head) = self.place(gateway, standing) else { return };
@@ -218,11 +218,12 @@
 
     fn tell(&mut self) {
         let now = self.now;
-        let told: Vec<Vec<Chain>> = self.gateways.iter_mut().map(|g| g.to_tell(now)).collect();
+        let told: Vec<Vec<Chain>> =
+            self.gateways.iter_mut().map(|g| g.chains_to_report(now)).collect();
         for (to, gateway) in self.gateways.iter_mut().enumerate() {
             let from_others = told.iter().enumerate().filter(|(from, _)| *from != to);
             for chain in from_others.flat_map(|(_, chains)| chains) {
-                gateway.told(now + 2, chain.clone());
+                gateway.apply_report(now + 2, chain.clone());
             }
         }
     }
@@ -360,10 +361,10 @@
     for end in 0..3 {
         let now = 1_000 + end * 500;
         gateways[end as usize].host_ended(now, fingerprint(0), Target(end), 0);
-        let told: Vec<Chain> = gateways.iter_mut().flat_map(|g| g.to_tell(now)).collect();
+        let told: Vec<Chain> = gateways.iter_mut().flat_map(|g| g.chains_to_report(now)).collect();
         for gateway in &mut gateways {
             told.iter().for_each(|chain| {
-                gateway.told(now + 2, chain.clone());
+                gateway.apply_report(now + 2, chain.clone());
             });
         }
     }
--- a/crates/oliveworks-gateway-core/tests/decisions.rs
+++ b/crates/oliveworks-gateway-core/tests/decisions.rs
@@ -290,7 +290,7 @@
     suspensions.suspend(0, Target(1));
     let open = |now| {
         let mut open = candidates(3);
-        open.retain(|candidate| !suspensions.holds(now, candidate.target));
+        open.retain(|candidate| !suspensions.is_suspended(now, candidate.target));
         open
     };
     assert_eq!(balance.choose(0, &open(0), &[Target(2)], 1.0, 0), Err(NoTarget::Full));
@@ -362,12 +362,12 @@
 fn a_silent_leader_is_replaced_by_rank() {
     let mut second = election(2);
     second.read(0, Some(claim(1, 1)), place(1));
-    assert!(second.heard(1_000, heartbeat(1, 0)));
+    assert!(second.observe_heartbeat(1_000, heartbeat(1, 0)));
     assert_eq!(second.claim(1_600, 0), None);
     assert_eq!(second.claim(1_700, 0), Some(place(1)));
     let mut third = election(3);
     third.read(0, Some(claim(1, 1)), place(1));
-    assert!(third.heard(1_000, heartbeat(1, 0)));
+    assert!(third.observe_heartbeat(1_000, heartbeat(1, 0)));
     assert_eq!(third.claim(1_700, 1), None, "the one before it goes first");
 }
 
@@ -384,15 +384,15 @@
 fn an_old_leader_steps_down() {
     let mut old = election(1);
     old.read(0, Some(claim(1, 1)), place(1));
-    assert_eq!(old.leads(), Some(1));
+    assert_eq!(old.leading_fence(), Some(1));
     let mut refused = old.clone();
     refused.fenced(1);
-    assert_eq!(refused.leads(), None);
+    assert_eq!(refused.leading_fence(), None);
     let mut told = old.clone();
-    assert!(told.heard(10, heartbeat(2, 0)));
-    assert_eq!(told.leads(), None);
+    assert!(told.observe_heartbeat(10, heartbeat(2, 0)));
+    assert_eq!(told.leading_fence(), None);
     old.read(10, Some(claim(2, 2)), place(2));
-    assert_eq!(old.leads(), None);
+    assert_eq!(old.leading_fence(), None);
 }
 
 /// An older record that is read late does not bring an old leader back.
@@ -401,7 +401,7 @@
     let mut election = election(1);
     election.read(0, Some(claim(5, 2)), place(5));
     election.read(1, Some(claim(3, 1)), place(5));
-    assert_eq!((election.leads(), election.fence()), (None, Some(5)));
+    assert_eq!((election.leading_fence(), election.fence()), (None, Some(5)));
 }
 
 /// What is passed on late, or by a gateway that was paused, does not keep a silent leader in place.
@@ -409,10 +409,10 @@
 fn only_news_of_a_leader_counts_as_hearing_it() {
     let mut election = election(2);
     election.read(0, Some(claim(5, 1)), place(5));
-    assert!(election.heard(1_000, heartbeat(5, 8)));
-    assert!(!election.heard(1_500, heartbeat(5, 8)), "the same once more");
-    assert!(!election.heard(1_500, heartbeat(5, 7)), "an earlier one");
-    assert!(!election.heard(1_500, heartbeat(4, 99)), "one of an earlier leader");
+    assert!(election.observe_heartbeat(1_000, heartbeat(5, 8)));
+    assert!(!election.observe_heartbeat(1_500, heartbeat(5, 8)), "the same once more");
+    assert!(!election.observe_heartbeat(1_500, heartbeat(5, 7)), "an earlier one");
+    assert!(!election.observe_heartbeat(1_500, heartbeat(4, 99)), "one of an earlier leader");
     assert_eq!(election.claim(1_700, 0), Some(place(5)));
 }
 
@@ -428,7 +428,7 @@
     for number in 0..60 {
         let heartbeat = Heartbeat { reaches_store: false, ..heartbeat(5, number) };
         let now = number * 100;
-        election.heard(now, heartbeat);
+        election.observe_heartbeat(now, heartbeat);
         let claimed = election.claim(now, 0);
         assert_eq!(claimed, expected.map(place).filter(|_| now == 2_500), "at {now} ms");
         if claimed.is_some() {
@@ -443,10 +443,10 @@
     let mut election = election(2);
     election.read(0, Some(claim(5, 1)), place(5));
     election.store_failed();
-    election.heard(9_900, Heartbeat { reaches_store: false, ..heartbeat(5, 0) });
+    election.observe_heartbeat(9_900, Heartbeat { reaches_store: false, ..heartbeat(5, 0) });
     election.store_answered(10_000);
     assert_eq!(election.claim(10_100, 0), None);
-    election.heard(10_300, heartbeat(5, 1));
+    election.observe_heartbeat(10_300, heartbeat(5, 1));
     assert_eq!(election.claim(10_400, 0), None);
 }
 
--- a/crates/oliveworks-gateway-core/tests/drains.rs
+++ b/crates/oliveworks-gateway-core/tests/drains.rs
@@ -38,7 +38,7 @@
     let mut drains = Drains::default();
     drains.begin(100, "west");
     drains.begin(200, "east");
-    assert_eq!(drains.read_anew(900, &names(&["east"])), [ended("west", 800)]);
+    assert_eq!(drains.replace_all(900, &names(&["east"])), [ended("west", 800)]);
     assert_eq!(drains.failure_domains(), names(&["east"]));
     assert_eq!(drains.known_for(900).collect::<Vec<_>>(), [("east", 700)]);
 }
@@ -49,7 +49,7 @@
 fn what_changed_between_pages_is_put_right() {
     let mut drains = Drains::default();
     drains.begin(100, "west");
-    drains.read_anew(200, &names(&[]));
+    drains.replace_all(200, &names(&[]));
     drains.end(200, "west");
     drains.begin(200, "west");
     assert!(drains.holds("west"));
@@ -73,15 +73,15 @@
 #[test]
 fn an_end_that_others_tell_is_news_once() {
     let mut drains = Drains::default();
-    assert!(drains.ended_elsewhere("west", 5_000));
-    assert!(!drains.ended_elsewhere("west", 5_040));
-    assert!(drains.ended_elsewhere("west", 9_000), "of a later drain");
+    assert!(drains.record_remote_end("west", 5_000));
+    assert!(!drains.record_remote_end("west", 5_040));
+    assert!(drains.record_remote_end("west", 9_000), "of a later drain");
     assert!(drains.has_ended_within(9_500, "west", 1_000));
     assert!(!drains.has_ended_within(10_500, "west", 1_000), "no longer lately");
     drains.begin(20_000, "east");
-    assert!(!drains.ended_elsewhere("east", 19_000), "it is drained still");
+    assert!(!drains.record_remote_end("east", 19_000), "it is drained still");
     drains.end(21_000, "east");
-    assert!(!drains.ended_elsewhere("east", 20_900));
+    assert!(!drains.record_remote_end("east", 20_900));
 }
 
 /// Soak seed 2048: gateways that were killed and started again told an end on with an age that began with
@@ -89,7 +89,7 @@
 #[test]
 fn only_ends_that_were_seen_are_told_on() {
     let mut drains = Drains::default();
-    drains.ended_elsewhere("west", 0);
+    drains.record_remote_end("west", 0);
     assert!(drains.ended_within(100, 1_000).is_empty(), "the process began after it");
     drains.begin(200, "east");
     drains.end(300, "east");
@@ -106,7 +106,7 @@
     drains.read_in_part(&names(&["east"]));
     assert_eq!(drains.failure_domains(), names(&["east", "west"]));
     assert!(drains.any_unconfirmed());
-    assert_eq!(drains.read_anew(5_000, &names(&["east"])), [ended("west", 4_900)]);
+    assert_eq!(drains.replace_all(5_000, &names(&["east"])), [ended("west", 4_900)]);
     assert!(!drains.any_unconfirmed());
 }
 
--- a/crates/oliveworks-gateway-core/tests/missing.rs
+++ b/crates/oliveworks-gateway-core/tests/missing.rs
@@ -4,7 +4,7 @@
 
 use oliveworks_gateway_core::backend_servers::{BackendServer, Born, Directory, Holding};
 use oliveworks_gateway_core::era::{Era, REWRITE_MS, StoreEra};
-use oliveworks_gateway_core::missing::{Left, Look, Missing};
+use oliveworks_gateway_core::missing::{Departed, Missing, StoreState};
 use test_case::test_case;
 
 /// When the store's era became known, and until when its copy may lack records.
@@ -40,11 +40,11 @@
     era
 }
 
-fn read_at(read_at: u64) -> Look {
-    Look { store_failed_at: None, read_at }
+fn read_at(read_at: u64) -> StoreState {
+    StoreState { store_failed_at: None, read_at }
 }
 
-fn left(missing: &mut Missing, now: u64, look: Look) -> Vec<Left> {
+fn left(missing: &mut Missing, now: u64, look: StoreState) -> Vec<Departed> {
     missing.sweep(now, look, &directory())
 }
 
--- a/crates/oliveworks-gateway-core/tests/obstacles.rs
+++ b/crates/oliveworks-gateway-core/tests/obstacles.rs
@@ -24,7 +24,7 @@
 #[test_case(&[TAKEN, NO_PERMIT], NoTarget::Cold, At(500); "a cold one and no permit")]
 #[test_case(&[NO_PERMIT, BACKOFF], NoTarget::Backoff, At(500); "no permit and one that is left alone")]
 fn what_keeps_a_request_from_all(obstacles: &[Obstacle], reason: NoTarget, free_at: FreeAt) {
-    assert_eq!(NoPlace::kept_by(obstacles), NoPlace { reason, free_at });
+    assert_eq!(NoPlace::from_obstacles(obstacles), NoPlace { reason, free_at });
 }
 
 #[test_case(At(900), 899, true)]
--- a/crates/oliveworks-gateway-core/tests/place.rs
+++ b/crates/oliveworks-gateway-core/tests/place.rs
@@ -48,11 +48,11 @@
     let mut election = election(1);
     election.read(0, Some(claim(place(1, 60), 2)), place(1, 61));
     assert_eq!(election.claim(1_000, 0), Some(place(1, 61)));
-    election.refused(1_000);
+    election.claim_refused(1_000);
     election.read(1_100, Some(claim(place(1, 54), 3)), place(2, 55));
     assert_eq!(election.claim(2_000, 0), Some(place(2, 55)));
     election.read(2_010, Some(claim(place(2, 55), 1)), place(2, 56));
-    assert_eq!(election.leads(), Some(place(2, 55).fence()));
+    assert_eq!(election.leading_fence(), Some(place(2, 55).fence()));
 }
 
 /// The store has lost its record, not the hosts its fence.
@@ -61,9 +61,9 @@
     let mut leader = election(1);
     leader.read(0, Some(claim(place(1, 60), 1)), place(1, 61));
     leader.read(100, None, place(2, 55));
-    assert_eq!(leader.leads(), Some(place(1, 60).fence()));
+    assert_eq!(leader.leading_fence(), Some(place(1, 60).fence()));
     leader.read(5_000, Some(claim(place(2, 55), 2)), place(2, 56));
-    assert_eq!(leader.leads(), None);
+    assert_eq!(leader.leading_fence(), None);
 }
 
 /// The place had been given to another before, which may lead under the same fence.
@@ -73,14 +73,15 @@
     late.read(0, None, place(1, 5));
     assert_eq!(late.claim(1_000, 0), Some(place(1, 5)));
     late.read(3_000, Some(claim(place(1, 5), 1)), place(2, 6));
-    assert_eq!(late.leads(), None);
+    assert_eq!(late.leading_fence(), None);
 }
 
 /// An empty end was taken for the first start, and the leader was replaced.
 #[test]
 fn an_empty_topic_is_no_first_start_where_a_leader_is_known() {
     let mut election = election(1);
-    election.heard(10, Heartbeat { fence: 61, number: 1, table: 0, reaches_store: true });
+    election
+        .observe_heartbeat(10, Heartbeat { fence: 61, number: 1, table: 0, reaches_store: true });
     election.read(20, None, place(2, 0));
     assert_eq!(election.claim(30, 0), None);
     assert_eq!(election.claim(1_000, 0), Some(place(2, 0)));
--- a/crates/oliveworks-gateway-core/tests/rate_limits/limits.rs
+++ b/crates/oliveworks-gateway-core/tests/rate_limits/limits.rs
@@ -3,7 +3,7 @@
 use oliveworks_gateway_core::backend_servers::Born;
 use oliveworks_gateway_core::balance::Target;
 use oliveworks_gateway_core::rate_limits::Rate;
-use oliveworks_gateway_core::rate_limits::limits::{Heard, Limit, Limits};
+use oliveworks_gateway_core::rate_limits::limits::{Limit, Limits, RateObservation};
 use test_case::test_case;
 
 const HOST: Target = Target(1);
@@ -14,8 +14,8 @@
     Rate::from_per_s(per_s)
 }
 
-fn answer(sent_at: u64, per_s: Option<f64>) -> Heard {
-    Heard {
+fn answer(sent_at: u64, per_s: Option<f64>) -> RateObservation {
+    RateObservation {
         target: HOST,
         life: FIRST,
         sent_at,
@@ -40,7 +40,7 @@
 fn answers_tell_the_limit(answers: &[(u64, u64, Option<f64>)], expected: Option<f64>) {
     let mut limits = Limits::default();
     for (sent_at, at, named) in answers {
-        limits.heard(*at, answer(*sent_at, *named));
+        limits.observe(*at, answer(*sent_at, *named));
     }
     assert_eq!(limits.rate(HOST), expected.and_then(Rate::from_per_s));
 }
@@ -54,7 +54,7 @@
 fn gateways_agree(told: &[Limit], expected: Option<f64>) {
     let mut limits = Limits::default();
     for limit in told {
-        limits.told(10, *limit);
+        limits.apply_report(10, *limit);
     }
     assert_eq!(limits.rate(HOST), expected.and_then(Rate::from_per_s));
 }
@@ -62,8 +62,8 @@
 #[test]
 fn an_answer_of_an_earlier_life_says_nothing() {
     let mut limits = Limits::default();
-    limits.told(10, limit(SECOND, 1, Some(4.2)));
-    assert!(!limits.heard(20, answer(15, None)));
+    limits.apply_report(10, limit(SECOND, 1, Some(4.2)));
+    assert!(!limits.observe(20, answer(15, None)));
     assert_eq!(limits.rate(HOST), rate(4.2));
 }
 
@@ -71,8 +71,8 @@
 #[test]
 fn an_answer_that_may_lack_the_limit_ends_nothing() {
     let mut limits = Limits::default();
-    limits.heard(10, answer(0, Some(4.2)));
-    limits.heard(30, Heard { would_name: false, ..answer(20, None) });
+    limits.observe(10, answer(0, Some(4.2)));
+    limits.observe(30, RateObservation { would_name: false, ..answer(20, None) });
     assert_eq!(limits.rate(HOST), rate(4.2));
 }
 
@@ -80,14 +80,16 @@
 fn a_change_is_told_first_and_older_limits_by_turns() {
     let mut limits = Limits::default();
     for host in 0..100 {
-        limits.told(0, Limit { target: Target(host), ..limit(FIRST, 1, Some(4.2)) });
+        limits.apply_report(0, Limit { target: Target(host), ..limit(FIRST, 1, Some(4.2)) });
     }
-    limits.heard(5_000, answer(4_900, Some(1.0)));
-    let told = limits.telling(5_100, 17);
+    limits.observe(5_000, answer(4_900, Some(1.0)));
+    let told = limits.limits_to_report(5_100, 17);
     assert_eq!(told[0].rate, rate(1.0));
     assert_eq!(told.len(), 3);
-    let all: std::collections::HashSet<Target> =
-        (0..100).flat_map(|draw| limits.telling(9_000, draw)).map(|limit| limit.target).collect();
+    let all: std::collections::HashSet<Target> = (0..100)
+        .flat_map(|draw| limits.limits_to_report(9_000, draw))
+        .map(|limit| limit.target)
+        .collect();
     assert_eq!(all.len(), 100);
 }
 
@@ -106,7 +108,7 @@
 #[test_case(None, None)]
 fn limits_in_force_are_kept(named: Option<f64>, expected: Option<Rate>) {
     let mut limits = Limits::default();
-    limits.told(0, limit(FIRST, 1, named));
+    limits.apply_report(0, limit(FIRST, 1, named));
     limits.retain(600_000, |_| true);
     assert_eq!(limits.rate(HOST), expected);
     assert_eq!(limits.get(HOST).is_some(), named.is_some());
--- a/crates/oliveworks-gateway-core/tests/rate_limits/permits.rs
+++ b/crates/oliveworks-gateway-core/tests/rate_limits/permits.rs
@@ -16,7 +16,7 @@
 /// One that knows no other, and a limit of two requests a second.
 fn alone() -> (RateLimits, Members) {
     let mut rate_limits = RateLimits::default();
-    rate_limits.limits.told(0, limit(1, Some(2.0)));
+    rate_limits.limits.apply_report(0, limit(1, Some(2.0)));
     (rate_limits, Members::new(1, true, 0))
 }
 
@@ -75,14 +75,14 @@
     let mut rate_limits = RateLimits::default();
     let permit = rate_limits.take(0, HOST);
     assert!(rate_limits.may_send(0, HOST, permit));
-    rate_limits.limits.told(10, limit(1, Some(2.0)));
+    rate_limits.limits.apply_report(10, limit(1, Some(2.0)));
     assert!(!rate_limits.may_send(20, HOST, permit));
 }
 
 #[test]
 fn a_limit_that_has_ended_needs_none() {
     let (mut rate_limits, _) = alone();
-    rate_limits.limits.told(10, limit(2, None));
+    rate_limits.limits.apply_report(10, limit(2, None));
     assert!(rate_limits.check(10, HOST, Need::Only).is_ok());
 }
 
--- a/crates/oliveworks-gateway-core/tests/rate_limits/replay.rs
+++ b/crates/oliveworks-gateway-core/tests/rate_limits/replay.rs
@@ -11,7 +11,7 @@
 use oliveworks_gateway_core::rate_limits::buckets::Need;
 use oliveworks_gateway_core::rate_limits::limits::Limit;
 use oliveworks_gateway_core::rate_limits::permits::Permit;
-use oliveworks_gateway_core::rate_limits::{Answer, Question, Rate, RateLimits, Step};
+use oliveworks_gateway_core::rate_limits::{Answer, PermitRequest, Rate, RateLimits, Step};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use test_case::test_case;
@@ -67,7 +67,7 @@
 
 #[derive(Debug)]
 enum Message {
-    Question(Question),
+    Question(PermitRequest),
     Answer(Answer),
 }
 
@@ -249,7 +249,7 @@
             gateway.limits.retain(now, |_| true);
             for host in 0..hosts {
                 let limit = Limit { target: Target(host), life: None, revision: 1, rate };
-                gateway.limits.limits.told(now, limit);
+                gateway.limits.limits.apply_report(now, limit);
             }
         }
     }
--- a/crates/oliveworks-gateway-core/tests/restored_store/gateway.rs
+++ b/crates/oliveworks-gateway-core/tests/restored_store/gateway.rs
@@ -9,7 +9,7 @@
 use oliveworks_gateway_core::election::{Claim, Election, ElectionConfig, Heartbeat};
 use oliveworks_gateway_core::era::{Era, EraChange, StoreEra};
 use oliveworks_gateway_core::freshness::Freshness;
-use oliveworks_gateway_core::missing::{Look, Missing};
+use oliveworks_gateway_core::missing::{Missing, StoreState};
 use oliveworks_gateway_core::place::Place;
 use oliveworks_gateway_core::read_cursor::ReadCursor;
 use oliveworks_gateway_core::replay::ReplayBuffer;
@@ -340,7 +340,7 @@
                 self.drains.read_in_part(&BTreeSet::new());
             }
             _ => {
-                self.drains.read_anew(now, &drained);
+                self.drains.replace_all(now, &drained);
             }
         }
     }
@@ -398,7 +398,7 @@
 
     pub fn sweep(&mut self, now: u64) {
         self.missing.forget_gone(now);
-        let look = Look { store_failed_at: self.store_failed_at, read_at: self.list_read_at };
+        let look = StoreState { store_failed_at: self.store_failed_at, read_at: self.list_read_at };
         let left = self.missing.sweep(now, look, &self.directory);
         for left in left {
             let born = self.directory.remove(&left.id).and_then(|host| host.holding.born);
@@ -431,14 +431,14 @@
     }
 
     pub fn heartbeat(&mut self, now: u64) -> Option<Heartbeat> {
-        self.election.beat(0, self.store_failed_at.is_none_or(|at| now > at + 2_500));
+        self.election.next_heartbeat(0, self.store_failed_at.is_none_or(|at| now > at + 2_500));
         self.election.heartbeat()
     }
 
     pub fn hear(&mut self, now: u64, from: usize, peer: Peer, leader: Option<Heartbeat>) {
         self.peers.insert(from, peer);
         if let Some(heartbeat) = leader {
-            self.election.heard(now, heartbeat);
+            self.election.observe_heartbeat(now, heartbeat);
         }
     }
 }
--- a/crates/oliveworks-gateway-core/tests/restored_store/judge.rs
+++ b/crates/oliveworks-gateway-core/tests/restored_store/judge.rs
@@ -159,7 +159,8 @@
         }
         let all_calm = world.seats.iter().all(|seat| Judge::is_calm(world, seat, SETTLED_MS));
         let seen = world.platform.hosts.values().map(|host| host.fence).max().unwrap_or(0);
-        let leads = |seat: &Seat| seat.gateway.election.leads().is_some_and(|fence| fence >= seen);
+        let leads =
+            |seat: &Seat| seat.gateway.election.leading_fence().is_some_and(|fence| fence >= seen);
         if all_calm && !world.seats.iter().any(leads) {
             self.breaches.push(format!("{now}: nobody leads"));
         }
--- a/crates/oliveworks-gateway-core/tests/restored_store/world.rs
+++ b/crates/oliveworks-gateway-core/tests/restored_store/world.rs
@@ -497,7 +497,7 @@
         let gateway = &mut seat.gateway;
         let Some(era) = gateway.hear_era(now, sent, era) else { return };
         match offset.filter(|_| era == end.era) {
-            None => gateway.election.refused(now),
+            None => gateway.election.claim_refused(now),
             Some(offset) => {
                 let claim = Claim { place: Place::new(end.era, offset), claimant: seat.life };
                 gateway.election.read(now, Some(claim), Place::new(end.era, offset + 1));
@@ -508,7 +508,7 @@
     /// A leader gives orders, which may be long on their way.
     fn give_orders(&mut self, index: usize) {
         let now = self.now;
-        let Some(fence) = self.seats[index].gateway.election.leads() else { return };
+        let Some(fence) = self.seats[index].gateway.election.leading_fence() else { return };
         if now < self.seats[index].orders_at {
             return;
         }
--- a/crates/oliveworks-gateway-core/tests/slow_start/cold.rs
+++ b/crates/oliveworks-gateway-core/tests/slow_start/cold.rs
@@ -160,17 +160,17 @@
 fn what_is_doubted_is_told_to_who_takes_the_list_over() {
     let mut knows = warm();
     knows.lost(5_000, HEAD);
-    let told_ms = knows.told_ms(6_000, HEAD, TERMS.lasts_ms);
+    let told_ms = knows.remaining_cold_ms(6_000, HEAD, TERMS.lasts_ms);
     let mut starts = unread();
     record(&mut starts, 6_000, told_ms, Listed::Known);
     assert!(is_cold(&starts, 6_000 + TERMS.lasts_ms + LAG_MS - 1));
     knows.heard(7_000, HEAD, TERMS);
-    assert_eq!(knows.told_ms(8_000, HEAD, TERMS.lasts_ms), TERMS.lasts_ms - 1_000);
+    assert_eq!(knows.remaining_cold_ms(8_000, HEAD, TERMS.lasts_ms), TERMS.lasts_ms - 1_000);
 }
 
 #[test]
 fn what_is_warm_is_told_so() {
-    assert_eq!(warm().told_ms(5_000, HEAD, TERMS.lasts_ms), 0);
+    assert_eq!(warm().remaining_cold_ms(5_000, HEAD, TERMS.lasts_ms), 0);
 }
 
 /// A gateway starts while the store is away, and is told the list by one that has lost the head since.
--- a/crates/oliveworks-gateway-core/tests/speed.rs
+++ b/crates/oliveworks-gateway-core/tests/speed.rs
@@ -21,7 +21,7 @@
     let mut speeds = Speeds::default();
     for turn in 0..times {
         for (index, pause_ms) in pauses.iter().enumerate() {
-            speeds.paused(10_000 + turn * 20, Target(index as u64), *pause_ms);
+            speeds.record_pause(10_000 + turn * 20, Target(index as u64), *pause_ms);
         }
     }
     let now = 10_000 + times * 20;
@@ -32,8 +32,8 @@
 #[test]
 fn what_was_seen_long_ago_says_nothing() {
     let mut speeds = Speeds::default();
-    (0..20).for_each(|turn| speeds.paused(turn * 20, Target(0), 500));
+    (0..20).for_each(|turn| speeds.record_pause(turn * 20, Target(0), 500));
     assert_eq!(speeds.slow(3_000, &targets(1), LONGEST_PASS_MS), []);
-    speeds.paused(3_000, Target(0), 500);
+    speeds.record_pause(3_000, Target(0), 500);
     assert_eq!(speeds.slow(3_000, &targets(1), LONGEST_PASS_MS), [], "it begins anew");
 }
--- a/crates/oliveworks-gateway-core/tests/table.rs
+++ b/crates/oliveworks-gateway-core/tests/table.rs
@@ -118,7 +118,7 @@
                     let mut parts = leader.parts();
                     parts.shuffle(&mut rng);
                     let whole = parts.into_iter().filter(|_| rng.random_bool(0.7));
-                    if let Some(whole) = whole.filter_map(|part| assembly.take(part)).last() {
+                    if let Some(whole) = whole.filter_map(|part| assembly.add_part(part)).last() {
                         gateway = whole;
                     }
                 }
@@ -129,7 +129,7 @@
                 Some(changes) => changes.iter().for_each(|change| assert!(gateway.apply(change))),
                 None => {
                     let parts = leader.parts().into_iter();
-                    gateway = parts.filter_map(|part| assembly.take(part)).last().unwrap();
+                    gateway = parts.filter_map(|part| assembly.add_part(part)).last().unwrap();
                 }
             }
         }
@@ -155,11 +155,11 @@
     let (old_parts, new_parts) = (old.parts(), new.parts());
     assert!(old_parts.len() > 2);
     let mut assembly = Assembly::default();
-    assert_eq!(assembly.take(old_parts[0].clone()), None);
-    assert_eq!(assembly.take(new_parts[1].clone()), None);
-    let late = old_parts.into_iter().filter_map(|part| assembly.take(part)).last();
+    assert_eq!(assembly.add_part(old_parts[0].clone()), None);
+    assert_eq!(assembly.add_part(new_parts[1].clone()), None);
+    let late = old_parts.into_iter().filter_map(|part| assembly.add_part(part)).last();
     assert_eq!(late, None, "parts of an older table are left out");
-    let whole = new_parts.into_iter().filter_map(|part| assembly.take(part)).last();
+    let whole = new_parts.into_iter().filter_map(|part| assembly.add_part(part)).last();
     assert_eq!(whole, Some(new));
 }
 
--- a/crates/oliveworks-gateway-core/tests/worst_load/world.rs
+++ b/crates/oliveworks-gateway-core/tests/worst_load/world.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-use oliveworks_gateway_core::admission::{Admission, AdmissionConfig, Asking};
+use oliveworks_gateway_core::admission::{Admission, AdmissionConfig, AdmissionRequest};
 use oliveworks_gateway_core::balance::{Balance, Candidate, Load, Target};
 use oliveworks_gateway_core::demand::{ModelDemand, ModelKey, RequestCounts};
 use oliveworks_gateway_core::fan_out::Source;
@@ -283,7 +283,12 @@
         let parts = sides.capacity_shares(&callers);
         let spills = sides.spills(&callers, draw);
         let full_at = gateway.admission.full_at(FULL_AT, came_back);
-        let asking = Asking { tokens: arrival.tokens, full_at, goal_ms: self.model.goal_ms, parts };
+        let asking = AdmissionRequest {
+            tokens: arrival.tokens,
+            full_at,
+            goal_ms: self.model.goal_ms,
+            parts,
+        };
         gateway.admission.admit(now, &gateway.balance, &asking, &mut candidates);
         let chosen = match spills {
             true => gateway.balance.choose(now, &candidates, &[], full_at, draw),
--- a/crates/oliveworks-gateway/src/crashers.rs
+++ b/crates/oliveworks-gateway/src/crashers.rs
@@ -147,7 +147,7 @@
     /// Processes a report of another gateway on backend servers that ended during a request.
     pub fn process_crasher_report(&self, chain: Chain) {
         let request = chain.request;
-        if !self.crashers.borrow_mut().told(self.now(), chain) {
+        if !self.crashers.borrow_mut().apply_report(self.now(), chain) {
             return;
         }
         self.report_crashers();
@@ -160,7 +160,7 @@
 
     /// Returns the reports for other gateways on requests during which backend servers ended.
     pub fn crashers_to_report(&self) -> Vec<Chain> {
-        let reports = self.crashers.borrow_mut().to_tell(self.now());
+        let reports = self.crashers.borrow_mut().chains_to_report(self.now());
         self.log_convictions();
         reports
     }
@@ -192,9 +192,9 @@
     }
 
     /// Returns whether copies of a request wait for the outcome of one that is running.
-    pub fn is_tried_already(&self, request: Fingerprint) -> bool {
+    pub fn must_wait_for_trial(&self, request: Fingerprint) -> bool {
         let is_off = !self.settings.requests.refuse_crashers;
-        !is_off && self.crashers.borrow().is_tried_already(self.now(), request)
+        !is_off && self.crashers.borrow().must_wait_for_trial(self.now(), request)
     }
 
     /// Registers a run of a suspect request until the returned value is dropped.
--- a/crates/oliveworks-gateway/src/drains.rs
+++ b/crates/oliveworks-gateway/src/drains.rs
@@ -63,7 +63,7 @@
         }
         _ => {}
     }
-    let ended = gateway.drains.borrow_mut().read_anew(gateway.now(), drained);
+    let ended = gateway.drains.borrow_mut().replace_all(gateway.now(), drained);
     ended.iter().for_each(|ended| process_end(gateway, ended, "not among the newest records"));
 }
 
@@ -105,7 +105,7 @@
     /// Processes the end of a drain observed by another gateway.
     pub fn process_remote_drain_end(&self, failure_domain: &str, ms_ago: u64) {
         let at = self.now().saturating_sub(ms_ago);
-        if !self.drains.borrow_mut().ended_elsewhere(failure_domain, at) {
+        if !self.drains.borrow_mut().record_remote_end(failure_domain, at) {
             return;
         }
         self.mark_cold_after_drain(failure_domain);
--- a/crates/oliveworks-gateway/src/follow.rs
+++ b/crates/oliveworks-gateway/src/follow.rs
@@ -213,7 +213,7 @@
         // The planner uses the age of records, so a leader needs repeated records as well. A host
         // that the store listed from an older copy of its data is known to be alive by its next
         // record.
-        let leads = gateway.election.borrow().leads().is_some();
+        let leads = gateway.election.borrow().leading_fence().is_some();
         let repeats = leads || gateway.doubts_any_host() || gateway.store_may_lack_records();
         let answer = peer_client.ask(self.topic, self.position(), repeats).await?;
         self.peer_client = Some(peer_client);
--- a/crates/oliveworks-gateway/src/heartbeat.rs
+++ b/crates/oliveworks-gateway/src/heartbeat.rs
@@ -123,7 +123,7 @@
     gateway.suspects.borrow_mut().retain(|_, at| now < *at + SUSPECT_MS);
     let reaches_store = now < gateway.store_answered_at.get() + LEADER_STORE_MS;
     let table = gateway.table.borrow().number;
-    if gateway.election.borrow_mut().beat(table, reaches_store).is_some() {
+    if gateway.election.borrow_mut().next_heartbeat(table, reaches_store).is_some() {
         gateway.leader_address.set(Some(gateway.settings.listen.peers));
     }
     let heartbeat = gateway.election.borrow().heartbeat();
@@ -146,7 +146,7 @@
         slow: gateway.slow_groups(),
         leaving: gateway.leaving_to_report(),
         crashers: gateway.crashers_to_report(),
-        limits: gateway.rate_limits.borrow().limits.telling(now, rand::random()),
+        limits: gateway.rate_limits.borrow().limits.limits_to_report(now, rand::random()),
         ended_drains: gateway.recently_ended_drains(),
         traffic: gateway.traffic.get(),
         peers: peers_to_report(gateway, now),
--- a/crates/oliveworks-gateway/src/leader.rs
+++ b/crates/oliveworks-gateway/src/leader.rs
@@ -49,7 +49,7 @@
     loop {
         gateway.tick();
         claim_if_due(&gateway);
-        let leads = gateway.election.borrow().leads();
+        let leads = gateway.election.borrow().leading_fence();
         if leads != fence {
             fence = leads;
             change_leadership(&gateway, fence).await;
@@ -458,7 +458,7 @@
     let _slot = gateway.calls.acquire_slot(CallKind::Order).await;
     // The gateway may have lost the leadership while it waited for a free call slot, and some hosts
     // don't check fences.
-    if gateway.election.borrow().leads() != Some(fence) {
+    if gateway.election.borrow().leading_fence() != Some(fence) {
         return Outcome::Unanswered;
     }
     gateway.count("orders");
--- a/crates/oliveworks-gateway/src/missing.rs
+++ b/crates/oliveworks-gateway/src/missing.rs
@@ -1,6 +1,6 @@
 //! Removal of backend servers that are missing from the list.
 
-use oliveworks_gateway_core::missing::{Left, Look, Missing};
+use oliveworks_gateway_core::missing::{Departed, Missing, StoreState};
 
 use crate::events::Event;
 use crate::state::Gateway;
@@ -11,12 +11,12 @@
     for id in missing.forget_gone(now) {
         gateway.directory.borrow_mut().forget_leaving(&id);
     }
-    let look = Look {
+    let look = StoreState {
         store_failed_at: gateway.store_failed_at.get(),
         read_at: gateway.list_read_at.get(),
     };
     let left = missing.sweep(now, look, &gateway.directory.borrow());
-    for Left { id, missing_ms } in left {
+    for Departed { id, missing_ms } in left {
         Event::new("host_gone").with("host", &*id).with("missing_ms", missing_ms).write();
         gateway.directory.borrow_mut().remove(&id);
         for planner in gateway.planners.borrow_mut().values_mut() {
--- a/crates/oliveworks-gateway/src/obstacles.rs
+++ b/crates/oliveworks-gateway/src/obstacles.rs
@@ -91,7 +91,7 @@
         if self.drains.borrow().holds(&place.failure_domain) {
             return Some(Obstacle::Drained);
         }
-        if self.suspensions.borrow().holds(now, target) {
+        if self.suspensions.borrow().is_suspended(now, target) {
             return Some(Obstacle::Suspended);
         }
         let until = self.backoffs.borrow().until(now, target);
--- a/crates/oliveworks-gateway/src/peers.rs
+++ b/crates/oliveworks-gateway/src/peers.rs
@@ -13,7 +13,7 @@
 use oliveworks_gateway_core::balance::Target;
 use oliveworks_gateway_core::election::Heartbeat;
 use oliveworks_gateway_core::fan_out::{self, Recipients};
-use oliveworks_gateway_core::rate_limits::{Answer, Question};
+use oliveworks_gateway_core::rate_limits::{Answer, PermitRequest};
 use oliveworks_gateway_core::table::{Change, Part, Version};
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
@@ -50,7 +50,7 @@
     /// Request for what is newer than the table held by the sender.
     AskTable(Version),
     /// Request for a permit, sent to the limiter of a backend server.
-    AskPermit(Question),
+    AskPermit(PermitRequest),
     /// Answer of a limiter.
     Permit(Answer),
     /// Report to the limiter of a backend server that a call was made without waiting for a permit.
@@ -159,7 +159,7 @@
         return;
     }
     let Recipients { mut near, far } = recipients(gateway);
-    if gateway.election.borrow().leads().is_some() {
+    if gateway.election.borrow().leading_fence().is_some() {
         near.extend(far);
     }
     for change in changes {
@@ -205,7 +205,7 @@
 ) {
     let now = gateway.now();
     let LeaderHeartbeat { heartbeat, address } = leader;
-    if gateway.election.borrow_mut().heard(now, heartbeat) {
+    if gateway.election.borrow_mut().observe_heartbeat(now, heartbeat) {
         gateway.leader_address.set(Some(address));
     }
     let held = gateway.table.borrow().version();
@@ -270,7 +270,7 @@
 /// Processes a part of a whole table.
 fn apply_part(gateway: &Gateway, part: Part) {
     gateway.ask_table_at.set(gateway.now() + ASK_WHOLE_MS);
-    let Some(table) = gateway.table_parts.borrow_mut().take(part) else { return };
+    let Some(table) = gateway.table_parts.borrow_mut().add_part(part) else { return };
     if table.version() > gateway.table.borrow().version() {
         gateway.replace_table(table);
         gateway.table_confirmed_at.set(gateway.now());
--- a/crates/oliveworks-gateway/src/places.rs
+++ b/crates/oliveworks-gateway/src/places.rs
@@ -36,7 +36,7 @@
     /// started has no table, and uses the list of backend servers until it hears from a leader.
     fn table_is_recent(&self) -> bool {
         let came = self.table.borrow().number > 0;
-        let leads = self.election.borrow().leads().is_some();
+        let leads = self.election.borrow().leading_fence().is_some();
         came && (leads || self.now() < self.table_confirmed_at.get() + TABLE_VALID_MS)
     }
 
--- a/crates/oliveworks-gateway/src/rate_limits.rs
+++ b/crates/oliveworks-gateway/src/rate_limits.rs
@@ -8,8 +8,8 @@
 use oliveworks_gateway_core::balance::Target;
 use oliveworks_gateway_core::obstacles::Obstacle;
 use oliveworks_gateway_core::rate_limits::buckets::{Grant, Need};
-use oliveworks_gateway_core::rate_limits::limits::{Heard, Limit, Limits};
-use oliveworks_gateway_core::rate_limits::{Answer, NoPermit, Question, Rate, Step};
+use oliveworks_gateway_core::rate_limits::limits::{Limit, Limits, RateObservation};
+use oliveworks_gateway_core::rate_limits::{Answer, NoPermit, PermitRequest, Rate, Step};
 
 use crate::dialect::{AnswerInfo, NamedLimit};
 use crate::events::Event;
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug)]
 pub enum ToLimiter {
     /// Request for a permit.
-    Question(Question),
+    Question(PermitRequest),
     /// Report of a call that was made without waiting for a permit.
     Spent(Target),
 }
@@ -50,8 +50,8 @@
         let target = Target::of(sender.server);
         let would_name = sender.to_request && answered.signed;
         let Sender { incarnation, sent_at, .. } = sender;
-        let heard = Heard { target, life: incarnation, sent_at, rate, would_name };
-        self.update_limit(target, request, |limits, now| limits.heard(now, heard));
+        let heard = RateObservation { target, life: incarnation, sent_at, rate, would_name };
+        self.update_limit(target, request, |limits, now| limits.observe(now, heard));
     }
 
     /// Processes a limit reported by another gateway.
@@ -65,7 +65,7 @@
                 return;
             }
         }
-        self.update_limit(target, "another gateway", |limits, now| limits.told(now, limit));
+        self.update_limit(target, "another gateway", |limits, now| limits.apply_report(now, limit));
     }
 
     fn update_limit(
@@ -202,7 +202,7 @@
     }
 
     /// Answers a gateway that requests a permit.
-    pub fn answer_permit(&self, question: Question) -> Answer {
+    pub fn answer_permit(&self, question: PermitRequest) -> Answer {
         self.record_reported_limit(question.limit);
         let members = self.members.borrow();
         let answer = self.rate_limits.borrow_mut().answer(self.now(), question, &members);
--- a/crates/oliveworks-gateway/src/records.rs
+++ b/crates/oliveworks-gateway/src/records.rs
@@ -186,8 +186,8 @@
     let known = known.filter(|known| server.holding.is_of_later_incarnation(known.holding.born));
     let Some(known) = known else { return false };
     gateway.count("hosts_started_again");
-    gateway.backoffs.borrow_mut().starts_anew(Target::of(&server.id));
-    gateway.rate_limits.borrow_mut().limits.starts_anew(Target::of(&server.id));
+    gateway.backoffs.borrow_mut().remove(Target::of(&server.id));
+    gateway.rate_limits.borrow_mut().limits.remove(Target::of(&server.id));
     Event::new("host_started_again")
         .with("host", &*server.id)
         .debug("born", server.holding.born)
--- a/crates/oliveworks-gateway/src/relay.rs
+++ b/crates/oliveworks-gateway/src/relay.rs
@@ -250,7 +250,7 @@
             }
             let (gateway, fingerprint) = (self.gateway, self.fingerprint);
             let standing = gateway.standing(fingerprint);
-            if gateway.is_tried_already(fingerprint) {
+            if gateway.must_wait_for_trial(fingerprint) {
                 return self.reject_copy(connection).await;
             }
             let found = match gateway.unless_convicted(fingerprint, self.place(standing)).await {
@@ -266,7 +266,7 @@
                 Err(none) => return self.reject_without_place(connection, &none).await,
             };
             // A copy of the request may have been sent while this one waited for a place.
-            if gateway.is_tried_already(fingerprint) {
+            if gateway.must_wait_for_trial(fingerprint) {
                 return self.reject_copy(connection).await;
             }
             let repeat = self.attempts.next_is_repeat();
--- a/crates/oliveworks-gateway/src/relay/attempt.rs
+++ b/crates/oliveworks-gateway/src/relay/attempt.rs
@@ -234,7 +234,7 @@
     fn record_stall(&self, place: &Place, now: Millis) {
         if let Some(epoch) = place.epoch {
             let target = place.candidate.target;
-            if !self.gateway.suspensions.borrow().holds(now, target) {
+            if !self.gateway.suspensions.borrow().is_suspended(now, target) {
                 let last = self.gateway.balance.borrow().last_progress(target).unwrap_or(now);
                 Event::new("group_stands_still")
                     .with("host", &*place.server)
@@ -317,7 +317,7 @@
             if first_event.get().is_some() {
                 self.served.longest_gap_ms = self.served.longest_gap_ms.max(since - before);
                 let target = place.candidate.target;
-                self.gateway.speeds.borrow_mut().paused(since, target, since - before);
+                self.gateway.speeds.borrow_mut().record_pause(since, target, since - before);
             }
             let Some(part) = part else { break };
             let Ok(events) = splitter.push(&part) else {
--- a/crates/oliveworks-gateway/src/relay/placing.rs
+++ b/crates/oliveworks-gateway/src/relay/placing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use oliveworks_gateway_core::Millis;
-use oliveworks_gateway_core::admission::Asking;
+use oliveworks_gateway_core::admission::AdmissionRequest;
 use oliveworks_gateway_core::balance::{Candidate, NoTarget, Target};
 use oliveworks_gateway_core::crashers::{Crashers, Standing};
 use oliveworks_gateway_core::demand::ModelKey;
@@ -44,7 +44,7 @@
 
     /// Removes replica groups whose quota for this gateway is used up.
     fn admit(&self, full_at: f64, parts: CapacityShares, candidates: &mut Vec<Candidate>) {
-        let asking = Asking {
+        let asking = AdmissionRequest {
             tokens: self.asked.prompt_tokens,
             full_at,
             goal_ms: self.route.goal_ms,
@@ -133,7 +133,7 @@
         if !places.eligible.is_empty() {
             return found.into();
         }
-        let no_place = NoPlace::kept_by(&places.obstacles);
+        let no_place = NoPlace::from_obstacles(&places.obstacles);
         let may_be_drained = no_place.free_at == FreeAt::NotSoon;
         if may_be_drained && self.gateway.is_all_drained(&self.service) {
             return NoPlace { reason: NoTarget::Drained, ..no_place };
--- a/crates/oliveworks-gateway/src/slow_start.rs
+++ b/crates/oliveworks-gateway/src/slow_start.rs
@@ -6,7 +6,7 @@
 use oliveworks_gateway_core::balance::Target;
 use oliveworks_gateway_core::configuration::SlowStart;
 use oliveworks_gateway_core::obstacles::Obstacle;
-use oliveworks_gateway_core::slow_start::cold::{Known, Listed};
+use oliveworks_gateway_core::slow_start::cold::{ColdState, Listed};
 use oliveworks_gateway_core::slow_start::{SlowStartConfig, SlowStarts};
 
 use crate::events::Event;
@@ -28,7 +28,7 @@
 }
 
 /// Logs a backend server that becomes cold.
-fn log_cold_host(server: &BackendServerId, now: Millis, known: Known) {
+fn log_cold_host(server: &BackendServerId, now: Millis, known: ColdState) {
     Event::new("host_is_cold")
         .with("host", &**server)
         .with("for_ms", known.until.map(|until| until.saturating_sub(now)))
@@ -73,7 +73,8 @@
         if let (Some(terms), Some(slow_starts)) =
             (self.slow_start_of(&server.service), self.slow_starts.borrow().as_ref())
         {
-            let cold_ms = slow_starts.told_ms(self.now(), Target::of(&server.id), terms.lasts_ms);
+            let cold_ms =
+                slow_starts.remaining_cold_ms(self.now(), Target::of(&server.id), terms.lasts_ms);
             record.cold_ms = record.cold_ms.max(cold_ms);
         }
         record
@@ -140,7 +141,7 @@
     fn apply_evidence(
         &self,
         server: &BackendServerId,
-        apply: impl FnOnce(&mut SlowStarts, Millis, Target) -> Option<Known>,
+        apply: impl FnOnce(&mut SlowStarts, Millis, Target) -> Option<ColdState>,
     ) {
         let now = self.now();
         let mut slow_starts = self.slow_starts.borrow_mut();
--- a/crates/oliveworks-gateway/src/store.rs
+++ b/crates/oliveworks-gateway/src/store.rs
@@ -84,14 +84,14 @@
         // The record names the era in which the topic ended at `end`. In another era, other
         // gateways would not compute the same fence.
         Ok(ClaimOutcome::Written(_)) if gateway.era() != end.era => {
-            gateway.election.borrow_mut().refused(now);
+            gateway.election.borrow_mut().claim_refused(now);
         }
         Ok(ClaimOutcome::Written(offset)) => {
             let claim = Claim { place: Place::new(end.era, offset), claimant: gateway.incarnation };
             let next = Place::new(end.era, offset + 1);
             gateway.election.borrow_mut().read(now, Some(claim), next);
         }
-        Ok(ClaimOutcome::Lost) => gateway.election.borrow_mut().refused(now),
+        Ok(ClaimOutcome::Lost) => gateway.election.borrow_mut().claim_refused(now),
         Ok(ClaimOutcome::Refused(status)) => gateway.store_failed("claim", &status.to_string()),
         Err(why) => gateway.store_failed("claim", &why),
     }
--- a/crates/oliveworks-gateway/src/suspicions.rs
+++ b/crates/oliveworks-gateway/src/suspicions.rs
@@ -63,7 +63,7 @@
             let target = Target::of(&group.members[0]);
             let last = self.balance.borrow().last_progress(target);
             let silent = last.is_none_or(|at| now > at + RECENT_DATA_MS);
-            if silent && !self.suspensions.borrow().holds(now, target) {
+            if silent && !self.suspensions.borrow().is_suspended(now, target) {
                 self.suspensions.borrow_mut().suspend(now, target);
                 self.record_unreachable(&group.members[0]);
             }
