--- a/crates/oliveworks-gateway/src/eras.rs
+++ b/crates/oliveworks-gateway/src/eras.rs
@@ -64,7 +64,7 @@
     /// Begins a new era, in which the contents of the store are not known yet.
     fn begin_era(&self, era: Era, before: Option<Era>, reported_by: &str) {
         self.stored_version.set(None);
-        TOPICS.iter().for_each(|topic| self.passing(*topic).borrow_mut().clear());
+        TOPICS.iter().for_each(|topic| self.replay_buffer(*topic).borrow_mut().clear());
         self.count("store_eras");
         Event::new("store_era")
             .with("era", era.0)
--- a/crates/oliveworks-gateway/src/follow.rs
+++ b/crates/oliveworks-gateway/src/follow.rs
@@ -31,7 +31,7 @@
     client: Client,
     peer_client: Option<PeerClient>,
     topic: Topic,
-    following: ReadCursor,
+    cursor: ReadCursor,
     pause_ms: u64,
     /// Source of the last step, as reported in the log.
     read_from: Option<ReadFrom>,
@@ -81,7 +81,7 @@
             client: Client::new(gateway),
             peer_client: None,
             topic,
-            following: ReadCursor::default(),
+            cursor: ReadCursor::default(),
             pause_ms: RETRY_MS.0,
             read_from: None,
         }
@@ -89,12 +89,12 @@
 
     /// Returns the position up to which everything was read.
     pub fn position(&self) -> Option<Place> {
-        self.following.place()
+        self.cursor.place()
     }
 
     /// Requests a snapshot with the next step, from the store itself if it answers.
     pub fn request_snapshot(&mut self) {
-        self.following.restart();
+        self.cursor.restart();
     }
 
     /// Makes one step, through the store or another gateway. Logs a failure and pauses after it.
@@ -102,7 +102,7 @@
     pub async fn step(&mut self, wait_ms: u64) -> Option<Step> {
         let gateway = self.client.gateway().clone();
         self.discard_former_position(&gateway);
-        let read_from = sources::choose_source(&gateway, &self.following);
+        let read_from = sources::choose_source(&gateway, &self.cursor);
         self.log_source(&gateway, read_from);
         let step = async {
             match read_from {
@@ -117,7 +117,7 @@
 
     /// Discards a position of another era, since the store has assigned its offset again.
     fn discard_former_position(&mut self, gateway: &Gateway) {
-        let Some(place) = self.following.discard_other_era(gateway.era()) else { return };
+        let Some(place) = self.cursor.discard_other_era(gateway.era()) else { return };
         Event::new("place_is_void")
             .debug("topic", self.topic)
             .with("offset", place.offset)
@@ -182,7 +182,7 @@
         match self.ask_peer(gateway, address).await {
             Ok(answer) => {
                 gateway.record_peer_era(sent, answer.next.era, address);
-                self.following.gateway_answered(answer.next);
+                self.cursor.gateway_answered(answer.next);
                 if let Some(ago) = answer.store_failed_ms_ago {
                     gateway.store_failed_for_peer(sent.saturating_sub(ago));
                 }
@@ -197,7 +197,7 @@
             }
             Err(why) => {
                 self.peer_client = None;
-                self.following.gateway_did_not_answer();
+                self.cursor.gateway_did_not_answer();
                 sources::mark_unresponsive(gateway, address, self.topic, &why);
                 None
             }
@@ -221,7 +221,7 @@
         if answer.next.era < gateway.era() {
             return Err("it has not heard that the store came back from a copy".to_owned());
         }
-        let known = self.client.gateway().passing(self.topic).borrow();
+        let known = self.client.gateway().replay_buffer(self.topic).borrow();
         if answer.snapshot && known.is_ahead_of(answer.next) {
             // Records that the gateway lacks may be newer than those that it knows, and do not
             // count as removed.
@@ -267,7 +267,7 @@
                 break;
             }
         }
-        self.following.store_answered(first_end);
+        self.cursor.store_answered(first_end);
         Ok(Step { records, snapshot: true, sent, held_ms: 0, source: RecordSource::Store })
     }
 
@@ -289,7 +289,7 @@
         match tail {
             Tail::Records(records, next) => {
                 let held_ms = if records.is_empty() { wait_ms } else { 0 };
-                self.following.store_answered(Some(Place::new(era, next)));
+                self.cursor.store_answered(Some(Place::new(era, next)));
                 Ok(Step { records, snapshot: false, sent, held_ms, source: RecordSource::Store })
             }
             Tail::Expired(first) => {
@@ -302,7 +302,7 @@
                 if self.topic == Topic::Leaders && first.is_none() && from == 0 {
                     return Err("it does not say which is the first record it keeps".to_owned());
                 }
-                self.following.store_answered(first.map(|first| Place::new(era, first)));
+                self.cursor.store_answered(first.map(|first| Place::new(era, first)));
                 Ok(Step::empty(sent))
             }
             Tail::Refused(status) => Err(format!("refused with {status}")),
--- a/crates/oliveworks-gateway/src/heartbeat.rs
+++ b/crates/oliveworks-gateway/src/heartbeat.rs
@@ -249,21 +249,21 @@
 }
 
 /// Records the targets from which others have recently received data.
-fn record_heard_targets(gateway: &Gateway, now: Millis, source: Source, telling: &LoadReport) {
+fn record_heard_targets(gateway: &Gateway, now: Millis, source: Source, report: &LoadReport) {
     let mut balance = gateway.balance.borrow_mut();
-    let open = telling.open.iter().filter(|count| count.heard).map(|count| count.target);
-    for target in open.chain(telling.heard.iter().copied()) {
+    let open = report.open.iter().filter(|count| count.heard).map(|count| count.target);
+    for target in open.chain(report.heard.iter().copied()) {
         balance.record_peer_receipt(now, source, target);
     }
 }
 
 /// Records the requests that others have outstanding.
-fn record_outstanding(gateway: &Gateway, now: Millis, source: Source, telling: LoadReport) {
+fn record_outstanding(gateway: &Gateway, now: Millis, source: Source, report: LoadReport) {
     let mut balance = gateway.balance.borrow_mut();
     let load = |count: Count| (count.target, count.load);
-    let open: HashMap<Target, Load> = telling.open.into_iter().map(load).collect();
+    let open: HashMap<Target, Load> = report.open.into_iter().map(load).collect();
     balance.record_peer_load(now, source, open);
-    if let Some(elsewhere) = telling.elsewhere {
+    if let Some(elsewhere) = report.elsewhere {
         balance.record_peer_load_elsewhere(now, source, elsewhere.into_iter().collect());
     }
 }
--- a/crates/oliveworks-gateway/src/passing.rs
+++ b/crates/oliveworks-gateway/src/passing.rs
@@ -186,12 +186,12 @@
 
 fn answer_now(gateway: &Gateway, question: &Question) -> Option<Answer> {
     let topic = question.topic;
-    let passing = gateway.passing(topic).borrow();
+    let buffer = gateway.replay_buffer(topic).borrow();
     let kept = match question.repeats {
-        true => passing.since_with_repeats(question.from),
-        false => passing.since(question.from),
+        true => buffer.since_with_repeats(question.from),
+        false => buffer.since(question.from),
     };
-    drop(passing);
+    drop(buffer);
     let (records, snapshot, next) = match kept {
         ReplayAnswer::Records(records, next) => (records, false, next),
         ReplayAnswer::Newest(next) => (newest(gateway, topic), true, next),
--- a/crates/oliveworks-gateway/src/records.rs
+++ b/crates/oliveworks-gateway/src/records.rs
@@ -143,10 +143,10 @@
 /// Keeps the records of a step for gateways that read through this one; `next` is the position
 /// after them.
 fn keep_for_peers(gateway: &Gateway, topic: Topic, step: &Step, next: Option<Place>) {
-    let mut passing = gateway.passing(topic).borrow_mut();
+    let mut buffer = gateway.replay_buffer(topic).borrow_mut();
     match next {
-        Some(next) if step.snapshot => passing.restart_at(next),
-        Some(next) => passing.append(step.records.clone(), next),
+        Some(next) if step.snapshot => buffer.restart_at(next),
+        Some(next) => buffer.append(step.records.clone(), next),
         // The position is unknown: the next step reads the whole topic again.
         None => {}
     }
@@ -307,14 +307,14 @@
 /// there are new records.
 fn keep_servers(gateway: &Gateway, kept: Vec<Kept<Record>>, snapshot: bool, next: Option<Place>) {
     let news = snapshot || kept.iter().any(|kept| !kept.is_repeat);
-    let mut passing = gateway.passing(Topic::BackendServers).borrow_mut();
+    let mut buffer = gateway.replay_buffer(Topic::BackendServers).borrow_mut();
     match next {
-        Some(next) if snapshot => passing.restart_at(next),
-        Some(next) => passing.append_with_repeats(kept, next),
+        Some(next) if snapshot => buffer.restart_at(next),
+        Some(next) => buffer.append_with_repeats(kept, next),
         // The position is unknown: the next step reads the whole topic again.
         None => {}
     }
-    drop(passing);
+    drop(buffer);
     if news {
         gateway.new_records(Topic::BackendServers).notify_waiters();
     }
--- a/crates/oliveworks-gateway/src/sources.rs
+++ b/crates/oliveworks-gateway/src/sources.rs
@@ -27,7 +27,7 @@
 const STORE_RETRY_MS: u64 = 1_500;
 
 /// Returns the source of the next step of a topic.
-pub fn choose_source(gateway: &Gateway, following: &ReadCursor) -> ReadFrom {
+pub fn choose_source(gateway: &Gateway, cursor: &ReadCursor) -> ReadFrom {
     let own = LocalState {
         name: &gateway.settings.node,
         store_answers: gateway.election.borrow().store_answers(),
@@ -36,7 +36,7 @@
         era: gateway.era(),
     };
     let peers = gateway.peers.borrow();
-    following.source(own, &recent_peers(gateway, &peers), rand::random())
+    cursor.source(own, &recent_peers(gateway, &peers), rand::random())
 }
 
 /// Returns the gateways from which a message arrived recently.
--- a/crates/oliveworks-gateway/src/state.rs
+++ b/crates/oliveworks-gateway/src/state.rs
@@ -98,7 +98,7 @@
     pub missing: RefCell<Missing>,
     /// Last records of each topic, kept for gateways that read them through this one, and the
     /// notification of tasks that wait for new records.
-    passing: HashMap<Topic, (RefCell<ReplayBuffer<Record>>, Notify)>,
+    replay_buffers: HashMap<Topic, (RefCell<ReplayBuffer<Record>>, Notify)>,
     /// Gateways that did not answer a question, with the time of the failure.
     pub unresponsive_peers: RefCell<HashMap<SocketAddr, Millis>>,
     /// Time of this gateway's last call to the store to follow a topic.
@@ -231,7 +231,7 @@
             list_read_at: Cell::new(0),
             directory_read: Cell::new(false),
             missing: RefCell::default(),
-            passing: TOPICS.into_iter().map(|topic| (topic, Default::default())).collect(),
+            replay_buffers: TOPICS.into_iter().map(|topic| (topic, Default::default())).collect(),
             unresponsive_peers: RefCell::default(),
             store_called_at: Cell::new(0),
             store_proved_at: Cell::new(None),
@@ -393,13 +393,13 @@
     }
 
     /// Returns the last records of a topic.
-    pub fn passing(&self, topic: Topic) -> &RefCell<ReplayBuffer<Record>> {
-        &self.passing[&topic].0
+    pub fn replay_buffer(&self, topic: Topic) -> &RefCell<ReplayBuffer<Record>> {
+        &self.replay_buffers[&topic].0
     }
 
     /// Returns the notification of new records of a topic.
     pub fn new_records(&self, topic: Topic) -> &Notify {
-        &self.passing[&topic].1
+        &self.replay_buffers[&topic].1
     }
 
     /// Records that the store answered a gateway that was asked.
