--- a/crates/oliveworks-gateway-core/src/admission.rs
+++ b/crates/oliveworks-gateway-core/src/admission.rs
@@ -22,7 +22,7 @@
 
 use crate::Millis;
 use crate::balance::{Balance, Candidate, Target};
-use crate::locality::Parts;
+use crate::locality::CapacityShares;
 
 /// Parameters of admission control. The effect of each one was measured by replaying two loads with
 /// 13 gateways. In *many*, there are more than twice as many callers as twelve groups can serve. In
@@ -68,7 +68,7 @@
 
 /// A request that is looking for a replica group.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Asking {
+pub struct AdmissionRequest {
     /// Number of tokens of the prompt.
     pub tokens: u32,
     /// Load, as a multiple of the slots, up to which the request may fill a group.
@@ -76,12 +76,12 @@
     /// Time within which the answer should begin, in ms.
     pub goal_ms: u64,
     /// This gateway's shares of the free capacity of groups.
-    pub parts: Parts,
+    pub parts: CapacityShares,
 }
 
-impl Asking {
+impl AdmissionRequest {
     fn share(&self, candidate: &Candidate) -> f64 {
-        if candidate.near { self.parts.near } else { self.parts.far }
+        if candidate.is_local { self.parts.local } else { self.parts.remote }
     }
 }
 
@@ -138,7 +138,7 @@
         &mut self,
         now: Millis,
         balance: &Balance,
-        asking: &Asking,
+        asking: &AdmissionRequest,
         candidates: &mut Vec<Candidate>,
     ) {
         candidates.retain(|candidate| {
@@ -154,7 +154,7 @@
         &self,
         now: Millis,
         balance: &Balance,
-        asking: &Asking,
+        asking: &AdmissionRequest,
         candidate: &Candidate,
     ) -> bool {
         let slots = f64::from(candidate.slots) * asking.full_at;
@@ -172,7 +172,7 @@
         &self,
         now: Millis,
         balance: &Balance,
-        asking: &Asking,
+        asking: &AdmissionRequest,
         candidate: &Candidate,
         unread_ms: f64,
     ) -> bool {
--- a/crates/oliveworks-gateway-core/src/lib.rs
+++ b/crates/oliveworks-gateway-core/src/lib.rs
@@ -9,8 +9,8 @@
 //! |---|---|
 //! | [`configuration`] | the service of a request, and the workspace of its key |
 //! | [`sources`] | which gateways read the store, and which gateway the others ask |
-//! | [`following`] | the read position in a topic of the store, and the source of the next read |
-//! | [`passing`] | replay of the store's recent records to other gateways |
+//! | [`read_cursor`] | the read position in a topic of the store, and the source of the next read |
+//! | [`replay`] | replay of the store's recent records to other gateways |
 //! | [`repeats`] | detection of records that are not new to other gateways |
 //! | [`era`] | the copy of itself that the store answers from |
 //! | [`place`] | places in a topic of the store, and the fence of a claim at a place |
@@ -30,7 +30,7 @@
 //! | [`election`] | the gateway that issues orders |
 //! | [`table`] | the groups that serve, and the propagation of changes to gateways |
 //! | [`fan_out`] | the gateways that a heartbeat is sent to |
-//! | [`telling`] | the outstanding requests that a heartbeat reports |
+//! | [`load_report`] | the outstanding requests that a heartbeat reports |
 //! | [`backoff`] | backend servers that requested a backoff |
 //! | [`rate_limits`] | total rate of all gateways to a backend server that announces a limit |
 //! | [`obstacles`] | what excludes a request from a place, and the result if no place is left |
@@ -61,19 +61,20 @@
 pub mod era;
 pub mod events;
 pub mod fan_out;
-pub mod following;
 pub mod freshness;
 pub mod listing;
+pub mod load_report;
 pub mod locality;
 pub mod members;
 pub mod missing;
 pub mod obstacles;
-pub mod passing;
 pub mod place;
 pub mod planner;
 pub mod quota;
 pub mod rate_limits;
+pub mod read_cursor;
 pub mod repeats;
+pub mod replay;
 pub mod residency;
 pub mod returning;
 pub mod slow_start;
@@ -81,7 +82,6 @@
 pub mod speed;
 pub mod suspensions;
 pub mod table;
-pub mod telling;
 pub mod timeliness;
 pub mod versions;
 
--- a/crates/oliveworks-gateway-core/tests/decisions.rs
+++ b/crates/oliveworks-gateway-core/tests/decisions.rs
@@ -26,7 +26,7 @@
     for (sent, held) in proofs {
         freshness.proved(*sent, *held);
     }
-    assert_eq!(freshness.honours_keys(now, bound), expected);
+    assert_eq!(freshness.accepts_keys(now, bound), expected);
 }
 
 const BUDGET: BudgetConfig = BudgetConfig { ratio: 0.2, extra: 160.0, window_ms: 10_000 };
@@ -219,7 +219,7 @@
     let each = (0..count).map(|n| Candidate {
         target: Target(n),
         slots: 4,
-        near: true,
+        is_local: true,
         open_ms: 1.0,
         token_ms: 0.1,
     });
@@ -231,7 +231,7 @@
     let mut balance = Balance::default();
     balance.started(0, Target(0), 0);
     let others = HashMap::from([(Target(1), Load { requests: 2, tokens: 0 })]);
-    balance.peer(0, Source::Gateway(7), others);
+    balance.record_peer_load(0, Source::Gateway(7), others);
     for draw in 0..3 {
         assert_eq!(balance.choose(10, &candidates(3), &[], 1.0, draw), Ok(Target(2)));
     }
@@ -251,7 +251,7 @@
     let candidates = candidates(12);
     let mut balance = Balance::default();
     let busy = candidates[1..].iter().map(|c| (c.target, Load { requests: 3, tokens: 0 }));
-    balance.peer(0, Source::Gateway(1), busy.collect());
+    balance.record_peer_load(0, Source::Gateway(1), busy.collect());
     let idle = candidates[0].target;
     let chosen = (0..24).map(|draw| balance.choose(1, &candidates, &[], 1.0, draw));
     let to_idle = chosen.filter(|target| *target == Ok(idle)).count();
@@ -274,9 +274,9 @@
 #[test]
 fn a_proof_from_before_the_process_began_is_no_younger_for_it() {
     let mut freshness = Freshness::default();
-    freshness.passed_on(40, 0, 4_600);
+    freshness.proved_by_peer(40, 0, 4_600);
     assert_eq!(freshness.age_ms(200), Some(4_760));
-    assert!(!freshness.honours_keys(200, Some(3_000)));
+    assert!(!freshness.accepts_keys(200, Some(3_000)));
 }
 
 #[test]
@@ -290,7 +290,7 @@
     suspensions.suspend(0, Target(1));
     let open = |now| {
         let mut open = candidates(3);
-        open.retain(|candidate| !suspensions.holds(now, candidate.target));
+        open.retain(|candidate| !suspensions.is_suspended(now, candidate.target));
         open
     };
     assert_eq!(balance.choose(0, &open(0), &[Target(2)], 1.0, 0), Err(NoTarget::Full));
@@ -326,9 +326,9 @@
         balance.began(target, 500);
     }
     if let Some(at) = elsewhere {
-        balance.heard_elsewhere(at, Source::Gateway(1), target);
+        balance.record_peer_receipt(at, Source::Gateway(1), target);
     }
-    assert_eq!(balance.silent_at(target, 1_000, PASS_MS), expected);
+    assert_eq!(balance.stalled_at(target, 1_000, PASS_MS), expected);
 }
 
 /// A place in a topic of a store that names no era.
@@ -362,12 +362,12 @@
 fn a_silent_leader_is_replaced_by_rank() {
     let mut second = election(2);
     second.read(0, Some(claim(1, 1)), place(1));
-    assert!(second.heard(1_000, heartbeat(1, 0)));
+    assert!(second.observe_heartbeat(1_000, heartbeat(1, 0)));
     assert_eq!(second.claim(1_600, 0), None);
     assert_eq!(second.claim(1_700, 0), Some(place(1)));
     let mut third = election(3);
     third.read(0, Some(claim(1, 1)), place(1));
-    assert!(third.heard(1_000, heartbeat(1, 0)));
+    assert!(third.observe_heartbeat(1_000, heartbeat(1, 0)));
     assert_eq!(third.claim(1_700, 1), None, "the one before it goes first");
 }
 
@@ -384,15 +384,15 @@
 fn an_old_leader_steps_down() {
     let mut old = election(1);
     old.read(0, Some(claim(1, 1)), place(1));
-    assert_eq!(old.leads(), Some(1));
+    assert_eq!(old.leading_fence(), Some(1));
     let mut refused = old.clone();
     refused.fenced(1);
-    assert_eq!(refused.leads(), None);
+    assert_eq!(refused.leading_fence(), None);
     let mut told = old.clone();
-    assert!(told.heard(10, heartbeat(2, 0)));
-    assert_eq!(told.leads(), None);
+    assert!(told.observe_heartbeat(10, heartbeat(2, 0)));
+    assert_eq!(told.leading_fence(), None);
     old.read(10, Some(claim(2, 2)), place(2));
-    assert_eq!(old.leads(), None);
+    assert_eq!(old.leading_fence(), None);
 }
 
 /// An older record that is read late does not bring an old leader back.
@@ -401,7 +401,7 @@
     let mut election = election(1);
     election.read(0, Some(claim(5, 2)), place(5));
     election.read(1, Some(claim(3, 1)), place(5));
-    assert_eq!((election.leads(), election.fence()), (None, Some(5)));
+    assert_eq!((election.leading_fence(), election.fence()), (None, Some(5)));
 }
 
 /// What is passed on late, or by a gateway that was paused, does not keep a silent leader in place.
@@ -409,10 +409,10 @@
 fn only_news_of_a_leader_counts_as_hearing_it() {
     let mut election = election(2);
     election.read(0, Some(claim(5, 1)), place(5));
-    assert!(election.heard(1_000, heartbeat(5, 8)));
-    assert!(!election.heard(1_500, heartbeat(5, 8)), "the same once more");
-    assert!(!election.heard(1_500, heartbeat(5, 7)), "an earlier one");
-    assert!(!election.heard(1_500, heartbeat(4, 99)), "one of an earlier leader");
+    assert!(election.observe_heartbeat(1_000, heartbeat(5, 8)));
+    assert!(!election.observe_heartbeat(1_500, heartbeat(5, 8)), "the same once more");
+    assert!(!election.observe_heartbeat(1_500, heartbeat(5, 7)), "an earlier one");
+    assert!(!election.observe_heartbeat(1_500, heartbeat(4, 99)), "one of an earlier leader");
     assert_eq!(election.claim(1_700, 0), Some(place(5)));
 }
 
@@ -428,7 +428,7 @@
     for number in 0..60 {
         let heartbeat = Heartbeat { reaches_store: false, ..heartbeat(5, number) };
         let now = number * 100;
-        election.heard(now, heartbeat);
+        election.observe_heartbeat(now, heartbeat);
         let claimed = election.claim(now, 0);
         assert_eq!(claimed, expected.map(place).filter(|_| now == 2_500), "at {now} ms");
         if claimed.is_some() {
@@ -443,10 +443,10 @@
     let mut election = election(2);
     election.read(0, Some(claim(5, 1)), place(5));
     election.store_failed();
-    election.heard(9_900, Heartbeat { reaches_store: false, ..heartbeat(5, 0) });
+    election.observe_heartbeat(9_900, Heartbeat { reaches_store: false, ..heartbeat(5, 0) });
     election.store_answered(10_000);
     assert_eq!(election.claim(10_100, 0), None);
-    election.heard(10_300, heartbeat(5, 1));
+    election.observe_heartbeat(10_300, heartbeat(5, 1));
     assert_eq!(election.claim(10_400, 0), None);
 }
 
--- a/crates/oliveworks-gateway-core/tests/rate_limits/permits.rs
+++ b/crates/oliveworks-gateway-core/tests/rate_limits/permits.rs
@@ -16,7 +16,7 @@
 /// One that knows no other, and a limit of two requests a second.
 fn alone() -> (RateLimits, Members) {
     let mut rate_limits = RateLimits::default();
-    rate_limits.limits.told(0, limit(1, Some(2.0)));
+    rate_limits.limits.apply_report(0, limit(1, Some(2.0)));
     (rate_limits, Members::new(1, true, 0))
 }
 
@@ -75,14 +75,14 @@
     let mut rate_limits = RateLimits::default();
     let permit = rate_limits.take(0, HOST);
     assert!(rate_limits.may_send(0, HOST, permit));
-    rate_limits.limits.told(10, limit(1, Some(2.0)));
+    rate_limits.limits.apply_report(10, limit(1, Some(2.0)));
     assert!(!rate_limits.may_send(20, HOST, permit));
 }
 
 #[test]
 fn a_limit_that_has_ended_needs_none() {
     let (mut rate_limits, _) = alone();
-    rate_limits.limits.told(10, limit(2, None));
+    rate_limits.limits.apply_report(10, limit(2, None));
     assert!(rate_limits.check(10, HOST, Need::Only).is_ok());
 }
 
@@ -109,8 +109,8 @@
 /// Two open requests at a host of eight slots that takes two requests a second weigh as much as eight elsewhere.
 #[test]
 fn a_host_that_takes_little_is_as_busy_as_that() {
-    let host = Candidate { target: HOST, slots: 8, near: true, open_ms: 10.0, token_ms: 1.0 };
-    assert_eq!(host.taking(2.0).open_ms, 40.0);
-    assert_eq!(host.taking(0.1).open_ms, 80.0);
-    assert_eq!(host.taking(50.0), host);
+    let host = Candidate { target: HOST, slots: 8, is_local: true, open_ms: 10.0, token_ms: 1.0 };
+    assert_eq!(host.with_rate_limit(2.0).open_ms, 40.0);
+    assert_eq!(host.with_rate_limit(0.1).open_ms, 80.0);
+    assert_eq!(host.with_rate_limit(50.0), host);
 }
--- a/crates/oliveworks-gateway-core/tests/rate_limits/replay.rs
+++ b/crates/oliveworks-gateway-core/tests/rate_limits/replay.rs
@@ -11,7 +11,7 @@
 use oliveworks_gateway_core::rate_limits::buckets::Need;
 use oliveworks_gateway_core::rate_limits::limits::Limit;
 use oliveworks_gateway_core::rate_limits::permits::Permit;
-use oliveworks_gateway_core::rate_limits::{Answer, Question, Rate, RateLimits, Step};
+use oliveworks_gateway_core::rate_limits::{Answer, PermitRequest, Rate, RateLimits, Step};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use test_case::test_case;
@@ -67,7 +67,7 @@
 
 #[derive(Debug)]
 enum Message {
-    Question(Question),
+    Question(PermitRequest),
     Answer(Answer),
 }
 
@@ -249,7 +249,7 @@
             gateway.limits.retain(now, |_| true);
             for host in 0..hosts {
                 let limit = Limit { target: Target(host), life: None, revision: 1, rate };
-                gateway.limits.limits.told(now, limit);
+                gateway.limits.limits.apply_report(now, limit);
             }
         }
     }
@@ -356,7 +356,7 @@
                 let sharers = self.gateways[index].members.sharers(now);
                 sharers.map_or(0.0, |sharers| world.per_s / sharers as f64)
             }
-            Way::ByCallers => world.per_s * self.callers_part(now, index),
+            Way::ByCallers => world.per_s * self.caller_share(now, index),
             Way::Alone => world.per_s,
         };
         let began = BEGAN - 1_000;
@@ -383,7 +383,7 @@
         may
     }
 
-    fn callers_part(&mut self, now: u64, index: usize) -> f64 {
+    fn caller_share(&mut self, now: u64, index: usize) -> f64 {
         let in_second = |gateway: &Gateway, until: u64| {
             let within = |at: &&u64| **at <= until && **at + 1_000 > until;
             gateway.callers.iter().rev().take(50).filter(within).count()
--- a/crates/oliveworks-gateway/src/follow.rs
+++ b/crates/oliveworks-gateway/src/follow.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use oliveworks_gateway_core::Millis;
-use oliveworks_gateway_core::following::Following;
 use oliveworks_gateway_core::place::Place;
+use oliveworks_gateway_core::read_cursor::ReadCursor;
 use oliveworks_gateway_core::sources::ReadFrom;
 use tokio::time::{sleep, timeout};
 
@@ -31,7 +31,7 @@
     client: Client,
     peer_client: Option<PeerClient>,
     topic: Topic,
-    following: Following,
+    cursor: ReadCursor,
     pause_ms: u64,
     /// Source of the last step, as reported in the log.
     read_from: Option<ReadFrom>,
@@ -81,7 +81,7 @@
             client: Client::new(gateway),
             peer_client: None,
             topic,
-            following: Following::default(),
+            cursor: ReadCursor::default(),
             pause_ms: RETRY_MS.0,
             read_from: None,
         }
@@ -89,12 +89,12 @@
 
     /// Returns the position up to which everything was read.
     pub fn position(&self) -> Option<Place> {
-        self.following.place()
+        self.cursor.place()
     }
 
     /// Requests a snapshot with the next step, from the store itself if it answers.
     pub fn request_snapshot(&mut self) {
-        self.following.read_anew();
+        self.cursor.restart();
     }
 
     /// Makes one step, through the store or another gateway. Logs a failure and pauses after it.
@@ -102,7 +102,7 @@
     pub async fn step(&mut self, wait_ms: u64) -> Option<Step> {
         let gateway = self.client.gateway().clone();
         self.discard_former_position(&gateway);
-        let read_from = sources::choose_source(&gateway, &self.following);
+        let read_from = sources::choose_source(&gateway, &self.cursor);
         self.log_source(&gateway, read_from);
         let step = async {
             match read_from {
@@ -117,7 +117,7 @@
 
     /// Discards a position of another era, since the store has assigned its offset again.
     fn discard_former_position(&mut self, gateway: &Gateway) {
-        let Some(place) = self.following.forget_other_eras(gateway.era()) else { return };
+        let Some(place) = self.cursor.discard_other_era(gateway.era()) else { return };
         Event::new("place_is_void")
             .debug("topic", self.topic)
             .with("offset", place.offset)
@@ -182,7 +182,7 @@
         match self.ask_peer(gateway, address).await {
             Ok(answer) => {
                 gateway.record_peer_era(sent, answer.next.era, address);
-                self.following.gateway_told(answer.next);
+                self.cursor.gateway_answered(answer.next);
                 if let Some(ago) = answer.store_failed_ms_ago {
                     gateway.store_failed_for_peer(sent.saturating_sub(ago));
                 }
@@ -197,7 +197,7 @@
             }
             Err(why) => {
                 self.peer_client = None;
-                self.following.gateway_did_not_tell();
+                self.cursor.gateway_did_not_answer();
                 sources::mark_unresponsive(gateway, address, self.topic, &why);
                 None
             }
@@ -213,7 +213,7 @@
         // The planner uses the age of records, so a leader needs repeated records as well. A host
         // that the store listed from an older copy of its data is known to be alive by its next
         // record.
-        let leads = gateway.election.borrow().leads().is_some();
+        let leads = gateway.election.borrow().leading_fence().is_some();
         let repeats = leads || gateway.doubts_any_host() || gateway.store_may_lack_records();
         let answer = peer_client.ask(self.topic, self.position(), repeats).await?;
         self.peer_client = Some(peer_client);
@@ -221,7 +221,7 @@
         if answer.next.era < gateway.era() {
             return Err("it has not heard that the store came back from a copy".to_owned());
         }
-        let known = self.client.gateway().passing(self.topic).borrow();
+        let known = self.client.gateway().replay_buffer(self.topic).borrow();
         if answer.snapshot && known.is_ahead_of(answer.next) {
             // Records that the gateway lacks may be newer than those that it knows, and do not
             // count as removed.
@@ -252,10 +252,10 @@
             return self.tail(Place::new(gateway.era(), 0), 0).await;
         }
         loop {
-            let call = gateway.dialect.newest(self.topic, after.as_deref());
+            let call = gateway.dialect.newest_call(self.topic, after.as_deref());
             let (status, body) = self.client.call(&call, 0).await?;
             let page =
-                gateway.dialect.page(self.topic, status, &body).map_err(|e| e.to_string())?;
+                gateway.dialect.parse_page(self.topic, status, &body).map_err(|e| e.to_string())?;
             records.extend(page.records);
             // Pages do not form a consistent snapshot: changes since the first page are read again.
             let end = *first_end.get_or_insert(Place::new(gateway.era(), page.end));
@@ -267,7 +267,7 @@
                 break;
             }
         }
-        self.following.store_told(first_end);
+        self.cursor.store_answered(first_end);
         Ok(Step { records, snapshot: true, sent, held_ms: 0, source: RecordSource::Store })
     }
 
@@ -275,7 +275,7 @@
         let gateway = self.client.gateway().clone();
         let sent = gateway.now();
         let from = place.offset;
-        let call = gateway.dialect.tail(self.topic, from, wait_ms);
+        let call = gateway.dialect.tail_call(self.topic, from, wait_ms);
         let (status, body) = self.client.call(&call, wait_ms).await?;
         let era = gateway.era();
         if era != place.era && from != 0 {
@@ -284,12 +284,12 @@
         }
         let tail = gateway
             .dialect
-            .tailed(self.topic, from, status, &body)
+            .parse_tail(self.topic, from, status, &body)
             .map_err(|error| error.to_string())?;
         match tail {
             Tail::Records(records, next) => {
                 let held_ms = if records.is_empty() { wait_ms } else { 0 };
-                self.following.store_told(Some(Place::new(era, next)));
+                self.cursor.store_answered(Some(Place::new(era, next)));
                 Ok(Step { records, snapshot: false, sent, held_ms, source: RecordSource::Store })
             }
             Tail::Expired(first) => {
@@ -302,7 +302,7 @@
                 if self.topic == Topic::Leaders && first.is_none() && from == 0 {
                     return Err("it does not say which is the first record it keeps".to_owned());
                 }
-                self.following.store_told(first.map(|first| Place::new(era, first)));
+                self.cursor.store_answered(first.map(|first| Place::new(era, first)));
                 Ok(Step::empty(sent))
             }
             Tail::Refused(status) => Err(format!("refused with {status}")),
--- a/crates/oliveworks-gateway/src/leader.rs
+++ b/crates/oliveworks-gateway/src/leader.rs
@@ -49,7 +49,7 @@
     loop {
         gateway.tick();
         claim_if_due(&gateway);
-        let leads = gateway.election.borrow().leads();
+        let leads = gateway.election.borrow().leading_fence();
         if leads != fence {
             fence = leads;
             change_leadership(&gateway, fence).await;
@@ -142,16 +142,20 @@
         gateway.directory.borrow().of_service(service).cloned().collect();
     let mut probes = Vec::new();
     for server in &servers {
-        planner.listed(gateway.now(), server);
+        planner.handle_listed_host(gateway.now(), server);
         let (gateway, id, address) = (gateway.clone(), server.id.clone(), server.address);
         let answer = ntex::rt::spawn(async move { probe(&gateway, &id, address).await });
         probes.push((server.id.clone(), answer));
     }
     for (id, answer) in probes {
         match answer.await {
-            Ok(ProbeOutcome::Holding(holding)) => planner.reported(gateway.now(), &id, &holding),
-            Ok(ProbeOutcome::Silent { refused }) => planner.silent(gateway.now(), &id, refused),
-            Ok(ProbeOutcome::Replaced) => planner.replaced(gateway.now(), &id),
+            Ok(ProbeOutcome::Holding(holding)) => {
+                planner.handle_report(gateway.now(), &id, &holding)
+            }
+            Ok(ProbeOutcome::Silent { refused }) => {
+                planner.handle_silence(gateway.now(), &id, refused)
+            }
+            Ok(ProbeOutcome::Replaced) => planner.mark_replaced(gateway.now(), &id),
             Err(_) => {}
         }
     }
@@ -179,10 +183,16 @@
 async fn probe(gateway: &Gateway, server: &str, address: SocketAddr) -> ProbeOutcome {
     gateway.count("probes");
     let _slot = gateway.calls.acquire_slot(CallKind::Probe).await;
-    match call_server(gateway, server, address, &gateway.dialect.report(server), PROBE_TIMEOUT_MS)
-        .await
+    match call_server(
+        gateway,
+        server,
+        address,
+        &gateway.dialect.report_call(server),
+        PROBE_TIMEOUT_MS,
+    )
+    .await
     {
-        Ok(Reply { status, body, .. }) => match gateway.dialect.reported(status, &body) {
+        Ok(Reply { status, body, .. }) => match gateway.dialect.parse_report(status, &body) {
             Ok(Some(holding)) => ProbeOutcome::Holding(holding),
             Ok(None) => ProbeOutcome::Replaced,
             Err(_) => ProbeOutcome::Silent { refused: false },
@@ -208,7 +218,7 @@
     let answer = exchange::call(&mut open, address, call, within_ms).await;
     let reply = answer.map_err(|_: ExchangeError| false)?;
     if reply.status != MISDIRECTED {
-        let answered = gateway.dialect.answered(reply.status, &reply.headers);
+        let answered = gateway.dialect.parse_answer(reply.status, &reply.headers);
         let sender = Sender { server, incarnation, sent_at, to_request: false };
         gateway.process_statements(sender, &answered, &call.target);
     }
@@ -227,8 +237,8 @@
         refresh(gateway, service, planner);
         planner.set_traffic(gateway.traffic.get());
         report_load(gateway, service, planner);
-        slow.iter().for_each(|epoch| planner.runs_slowly(now, *epoch));
-        let shares_before = planner.parts();
+        slow.iter().for_each(|epoch| planner.probe_slow_group(now, *epoch));
+        let shares_before = planner.target_shares();
         commands.extend(planner.tick(now).into_iter().map(|command| (service.clone(), command)));
         log_shares(planner, &shares_before);
         log_waiting_hosts(gateway, planner);
@@ -247,7 +257,7 @@
 /// Logs each model whose share of the hosts has changed.
 fn log_shares(planner: &Planner, before: &BTreeMap<String, f64>) {
     for (model, share) in
-        planner.parts().iter().filter(|(model, share)| before.get(*model) != Some(share))
+        planner.target_shares().iter().filter(|(model, share)| before.get(*model) != Some(share))
     {
         Event::new("part_follows_callers")
             .with("model", model.as_str())
@@ -319,7 +329,7 @@
             open_per_slot: f64::from(serving.outstanding) / f64::from(serving.slots.max(1)),
             refused_part: gateway.demand.borrow().refused_part(now, key),
         };
-        planner.set_load(now, &model, load, serving.groups);
+        planner.record_load(now, &model, load, serving.groups);
     }
 }
 
@@ -394,14 +404,14 @@
                 ProbeOutcome::Holding(holding) => {
                     log_slow_host(&server, holding.pace);
                     log_changed_holding(planner, &server, &holding);
-                    planner.reported(now, &server, &holding);
+                    planner.handle_report(now, &server, &holding);
                 }
-                ProbeOutcome::Silent { refused } => planner.silent(now, &server, refused),
-                ProbeOutcome::Replaced => planner.replaced(now, &server),
+                ProbeOutcome::Silent { refused } => planner.handle_silence(now, &server, refused),
+                ProbeOutcome::Replaced => planner.mark_replaced(now, &server),
             }
         }
         Command::Order { server, address, order, expects } => {
-            let call = gateway.dialect.order(&server, fence, &order, expects);
+            let call = gateway.dialect.order_call(&server, fence, &order, expects);
             let outcome = send_order(&gateway, fence, &server, address, &call).await;
             Event::new("order")
                 .with("host", &*server)
@@ -448,12 +458,12 @@
     let _slot = gateway.calls.acquire_slot(CallKind::Order).await;
     // The gateway may have lost the leadership while it waited for a free call slot, and some hosts
     // don't check fences.
-    if gateway.election.borrow().leads() != Some(fence) {
+    if gateway.election.borrow().leading_fence() != Some(fence) {
         return Outcome::Unanswered;
     }
     gateway.count("orders");
     match call_server(gateway, server, address, order, ORDER_TIMEOUT_MS).await {
-        Ok(Reply { status, .. }) => gateway.dialect.ordered(status),
+        Ok(Reply { status, .. }) => gateway.dialect.parse_order_status(status),
         Err(_) => Outcome::Unanswered,
     }
 }
@@ -472,6 +482,6 @@
     let now = gateway.now();
     let mut planners = gateway.planners.borrow_mut();
     if let Some(planner) = planners.get_mut(service).filter(|p| p.fence() == fence) {
-        planner.ordered(now, server, order, outcome);
+        planner.handle_order_outcome(now, server, order, outcome);
     }
 }
--- a/crates/oliveworks-gateway/src/obstacles.rs
+++ b/crates/oliveworks-gateway/src/obstacles.rs
@@ -40,7 +40,7 @@
                     continue;
                 }
                 Ok(None) => {}
-                Ok(Some(per_s)) => place.candidate = place.candidate.taking(per_s),
+                Ok(Some(per_s)) => place.candidate = place.candidate.with_rate_limit(per_s),
             }
             match self.limit_allows(target) {
                 true => places.eligible.push(place),
@@ -91,7 +91,7 @@
         if self.drains.borrow().holds(&place.failure_domain) {
             return Some(Obstacle::Drained);
         }
-        if self.suspensions.borrow().holds(now, target) {
+        if self.suspensions.borrow().is_suspended(now, target) {
             return Some(Obstacle::Suspended);
         }
         let until = self.backoffs.borrow().until(now, target);
--- a/crates/oliveworks-gateway/src/passing.rs
+++ b/crates/oliveworks-gateway/src/passing.rs
@@ -15,8 +15,8 @@
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use log::{debug, warn};
-use oliveworks_gateway_core::passing::Told;
 use oliveworks_gateway_core::place::Place;
+use oliveworks_gateway_core::replay::ReplayAnswer;
 use serde::{Deserialize, Serialize};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
@@ -186,16 +186,16 @@
 
 fn answer_now(gateway: &Gateway, question: &Question) -> Option<Answer> {
     let topic = question.topic;
-    let passing = gateway.passing(topic).borrow();
+    let buffer = gateway.replay_buffer(topic).borrow();
     let kept = match question.repeats {
-        true => passing.since_with_repeats(question.from),
-        false => passing.since(question.from),
+        true => buffer.since_with_repeats(question.from),
+        false => buffer.since(question.from),
     };
-    drop(passing);
+    drop(buffer);
     let (records, snapshot, next) = match kept {
-        Told::Records(records, next) => (records, false, next),
-        Told::Newest(next) => (newest(gateway, topic), true, next),
-        Told::Behind | Told::Unread => return None,
+        ReplayAnswer::Records(records, next) => (records, false, next),
+        ReplayAnswer::Newest(next) => (newest(gateway, topic), true, next),
+        ReplayAnswer::Behind | ReplayAnswer::Unread => return None,
     };
     let now = gateway.now();
     let proof_age_ms = match topic {
--- a/crates/oliveworks-gateway/src/places.rs
+++ b/crates/oliveworks-gateway/src/places.rs
@@ -36,7 +36,7 @@
     /// started has no table, and uses the list of backend servers until it hears from a leader.
     fn table_is_recent(&self) -> bool {
         let came = self.table.borrow().number > 0;
-        let leads = self.election.borrow().leads().is_some();
+        let leads = self.election.borrow().leading_fence().is_some();
         came && (leads || self.now() < self.table_confirmed_at.get() + TABLE_VALID_MS)
     }
 
@@ -51,7 +51,7 @@
         let candidate = Candidate {
             target: Target::of(&server.id),
             slots: server.slots,
-            near: server.failure_domain == self.settings.failure_domain,
+            is_local: server.failure_domain == self.settings.failure_domain,
             open_ms: PLAIN_REQUEST_COST_MS,
             token_ms: 0.0,
         };
@@ -106,7 +106,7 @@
                     target: Target::of(head),
                     // A slow group reaches the usual output speed only with fewer requests.
                     slots: (f64::from(group.slots) / group.pace()).ceil() as u32,
-                    near: group.failure_domain == self.settings.failure_domain,
+                    is_local: group.failure_domain == self.settings.failure_domain,
                     open_ms: GROUP_REQUEST_COST_MS * group.pace(),
                     token_ms: token_ms * group.pace(),
                 };
--- a/crates/oliveworks-gateway/src/records.rs
+++ b/crates/oliveworks-gateway/src/records.rs
@@ -10,9 +10,9 @@
 use oliveworks_gateway_core::balance::Target;
 use oliveworks_gateway_core::configuration::{Configuration, Lookup};
 use oliveworks_gateway_core::listing::{Listing, ListingConfig};
-use oliveworks_gateway_core::passing::Kept;
 use oliveworks_gateway_core::place::Place;
 use oliveworks_gateway_core::repeats::Repeats;
+use oliveworks_gateway_core::replay::Kept;
 use oliveworks_gateway_core::slow_start::cold::{Listed, Reading};
 use tokio::time::sleep;
 
@@ -133,7 +133,7 @@
         RecordSource::Store => freshness.proved(sent, held_ms),
         RecordSource::Gateway { proof_age_ms: None, .. } => return,
         RecordSource::Gateway { proof_age_ms: Some(age_ms), .. } => {
-            freshness.passed_on(sent, held_ms, age_ms);
+            freshness.proved_by_peer(sent, held_ms, age_ms);
             gateway.store_answered_peer((sent + held_ms).saturating_sub(age_ms));
         }
     }
@@ -143,10 +143,10 @@
 /// Keeps the records of a step for gateways that read through this one; `next` is the position
 /// after them.
 fn keep_for_peers(gateway: &Gateway, topic: Topic, step: &Step, next: Option<Place>) {
-    let mut passing = gateway.passing(topic).borrow_mut();
+    let mut buffer = gateway.replay_buffer(topic).borrow_mut();
     match next {
-        Some(next) if step.snapshot => passing.read_anew(next),
-        Some(next) => passing.followed(step.records.clone(), next),
+        Some(next) if step.snapshot => buffer.restart_at(next),
+        Some(next) => buffer.append(step.records.clone(), next),
         // The position is unknown: the next step reads the whole topic again.
         None => {}
     }
@@ -183,11 +183,11 @@
 fn has_restarted(gateway: &Gateway, server: &BackendServer) -> bool {
     let directory = gateway.directory.borrow();
     let known = directory.get(&server.id);
-    let known = known.filter(|known| server.holding.is_of_later_life(known.holding.born));
+    let known = known.filter(|known| server.holding.is_of_later_incarnation(known.holding.born));
     let Some(known) = known else { return false };
     gateway.count("hosts_started_again");
-    gateway.backoffs.borrow_mut().starts_anew(Target::of(&server.id));
-    gateway.rate_limits.borrow_mut().limits.starts_anew(Target::of(&server.id));
+    gateway.backoffs.borrow_mut().remove(Target::of(&server.id));
+    gateway.rate_limits.borrow_mut().limits.remove(Target::of(&server.id));
     Event::new("host_started_again")
         .with("host", &*server.id)
         .debug("born", server.holding.born)
@@ -232,7 +232,7 @@
                 let is_back = missing.found(now, &server.id) && !restarted;
                 listed.insert(server.id.clone());
                 if let Some(planner) = gateway.planners.borrow_mut().get_mut(&server.service) {
-                    planner.listed(now, server);
+                    planner.handle_listed_host(now, server);
                 }
                 if gateway.directory.borrow().get(&server.id).is_none() {
                     update.new = true;
@@ -307,14 +307,14 @@
 /// there are new records.
 fn keep_servers(gateway: &Gateway, kept: Vec<Kept<Record>>, snapshot: bool, next: Option<Place>) {
     let news = snapshot || kept.iter().any(|kept| !kept.is_repeat);
-    let mut passing = gateway.passing(Topic::BackendServers).borrow_mut();
+    let mut buffer = gateway.replay_buffer(Topic::BackendServers).borrow_mut();
     match next {
-        Some(next) if snapshot => passing.read_anew(next),
-        Some(next) => passing.followed_with_repeats(kept, next),
+        Some(next) if snapshot => buffer.restart_at(next),
+        Some(next) => buffer.append_with_repeats(kept, next),
         // The position is unknown: the next step reads the whole topic again.
         None => {}
     }
-    drop(passing);
+    drop(buffer);
     if news {
         gateway.new_records(Topic::BackendServers).notify_waiters();
     }
--- a/crates/oliveworks-gateway/src/relay.rs
+++ b/crates/oliveworks-gateway/src/relay.rs
@@ -22,7 +22,7 @@
 
 use crate::connection::{Connection, Disconnected, ReceivedRequest};
 use crate::crashers::{FailedRun, fingerprint};
-use crate::dialect::{Asked, Headers};
+use crate::dialect::{Headers, RequestInfo};
 use crate::events::Event;
 use crate::places::Place;
 use crate::state::Gateway;
@@ -59,7 +59,7 @@
 struct Job<'a> {
     gateway: &'a Gateway,
     request: &'a ReceivedRequest,
-    asked: Asked,
+    asked: RequestInfo,
     route: Route,
     service: String,
     /// Requested model, if the service serves models by replica groups.
@@ -99,13 +99,13 @@
     gateway.count(answer.code);
     let mut headers: Headers = Vec::new();
     if !id.is_empty() {
-        let (name, value) = gateway.dialect.request_id(id);
+        let (name, value) = gateway.dialect.request_id_header(id);
         headers.push((name, value.into()));
     }
     if answer.come_back {
         let (name, value) = gateway
             .dialect
-            .come_back(retry_after_ms + rand::random_range(0..RETRY_AFTER_JITTER_MS));
+            .retry_after_header(retry_after_ms + rand::random_range(0..RETRY_AFTER_JITTER_MS));
         headers.push((name, value.into()));
     }
     headers.push(("content-type".into(), "application/json".into()));
@@ -125,7 +125,7 @@
 ) -> End {
     gateway.count("requests");
     gateway.traffic.set(true);
-    let asked = match gateway.dialect.asked(&request.headers) {
+    let asked = match gateway.dialect.parse_request(&request.headers) {
         Ok(asked) => asked,
         Err(_) => return reject(gateway, connection, "", Verdict::BadRequest, 0).await,
     };
@@ -175,7 +175,7 @@
     gateway: &'a Gateway,
     lookup: &Lookup,
     request: &'a ReceivedRequest,
-    asked: Asked,
+    asked: RequestInfo,
 ) -> Result<Job<'a>, Verdict> {
     let host = request.header("host").ok_or(Verdict::BadRequest)?;
     let path = request.target.split('?').next().unwrap_or_default();
@@ -233,7 +233,7 @@
         let gateway = self.gateway;
         let freshness = gateway.freshness.get();
         self.route.public
-            || freshness.honours_keys(gateway.now(), gateway.settings.bounds.revoke_ms)
+            || freshness.accepts_keys(gateway.now(), gateway.settings.bounds.revoke_ms)
     }
 
     async fn run(&mut self, connection: &mut Connection) -> (End, String) {
@@ -250,7 +250,7 @@
             }
             let (gateway, fingerprint) = (self.gateway, self.fingerprint);
             let standing = gateway.standing(fingerprint);
-            if gateway.is_tried_already(fingerprint) {
+            if gateway.must_wait_for_trial(fingerprint) {
                 return self.reject_copy(connection).await;
             }
             let found = match gateway.unless_convicted(fingerprint, self.place(standing)).await {
@@ -266,7 +266,7 @@
                 Err(none) => return self.reject_without_place(connection, &none).await,
             };
             // A copy of the request may have been sent while this one waited for a place.
-            if gateway.is_tried_already(fingerprint) {
+            if gateway.must_wait_for_trial(fingerprint) {
                 return self.reject_copy(connection).await;
             }
             let repeat = self.attempts.next_is_repeat();
@@ -354,7 +354,7 @@
         self.log.push(format!(
             "to {}{} at {} ms: {} open, {} tokens unread",
             place.server,
-            if place.candidate.near { "" } else { " elsewhere" },
+            if place.candidate.is_local { "" } else { " elsewhere" },
             now - self.received,
             load.requests,
             load.tokens,
@@ -403,7 +403,7 @@
     fn note_demand(&self, refused: bool) {
         let Some(model) = self.model.as_ref().filter(|_| self.attempts.sent() == 0) else { return };
         let key = ModelKey::of(&self.service, model);
-        self.gateway.demand.borrow_mut().looked(self.gateway.now(), key, refused);
+        self.gateway.demand.borrow_mut().record_request(self.gateway.now(), key, refused);
     }
 
     fn consume_repeat(&self) -> bool {
--- a/crates/oliveworks-gateway/src/state.rs
+++ b/crates/oliveworks-gateway/src/state.rs
@@ -13,22 +13,22 @@
 use oliveworks_gateway_core::budget::{Budget, BudgetConfig};
 use oliveworks_gateway_core::configuration::Lookup;
 use oliveworks_gateway_core::crashers::Crashers;
-use oliveworks_gateway_core::demand::Demand;
+use oliveworks_gateway_core::demand::ModelDemand;
 use oliveworks_gateway_core::drains::Drains;
 use oliveworks_gateway_core::election::{Election, ElectionConfig};
 use oliveworks_gateway_core::era::{Era, StoreEra};
 use oliveworks_gateway_core::freshness::Freshness;
+use oliveworks_gateway_core::load_report::ReportIntervals;
 use oliveworks_gateway_core::members::Members;
 use oliveworks_gateway_core::missing::Missing;
-use oliveworks_gateway_core::passing::Passing;
 use oliveworks_gateway_core::planner::Planner;
 use oliveworks_gateway_core::rate_limits::RateLimits;
+use oliveworks_gateway_core::replay::ReplayBuffer;
 use oliveworks_gateway_core::returning::Waits;
 use oliveworks_gateway_core::slow_start::SlowStarts;
 use oliveworks_gateway_core::speed::Speeds;
 use oliveworks_gateway_core::suspensions::Suspensions;
 use oliveworks_gateway_core::table::{Assembly, Change, Changes, Table};
-use oliveworks_gateway_core::telling::Pace;
 use oliveworks_gateway_core::versions::Lag;
 use oliveworks_runtime::clock::Clock;
 use oliveworks_runtime::latencies::Latencies;
@@ -98,7 +98,7 @@
     pub missing: RefCell<Missing>,
     /// Last records of each topic, kept for gateways that read them through this one, and the
     /// notification of tasks that wait for new records.
-    passing: HashMap<Topic, (RefCell<Passing<Record>>, Notify)>,
+    replay_buffers: HashMap<Topic, (RefCell<ReplayBuffer<Record>>, Notify)>,
     /// Gateways that did not answer a question, with the time of the failure.
     pub unresponsive_peers: RefCell<HashMap<SocketAddr, Millis>>,
     /// Time of this gateway's last call to the store to follow a topic.
@@ -150,7 +150,7 @@
     /// Requests that this gateway sent to each group in the current window.
     pub admission: RefCell<Admission>,
     /// Demand per model, and the fraction of requests without a place.
-    pub demand: RefCell<Demand>,
+    pub demand: RefCell<ModelDemand>,
     /// Speeds of replica groups.
     pub speeds: RefCell<Speeds>,
     /// Budget of repeated sends.
@@ -183,7 +183,7 @@
     pub table_parts: RefCell<Assembly>,
     /// Times at which the sums of requests outstanding elsewhere were last sent to each failure
     /// domain.
-    pub elsewhere_reports: RefCell<Pace>,
+    pub elsewhere_reports: RefCell<ReportIntervals>,
     /// Whether the next heartbeat is sent at once.
     pub heartbeat_is_urgent: Cell<bool>,
     /// Requests that pending messages to other gateways be sent at once.
@@ -231,7 +231,7 @@
             list_read_at: Cell::new(0),
             directory_read: Cell::new(false),
             missing: RefCell::default(),
-            passing: TOPICS.into_iter().map(|topic| (topic, Default::default())).collect(),
+            replay_buffers: TOPICS.into_iter().map(|topic| (topic, Default::default())).collect(),
             unresponsive_peers: RefCell::default(),
             store_called_at: Cell::new(0),
             store_proved_at: Cell::new(None),
@@ -393,13 +393,13 @@
     }
 
     /// Returns the last records of a topic.
-    pub fn passing(&self, topic: Topic) -> &RefCell<Passing<Record>> {
-        &self.passing[&topic].0
+    pub fn replay_buffer(&self, topic: Topic) -> &RefCell<ReplayBuffer<Record>> {
+        &self.replay_buffers[&topic].0
     }
 
     /// Returns the notification of new records of a topic.
     pub fn new_records(&self, topic: Topic) -> &Notify {
-        &self.passing[&topic].1
+        &self.replay_buffers[&topic].1
     }
 
     /// Records that the store answered a gateway that was asked.
--- a/crates/oliveworks-gateway/src/suspicions.rs
+++ b/crates/oliveworks-gateway/src/suspicions.rs
@@ -37,7 +37,7 @@
     pub fn process_slow_group(&self, epoch: u64) {
         let now = self.now();
         for planner in self.planners.borrow_mut().values_mut() {
-            planner.runs_slowly(now, epoch);
+            planner.probe_slow_group(now, epoch);
         }
     }
 
@@ -49,7 +49,7 @@
             self.send_now.notify_one();
         }
         for planner in self.planners.borrow_mut().values_mut() {
-            planner.suspected(epoch);
+            planner.suspect_group(epoch);
         }
     }
 
@@ -63,14 +63,14 @@
             let target = Target::of(&group.members[0]);
             let last = self.balance.borrow().last_progress(target);
             let silent = last.is_none_or(|at| now > at + RECENT_DATA_MS);
-            if silent && !self.suspensions.borrow().holds(now, target) {
+            if silent && !self.suspensions.borrow().is_suspended(now, target) {
                 self.suspensions.borrow_mut().suspend(now, target);
                 self.record_unreachable(&group.members[0]);
             }
         }
         drop(table);
         for planner in self.planners.borrow_mut().values_mut() {
-            planner.suspected(epoch);
+            planner.suspect_group(epoch);
         }
     }
 }
