--- a/crates/oliveworks-entry/src/admin.rs
+++ b/crates/oliveworks-entry/src/admin.rs
@@ -1,4 +1,4 @@
-//! For operators and monitoring: metrics, state, the time line.
+//! HTTP interface for operators and monitoring: metrics, status and the timeline.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{SocketAddr, TcpListener};
@@ -21,9 +21,9 @@
 
 type Shared = State<Arc<Entry>>;
 
-/// Processes asked for their events at once, at most.
+/// Maximum number of processes queried for one timeline request.
 const ASKED_MAX: usize = 64;
-/// A process must tell its events within this time.
+/// Timeout of a query for the events of another process.
 const EVENTS_WITHIN: Duration = Duration::from_millis(1_500);
 
 fn allowed(entry: &Entry, request: &HttpRequest) -> Result<(), HttpResponse> {
@@ -57,7 +57,7 @@
     HttpResponse::ServiceUnavailable().body("stopping, or the configuration is not known yet\n")
 }
 
-/// Groups, hosts, templates, and why replicas are missing.
+/// Returns groups, hosts and templates, and the reasons why replicas are missing.
 async fn status(entry: Shared, request: HttpRequest) -> HttpResponse {
     if let Err(refused) = allowed(&entry, &request) {
         return refused;
@@ -119,7 +119,7 @@
     HttpResponse::Ok().json(&body)
 }
 
-/// How far this entry and those that ask it for records have come.
+/// Returns the next offset of this entry and of the processes that read records from it.
 async fn heads(entry: Shared, request: HttpRequest) -> HttpResponse {
     if let Err(refused) = allowed(&entry, &request) {
         return refused;
@@ -133,10 +133,10 @@
     HttpResponse::Ok().json(&heads)
 }
 
-/// A process that has not asked for records for this long is not reported, in milliseconds.
+/// Time without a read of records after which a process is not listed any more, in milliseconds.
 const HEAD_MS: u64 = 15_000;
 
-/// What became of a record.
+/// Returns whether the record at an offset was applied.
 async fn outcome(entry: Shared, request: HttpRequest, offset: Path<u64>) -> HttpResponse {
     if let Err(refused) = allowed(&entry, &request) {
         return refused;
@@ -150,7 +150,8 @@
     HttpResponse::Ok().json(&body)
 }
 
-/// Events of this entry and of the processes that may know more, merged.
+/// Returns the events of this entry, merged with those of other processes that may have matching
+/// events. Processes that did not answer are listed as `silent`.
 async fn timeline(entry: Shared, request: HttpRequest, filter: Query<Filter>) -> HttpResponse {
     if let Err(refused) = allowed(&entry, &request) {
         return refused;
@@ -182,7 +183,8 @@
     HttpResponse::Ok().json(&json!({"events": events, "silent": silent}))
 }
 
-/// Which processes to ask for events: those that the filter, or the events here, point to.
+/// Returns the processes to query for events: the other entries, and the members of the groups that
+/// the filter or the events of this entry refer to.
 fn peers(entry: &Entry, filter: &Filter, events: &[Event]) -> Vec<(String, SocketAddr)> {
     let me = entry.settings.entry;
     let entries = entry.settings.entries.iter().filter(|e| e.entry != me);
@@ -210,7 +212,7 @@
     peers
 }
 
-/// Serves the pages in a thread of their own.
+/// Starts the HTTP server for operators in a thread of its own.
 pub fn serve(entry: &Arc<Entry>) -> anyhow::Result<ntex::server::Server> {
     let at = entry.settings.admin;
     let listener = TcpListener::bind(at).with_context(|| format!("admin: {at}"))?;
--- a/crates/oliveworks-entry/src/answer.rs
+++ b/crates/oliveworks-entry/src/answer.rs
@@ -1,4 +1,4 @@
-//! Refusals as callers read them.
+//! HTTP answers for refusals.
 
 use ntex::http::StatusCode;
 use ntex::web::HttpResponse;
@@ -6,7 +6,8 @@
 use oliveworks_core::id::RequestId;
 use serde_json::{Value, json};
 
-/// The body of a refusal, in the shape that client libraries of the chat protocol parse.
+/// Returns the JSON body of a refusal, in the format that client libraries of the chat protocol
+/// parse.
 pub fn error_body(refusal: &Refusal) -> Value {
     let answer = refusal.kind.answer();
     json!({"error": {
@@ -20,10 +21,10 @@
     }})
 }
 
-/// The header that names a request, for `oliveworksctl explain`.
+/// Header with the id of a request, for use with `oliveworksctl explain`.
 pub const REQUEST_HEADER: &str = "x-request-id";
 
-/// The HTTP answer of a refusal; `request` names the request, if it came as far as having a name.
+/// Returns the HTTP answer of a refusal. `request` is the id of the request, if one was assigned.
 pub fn refusal(refusal: &Refusal, request: Option<RequestId>) -> HttpResponse {
     let status = StatusCode::from_u16(refusal.kind.answer().status)
         .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
@@ -32,7 +33,7 @@
         response.header("retry-after", ms.div_ceil(1000).max(1).to_string());
     }
     response.header("x-ran", refusal.ran.to_string());
-    // Clients of the protocol that retry by themselves heed this header.
+    // Client libraries of the protocol that retry automatically obey this header.
     response.header("x-should-retry", refusal.kind.answer().retry.to_string());
     if let Some(request) = request {
         response.header(REQUEST_HEADER, request.to_string());
--- a/crates/oliveworks-entry/src/auth.rs
+++ b/crates/oliveworks-entry/src/auth.rs
@@ -1,4 +1,4 @@
-//! Who calls.
+//! Authentication of callers.
 
 use ntex::http::header::HeaderMap;
 use oliveworks_core::error::{ErrorKind, Ran, Refusal};
@@ -7,15 +7,15 @@
 use crate::process::Entry;
 use crate::state::Caller;
 
-/// The bearer token of a request.
+/// Returns the bearer token of a request.
 pub fn bearer(headers: &HeaderMap) -> Option<&str> {
     let value = headers.get("authorization")?.to_str().ok()?;
     let (scheme, token) = value.split_once(' ')?;
     scheme.eq_ignore_ascii_case("bearer").then(|| token.trim())
 }
 
-/// The workspace that a request's token belongs to. Tokens are compared by digest, so the time
-/// that it takes tells nothing of them.
+/// Returns the owner of a request's token. Tokens are looked up by digest so that the duration of
+/// the lookup reveals nothing about the tokens.
 pub fn caller(entry: &Entry, headers: &HeaderMap) -> Result<Caller, Refusal> {
     let refuse = |why: &str| Refusal::new(ErrorKind::Unauthorized, Ran::No, why);
     let token = bearer(headers).ok_or_else(|| refuse("a bearer token is needed"))?;
--- a/crates/oliveworks-entry/src/callers.rs
+++ b/crates/oliveworks-entry/src/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' interface: what all requests have in common.
+//! HTTP interface for callers: the parts that all kinds of requests have in common.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -21,40 +21,41 @@
 use crate::process::Entry;
 use crate::state::{Caller, Prompt};
 
-/// The header that carries a caller's key.
+/// Header that carries a caller's idempotency key.
 pub const KEY_HEADER: &str = "idempotency-key";
-/// The header that says that a request must not run twice.
+/// Header by which a caller declares that a request must not run twice.
 pub const ONCE_HEADER: &str = "x-not-repeatable";
-/// The header with the time left to a request, in milliseconds.
+/// Header with the time left until a request's deadline, in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-deadline-ms";
-/// The longest key.
+/// Maximum length of a key, in bytes.
 const KEY_MAX: usize = 255;
-/// The longest time that a caller may ask for, in milliseconds.
+/// Maximum time until the deadline that a caller may ask for, in milliseconds.
 const DEADLINE_MAX_MS: u64 = 3_600_000;
 
-/// A shared entry.
+/// Entry as shared with the HTTP handlers.
 pub type Shared = State<Arc<Entry>>;
 
-/// A refusal without a message of its own.
+/// Returns a refusal of a request that did not run.
 pub fn refuse(kind: ErrorKind, why: impl Into<String>) -> Refusal {
     Refusal::new(kind, Ran::No, why)
 }
 
-/// What a request's headers and template say of how it may be treated.
+/// Options of a request, taken from its headers and its template.
 pub struct Intake {
-    /// The request.
+    /// Id of the request.
     pub id: RequestId,
-    /// The caller's key.
+    /// Caller's idempotency key.
     pub key: Option<Key>,
-    /// What may be done with it.
+    /// Conditions under which the request may be attempted.
     pub terms: RequestTerms,
-    /// Its template.
+    /// Template of the request.
     pub template: TemplateKey,
-    /// Its template's priority.
+    /// Priority of the template.
     pub priority: u8,
-    /// How many of its template's requests may wait.
+    /// Length of the workspace's queue at which this request is rejected, from the template's
+    /// limits.
     pub queue: usize,
-    /// The most tokens of its answer.
+    /// Maximum number of tokens of the answer.
     pub max_tokens: u32,
 }
 
@@ -70,7 +71,7 @@
     (1..=DEADLINE_MAX_MS).contains(&ms).then_some(ms).ok_or_else(bad)
 }
 
-/// The time within a UUID of version 7, in milliseconds since 1970.
+/// Returns the creation time in a UUID of version 7, in milliseconds since 1970.
 fn born_ms(key: &str) -> Option<u64> {
     let hex: String = key.chars().filter(|c| *c != '-').collect();
     if key.len() != 36 || hex.len() != 32 || hex.as_bytes()[12] != b'7' {
@@ -97,7 +98,8 @@
 }
 
 impl Intake {
-    /// Reads the headers. `digest` is that of the request, for its key.
+    /// Reads the options of a request. `digest` is the digest of the request, which is stored with
+    /// its key.
     pub fn new(
         entry: &Entry,
         headers: &HeaderMap,
@@ -108,7 +110,7 @@
         let said = text(headers, ONCE_HEADER).is_some_and(|v| v != "false" && v != "0");
         let repeatable = template.repeatable && !said;
         let left_ms = deadline_ms(headers, template.limits.deadline_ms)?;
-        // A repeatable request may run again anyway, so its key has no work to do.
+        // A repeatable request may run more than once anyway, so its key is ignored.
         let key = match repeatable {
             true => None,
             false => key(headers, &template.key(), digest)?,
@@ -132,7 +134,7 @@
     }
 }
 
-/// Finds the template that a caller reaches by a name.
+/// Returns the template of the caller's workspace that has the given kind and name.
 pub fn find(entry: &Entry, caller: &Caller, kind: Kind, name: &str) -> Result<Published, Refusal> {
     let found = entry.store.with_pool(|pool| {
         pool.find_template(&caller.partner, &caller.workspace, kind, name).cloned()
@@ -143,7 +145,7 @@
     })
 }
 
-/// Takes a waiting request out of the queue if its caller leaves.
+/// Guard that removes a waiting request from the queue if its caller disconnects.
 struct Place<'a> {
     entry: &'a Entry,
     id: RequestId,
@@ -155,7 +157,8 @@
     }
 }
 
-/// Waits for the request's turn. A key goes to its home, whatever waits there.
+/// Waits until the request is admitted and returns the chosen group. A request with a key is not
+/// queued: it goes to the home of the key regardless of the load there, so `None` is returned.
 pub async fn admit(
     entry: &Entry,
     caller: &Caller,
@@ -191,7 +194,7 @@
     }
 }
 
-/// Reads a body whole, within the bounds of size and time.
+/// Reads a complete body, within the configured limits of size and time.
 pub async fn read_body(entry: &Entry, payload: &mut Payload) -> Result<Vec<u8>, Refusal> {
     let callers = &entry.settings.callers;
     let max = callers.body_max;
@@ -216,7 +219,7 @@
     }
 }
 
-/// The answer to a refused request, which is also counted.
+/// Returns the HTTP answer to a refused request and counts the refusal in the metrics.
 pub fn answer_refused(entry: &Entry, refusal: &Refusal) -> HttpResponse {
     entry.metrics.request(refusal.kind.answer().code);
     crate::answer::refusal(refusal, None)
@@ -227,7 +230,7 @@
     answer_refused(&entry, &refuse(ErrorKind::NotFound, format!("nothing is at {shown}")))
 }
 
-/// Serves callers in a thread of its own.
+/// Starts the HTTP server for callers in a thread of its own.
 pub fn serve(entry: &Arc<Entry>, listener: TcpListener) -> anyhow::Result<ntex::server::Server> {
     let connections = entry.settings.callers.connections;
     let entry = entry.clone();
--- a/crates/oliveworks-entry/src/completion.rs
+++ b/crates/oliveworks-entry/src/completion.rs
@@ -1,4 +1,4 @@
-//! Chat and plain completions, whole and streamed.
+//! Chat and plain completions, as one body or as a stream of events.
 
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
 use crate::process::Entry;
 use crate::state::Prompt;
 
-/// What the answer has to look like.
+/// Properties of the answer that the JSON bodies depend on.
 #[derive(Clone)]
 struct Shape {
     chat: bool,
@@ -29,7 +29,7 @@
     usage: bool,
 }
 
-/// `GET /v1/models`
+/// Handles `GET /v1/models`.
 pub async fn models(entry: Shared, request: HttpRequest) -> HttpResponse {
     let caller = match crate::auth::caller(&entry, request.headers()) {
         Ok(caller) => caller,
@@ -48,12 +48,12 @@
     HttpResponse::Ok().json(&json!({"object": "list", "data": data}))
 }
 
-/// `POST /v1/chat/completions`
+/// Handles `POST /v1/chat/completions`.
 pub async fn chat(entry: Shared, request: HttpRequest, body: Payload) -> HttpResponse {
     answer(entry, request, body, true).await
 }
 
-/// `POST /v1/completions`
+/// Handles `POST /v1/completions`.
 pub async fn plain(entry: Shared, request: HttpRequest, body: Payload) -> HttpResponse {
     answer(entry, request, body, false).await
 }
@@ -67,7 +67,7 @@
     }
 }
 
-/// Checks, admits and routes a request.
+/// Checks and admits a request. The flag in the result is set if the caller wants a stream.
 async fn prepare(
     entry: &Arc<Entry>,
     request: &HttpRequest,
@@ -138,8 +138,9 @@
     Ok(())
 }
 
-/// The prompt as routing sees it. Words stand in for tokens: only equality of prefixes and rough
-/// lengths matter, and the model's tokenizer is not known here.
+/// Returns the prompt in the form that routing uses. Words take the place of tokens because the
+/// model's tokenizer is not available here, and routing needs only the equality of prefixes and an
+/// approximate length.
 fn prompt(parsed: &Value, block: usize) -> Prompt {
     let mut words: Vec<&str> = Vec::new();
     if let Some(text) = parsed.get("prompt").and_then(Value::as_str) {
@@ -208,7 +209,7 @@
     }
 }
 
-/// Collects the whole answer. A part of one is never passed on as whole.
+/// Collects the complete answer and returns it as one body. An incomplete answer is never returned.
 async fn whole(entry: &Entry, mut driver: Driver, shape: &Shape) -> HttpResponse {
     let mut text = Vec::new();
     loop {
@@ -221,7 +222,7 @@
                     .json(&shape.whole(&text, &reason, &used));
             }
             Ok(Out::Head(..) | Out::Kept(_)) => {
-                // A key's kept answer is held for plain services only.
+                // Answers are kept for repeated keys of plain services only.
                 let why = "the request ran; its answer is not kept";
                 let refusal = Refusal::new(ErrorKind::AnswerGone, Ran::Yes, why);
                 return callers::answer_refused(entry, &refusal);
@@ -235,8 +236,9 @@
     Bytes::from(format!("data: {value}\n\n"))
 }
 
-/// Streams the answer. A refusal before the first piece is an HTTP error; after it, an error event,
-/// and the connection is broken off, so that no client takes the stream for complete.
+/// Streams the answer. A refusal before the first piece is returned as an HTTP error. A later
+/// refusal is sent as an error event, and the connection is aborted so that no client takes the
+/// stream for complete.
 async fn stream(entry: Arc<Entry>, mut driver: Driver, shape: Shape) -> HttpResponse {
     let first = match driver.next().await {
         Ok(out) => out,
@@ -263,7 +265,7 @@
 
 type Sender = ntex::channel::mpsc::Sender<Result<Bytes, std::io::Error>>;
 
-/// Passes the answer on. `Err(None)`: the caller left.
+/// Passes the answer on to the caller. Returns `Err(None)` if the caller disconnected.
 async fn relay(
     driver: &mut Driver,
     first: Out,
@@ -294,8 +296,8 @@
                 return Err(Some(Refusal::new(ErrorKind::AnswerGone, Ran::Yes, why)));
             }
         }
-        // A caller that reads slowly holds the pieces up at the agent, not here; one that has left
-        // is noticed while the next piece is waited for.
+        // The pieces for a caller that reads slowly are held back at the agent, not here. A caller
+        // that disconnects is detected during the wait for the next piece.
         out = tokio::select! {
             next = driver.next() => next.map_err(Some)?,
             () = closed(sender) => return Err(None),
@@ -303,12 +305,12 @@
     }
 }
 
-/// Ends when the caller has left.
+/// Waits until the caller has disconnected.
 async fn closed(sender: &Sender) {
     while !sender.is_closed() {
         ntex::time::sleep(ntex::time::Millis(CLOSED_LOOK_MS)).await;
     }
 }
 
-/// How often a stream looks whether its caller is still there, in milliseconds.
+/// Time between two checks whether the caller of a stream has disconnected, in milliseconds.
 const CLOSED_LOOK_MS: u32 = 100;
--- a/crates/oliveworks-entry/src/decide.rs
+++ b/crates/oliveworks-entry/src/decide.rs
@@ -1,4 +1,5 @@
-//! Carries the deciding role: reads the platform's list, plans, appends.
+//! Deciding role of an entry: reads the platform's list of hosts, plans changes, and appends the
+//! resulting records to the log.
 
 use std::sync::Arc;
 
@@ -12,14 +13,15 @@
 
 use crate::process::Entry;
 
-/// Between two looks, in milliseconds.
+/// Time between two runs of the decider, in milliseconds.
 const LOOK_MS: u32 = 100;
-/// Between two looks at whether a snapshot is due, in milliseconds.
+/// Time between two checks whether a snapshot is due, in milliseconds.
 const SNAPSHOT_MS: u64 = 3_000;
-/// Entries beyond this rank do not read the list: one of these three will act.
+/// Number of entries, by rank, that read the platform's list of hosts. One of these three is
+/// expected to act, so entries of higher rank do not read the list.
 const READERS: u64 = 3;
 
-/// Runs for as long as the process does.
+/// Runs the decider. Never returns.
 pub async fn decide(entry: Arc<Entry>, platform: Platform, key: SigningKey) {
     ntex::rt::spawn(read_list(entry.clone(), platform.clone()));
     let mut snapshot_looked = Millis(0);
@@ -36,19 +38,20 @@
             let text = match key.sign(&record) {
                 Ok(text) => text,
                 Err(e) => {
-                    log::error!("A record cannot be signed: {e:#}.");
+                    log::error!("Signing a record of kind {kind} failed: {e:#}.");
                     continue;
                 }
             };
             match platform.append(RECORDS, &text).await {
                 Ok(offset) => {
-                    log::info!("Record {offset} is appended: {kind}.");
+                    log::info!("Appended record {offset} of kind {kind}.");
                     let event = Event::new("decider", kind);
                     entry.note(event.text(format!("record {offset}")));
                 }
-                // Its fate is seen by reading on, or it is planned anew.
+                // If the record was appended, it is seen when the log is read. Otherwise the
+                // decider plans it again.
                 Err(e) => {
-                    log::warn!("The append of {kind} has no answer: {e:#}.");
+                    log::warn!("Appending a record of kind {kind} failed: {e:#}.");
                     break;
                 }
             }
@@ -58,7 +61,7 @@
             let kept =
                 keep_snapshot(&entry.store, &platform, &key, entry.rank, &mut snapshot_at).await;
             if let Err(e) = kept {
-                log::warn!("No snapshot is kept: {e:#}.");
+                log::warn!("Writing a snapshot failed: {e:#}.");
             }
         }
     }
@@ -74,7 +77,7 @@
                 let now = entry.clock.now();
                 entry.core().decider.update_list(now, &listed);
             }
-            Err(e) => log::debug!("The list of hosts is not to be had: {e:#}."),
+            Err(e) => log::debug!("Reading the platform's list of hosts failed: {e:#}."),
         }
         sleep(Wait(entry.settings.list_ms)).await;
     }
--- a/crates/oliveworks-entry/src/driver.rs
+++ b/crates/oliveworks-entry/src/driver.rs
@@ -1,4 +1,5 @@
-//! Drives one request: hands it over, reads the answer, and does what its [`Relay`] decides.
+//! Performs one request: hands the request over to an agent, reads the answer, and carries out the
+//! decisions of the request's [`Relay`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,55 +24,55 @@
 use crate::process::Entry;
 use crate::state::{Known, Prompt};
 
-/// A hand-over may start at the agent until this long after it was sent, at most.
+/// Maximum time between the handover of a request and its start at the agent, in milliseconds.
 const START_MAX_MS: u64 = 30_000;
-/// What is known of an agent is renewed before a hand-over after this long.
+/// Age above which the status of an agent is refreshed before a handover, in milliseconds.
 const KNOWN_MS: u64 = 10_000;
-/// A revocation must be answered within this time.
+/// Timeout of a revocation.
 const REVOKE_WITHIN: Duration = Duration::from_millis(1_500);
 
-/// A request's body.
+/// Body of a request.
 pub enum Body {
-    /// There is none beyond what the call carries.
+    /// No body besides the data in the [`Call`].
     None,
-    /// All of it is here, and can be sent again.
+    /// Complete body in memory, which can be sent more than once.
     Whole(Vec<u8>),
-    /// It comes from the caller, and can be sent once.
+    /// Body that is streamed from the caller and can be sent only once.
     Stream(ntex::http::Payload),
-    /// It came from the caller and was sent.
+    /// Streamed body that was already sent.
     Spent,
 }
 
-/// A request to drive.
+/// Request to perform.
 pub struct Job {
-    /// The request.
+    /// Id of the request.
     pub id: RequestId,
-    /// Its template.
+    /// Template of the request.
     pub template: TemplateKey,
-    /// What may be done with it.
+    /// Conditions under which the request may be attempted.
     pub terms: RequestTerms,
-    /// The caller's key.
+    /// Caller's idempotency key.
     pub key: Option<Key>,
-    /// Its template's priority.
+    /// Priority of the template.
     pub priority: u8,
-    /// What to call.
+    /// Call to make at the backend server.
     pub call: Call,
-    /// The body of a service's call.
+    /// Body of a service call.
     pub body: Body,
-    /// The prompt as routing sees it.
+    /// Prompt in the form that routing uses.
     pub prompt: Prompt,
 }
 
-/// A part of the answer.
+/// Part of an answer.
 #[derive(Debug)]
 pub enum Out {
-    /// A service's status and headers.
+    /// Status and headers of a service's answer.
     Head(u16, Vec<(String, Vec<u8>)>),
-    /// A piece.
+    /// Piece of the answer's content.
     Piece(Vec<u8>),
-    /// The answer is whole.
+    /// End of a complete answer: finish reason and token counts.
     End(String, Usage),
-    /// The whole answer of an earlier request with the same key.
+    /// Complete answer of an earlier request with the same key.
     Kept(Kept),
 }
 
@@ -79,17 +80,17 @@
     id: AttemptId,
     epoch: Epoch,
     reader: Reader,
-    // Dropping it tells the agent that nobody waits any more.
+    // Dropping the writer signals to the agent that the answer is no longer wanted.
     _writer: Option<Writer>,
 }
 
-/// A request in progress. Dropping it cancels the request.
+/// Request in progress. Dropping the driver cancels the request.
 pub struct Driver {
     entry: Arc<Entry>,
     job: Job,
     relay: Relay,
     current: Option<Current>,
-    /// To whom the present try was handed: whom to ask to stop it.
+    /// Agent that the current attempt was handed to, which a revocation is sent to.
     handed_to: Option<(HostId, SocketAddr, Handover)>,
     counted: Option<Epoch>,
     begun: bool,
@@ -98,7 +99,8 @@
 }
 
 impl Driver {
-    /// A request that was admitted to a group.
+    /// Returns the driver of a request. `admitted` is the group that admission chose and counted
+    /// the request at; it is `None` for a request with a key.
     pub fn new(entry: Arc<Entry>, job: Job, admitted: Option<Epoch>) -> Driver {
         entry.open.fetch_add(1, Ordering::Relaxed);
         entry.core().budget.record_request();
@@ -116,7 +118,7 @@
         }
     }
 
-    /// The request's id.
+    /// Returns the id of the request.
     pub fn id(&self) -> RequestId {
         self.job.id
     }
@@ -129,10 +131,10 @@
         self.entry.note(event);
     }
 
-    /// The next part of the answer.
+    /// Returns the next part of the answer.
     ///
     /// # Errors
-    /// The final refusal.
+    /// Returns the final refusal if no further attempt is allowed.
     pub async fn next(&mut self) -> Result<Out, Refusal> {
         let mut next = if self.current.is_some() { Next::Wait } else { Next::Send };
         loop {
@@ -143,7 +145,7 @@
                     Err(next) => next,
                 },
                 Next::Revoke => self.revoke().await,
-                Next::Answered => unreachable!("the end is passed on where it is read"),
+                Next::Answered => unreachable!("the end of an answer is handled by `reply`"),
                 Next::Refuse(refusal) => return Err(self.refused(refusal)),
             };
         }
@@ -157,7 +159,7 @@
         refusal
     }
 
-    /// The request is no longer at the group that it was counted at.
+    /// Ends the counting of the request at its group. `fault` is set if the group caused a failure.
     fn uncount(&mut self, fault: bool) {
         if let Some(epoch) = self.counted.take() {
             let now = self.entry.clock.now();
@@ -167,7 +169,9 @@
         }
     }
 
-    /// Takes one try out of the budget for further tries.
+    /// Returns whether a further attempt is possible, and takes that attempt out of the retry
+    /// budget. No further attempt is possible after the answer's head was passed on or a streamed
+    /// body was sent.
     fn budget(&self) -> bool {
         !self.head_passed
             && !matches!(self.job.body, Body::Spent)
@@ -175,7 +179,7 @@
     }
 
     fn failed(&mut self, why: &str) -> Next {
-        log::info!("Request {} failed at its group: {why}.", self.job.id);
+        log::info!("Attempt of request {} failed at its group: {why}.", self.job.id);
         self.uncount(true);
         if let Some(current) = &self.current {
             self.note("lost", Some(current.epoch), why.to_owned());
@@ -192,7 +196,8 @@
         next
     }
 
-    /// Chooses the group of the next try.
+    /// Chooses the group of the next attempt. A request with a key always goes to the home of the
+    /// key.
     fn choose(&mut self) -> Option<Epoch> {
         if let Some(key) = &mut self.job.key {
             let (template, id) = (&self.job.template, self.job.id);
@@ -212,7 +217,8 @@
         let mut core = self.entry.core();
         let mut not = self.relay.tried().to_vec();
         let chosen = core.choose(now, &self.job.template, &self.job.prompt, &not).or_else(|| {
-            // All were tried: the last one may be repeated, the others may have recovered.
+            // All groups were tried. Groups that failed earlier may have recovered, so all groups
+            // are candidates again.
             not.clear();
             core.choose(now, &self.job.template, &self.job.prompt, &not)
         });
@@ -220,13 +226,14 @@
         chosen
     }
 
-    /// Hands the request over.
+    /// Hands the request over to the leader of a group.
     async fn send(&mut self) -> Next {
         let Some(epoch) = self.choose() else { return self.relay.no_group() };
         let leader = match self.known(epoch).await {
             Some(known) => Some(known),
             None => {
-                // Not reached: the guess has moved on to the next in rank.
+                // The first query failed and made the next member in rank order the presumed
+                // leader.
                 self.known(epoch).await
             }
         };
@@ -235,7 +242,7 @@
             return self.not_sent(epoch, why);
         };
         if let Err(e) = self.entry.net.connect(&host.to_string(), at).await {
-            log::debug!("{host} is not reached: {e:#}.");
+            log::debug!("Connecting to {host} failed: {e:#}.");
             self.entry.guess_next(epoch, host);
             return self.not_sent(epoch, "the group's leader was not reached");
         }
@@ -266,7 +273,7 @@
         let question = Question::Run(Box::new(run));
         match self.entry.net.question(&host.to_string(), at, &question).await {
             Err(e) => {
-                // A part of it may be on its way.
+                // A part of the request may already have reached the agent.
                 self.entry.net.forget(&host.to_string());
                 self.failed(&format!("{e:#}"))
             }
@@ -274,8 +281,8 @@
                 let writer = match self.send_body(&mut writer).await {
                     Ok(()) => Some(writer),
                     Err(e) => {
-                        // The agent may have refused already; its word is read next.
-                        log::debug!("The body was not taken: {e:#}.");
+                        // The agent may have rejected the request already. Its reply is read next.
+                        log::debug!("Sending the request body to {host} failed: {e:#}.");
                         None
                     }
                 };
@@ -293,7 +300,8 @@
         self.relay.refused(self.entry.clock.now(), refusal, false, budget)
     }
 
-    /// The group's leader and what is known of its agent, asked for if that is too old.
+    /// Returns the group's leader and the status of its agent. Queries the agent first if the
+    /// status is missing or too old.
     async fn known(&self, epoch: Epoch) -> Option<(HostId, SocketAddr, Known)> {
         let fresh = || {
             let (host, at) = self.entry.leader(epoch)?;
@@ -330,7 +338,7 @@
         }
     }
 
-    /// Reads the answer's next frame that matters.
+    /// Reads frames until one yields a part of the answer or ends the attempt.
     async fn read(&mut self) -> Result<Out, Next> {
         loop {
             let now = self.entry.clock.now();
@@ -355,7 +363,7 @@
         }
     }
 
-    /// Judges a frame; `None` if it says nothing new.
+    /// Handles a frame. Returns `None` if the frame has no effect on the answer.
     fn reply(&mut self, now: Millis, reply: Reply) -> Option<Result<Out, Next>> {
         match reply {
             Reply::Alive => None,
@@ -424,7 +432,7 @@
         self.note("answered", None, format!("{} pieces", self.relay.passed()));
     }
 
-    /// Asks the agent of the present try to stop the request from beginning.
+    /// Asks the agent of the current attempt to prevent the request from beginning.
     async fn revoke(&mut self) -> Next {
         self.current = None;
         let outcome = match self.handed_to.take() {
@@ -443,7 +451,7 @@
     }
 }
 
-/// The largest part of a body in one frame.
+/// Maximum size of the part of a body that one frame carries, in bytes.
 const BODY_PART: usize = 64 << 10;
 
 async fn send_whole(writer: &mut Writer, bytes: &[u8]) -> anyhow::Result<()> {
--- a/crates/oliveworks-entry/src/main.rs
+++ b/crates/oliveworks-entry/src/main.rs
@@ -1,4 +1,4 @@
-//! `oliveworks-entry`: takes callers' requests, admits, routes and relays them.
+//! `oliveworks-entry`: the process that accepts, admits, routes and relays callers' requests.
 //!
 //! Any entry can also hold the deciding role, which forms, drains and frees replica groups.
 
--- a/crates/oliveworks-entry/src/peers.rs
+++ b/crates/oliveworks-entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! What other processes ask of the entry.
+//! Requests from other processes to the entry.
 
 use std::sync::Arc;
 
@@ -9,10 +9,10 @@
 
 use crate::process::Entry;
 
-/// Connections as the endpoint hands them over.
+/// Receiver of new connections, each with the name of its peer.
 pub type Connections = UnboundedReceiver<(String, Connection)>;
 
-/// Serves every connection.
+/// Serves every connection until the endpoint is closed.
 pub async fn serve(entry: Arc<Entry>, mut connections: Connections) {
     while let Some((name, connection)) = connections.recv().await {
         let entry = entry.clone();
@@ -22,7 +22,7 @@
                 ntex::rt::spawn(async move {
                     let (writer, reader) = entry.net.framed(send, recv);
                     if let Err(e) = answer(&entry, &name, writer, reader).await {
-                        log::debug!("A question of {name} was not answered: {e:#}.");
+                        log::debug!("Answering a request of {name} failed: {e:#}.");
                     }
                 });
             }
@@ -45,7 +45,7 @@
         }
         Question::Report(report) => {
             if report.from.to_string() != name {
-                anyhow::bail!("a report of {} came from {name}", report.from);
+                anyhow::bail!("a report of {} was sent by {name}", report.from);
             }
             let now = entry.clock.now();
             entry.core().decider.report(now, report);
--- a/crates/oliveworks-entry/src/process.rs
+++ b/crates/oliveworks-entry/src/process.rs
@@ -1,4 +1,4 @@
-//! The process: its shared state, its timers, its start and its end.
+//! Process of an entry: shared state, timers, start and stop.
 
 use std::net::TcpListener;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -25,42 +25,43 @@
 use crate::settings::Settings;
 use crate::state::Core;
 
-/// Between two looks at the queues, in milliseconds.
+/// Time between two checks of the queues, in milliseconds.
 const TICK_MS: u32 = 20;
-/// An agent must answer within this time.
+/// Timeout of a status query to an agent.
 pub const HELLO_WITHIN: Duration = Duration::from_millis(900);
 
-/// Everything that the process's tasks share.
+/// State shared by the tasks of the process.
 pub struct Entry {
-    /// The settings.
+    /// Settings.
     pub settings: Settings,
-    /// The clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// The configuration.
+    /// Configuration.
     pub store: Arc<Store>,
-    /// The endpoint.
+    /// Network endpoint.
     pub net: Arc<Net>,
     /// Metrics.
     pub metrics: Arc<Metrics>,
-    /// The time line.
+    /// Timeline of events.
     pub timeline: Arc<Timeline>,
-    /// Whether the entry is about to stop.
+    /// Whether the entry is stopping and accepts no further requests.
     pub draining: AtomicBool,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub open: AtomicUsize,
-    /// This entry's place among the deciders.
+    /// Rank of this entry among the deciders, from 0.
     pub rank: u64,
     core: Mutex<Core>,
 }
 
 impl Entry {
-    /// The state, locked for a short step. Whoever needs the pool as well looks at the pool first
-    /// and locks the state within; the other way round, two threads could wait for each other.
+    /// Locks the state. The lock must be held only briefly. Code that needs the pool as well must
+    /// lock the pool first and the state inside [`Store::with_pool`]. The opposite order can
+    /// deadlock.
     pub fn core(&self) -> MutexGuard<'_, Core> {
         self.core.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes to the time line.
+    /// Adds an event to the timeline.
     pub fn note(&self, event: Event) {
         self.timeline.note(event);
     }
@@ -73,7 +74,7 @@
         });
     }
 
-    /// The host that is believed to lead a group, and where it is reached.
+    /// Returns the presumed leader of a group and the address of its agent.
     pub fn leader(&self, epoch: Epoch) -> Option<(HostId, std::net::SocketAddr)> {
         if let Some(leader) = self.core().leaders.get(&epoch) {
             return Some(*leader);
@@ -84,7 +85,8 @@
         })
     }
 
-    /// The host after `host` in a group's rank order: the next guess for its leader.
+    /// Returns the host after `host` in the rank order of a group, which is the next candidate for
+    /// the presumed leader.
     fn guess_after(&self, epoch: Epoch, host: HostId) -> Option<(HostId, std::net::SocketAddr)> {
         self.store.with_pool(|pool| {
             let group = pool.group(epoch)?;
@@ -94,7 +96,8 @@
         })
     }
 
-    /// Asks a group's leader how it stands. Returns whether it serves.
+    /// Queries the status of a group's presumed leader. Returns whether the leader serves the
+    /// group.
     pub async fn greet(&self, template: &TemplateKey, epoch: Epoch) -> bool {
         let Some((host, at)) = self.leader(epoch) else { return false };
         let from = self.core().agents.get(&host).map_or(0, |k| k.next_event);
@@ -111,7 +114,7 @@
             }
             other => {
                 if let Err(e) = other {
-                    log::debug!("{host} gave no word: {e:#}.");
+                    log::debug!("Querying the status of {host} failed: {e:#}.");
                 }
                 self.guess_next(epoch, host);
                 false
@@ -119,7 +122,8 @@
         }
     }
 
-    /// A host does not lead its group and names nobody who does: try the next in rank.
+    /// Presumes that the host after `host` in rank order leads the group. Used when `host` neither
+    /// leads the group nor names the leader.
     pub fn guess_next(&self, epoch: Epoch, host: HostId) {
         if let Some(guess) = self.guess_after(epoch, host) {
             self.core().leaders.insert(epoch, guess);
@@ -127,14 +131,18 @@
     }
 }
 
-/// Runs the entry until it is told to stop.
+/// Runs the entry until the process is asked to stop.
 pub async fn run(settings: Settings) -> anyhow::Result<()> {
     let clock = Clock::new();
     let metrics = Arc::new(Metrics::new());
     let timeline = Arc::new(Timeline::new(&settings.entry.to_string()));
     let (net, connections) = Net::open(settings.peer, settings.tls.clone(), metrics.clone())?;
     if net.name() != settings.entry.to_string() {
-        anyhow::bail!("tls.cert: it names {}, not {}", net.name(), settings.entry);
+        anyhow::bail!(
+            "tls.cert: the certificate names {}, expected {}",
+            net.name(),
+            settings.entry
+        );
     }
     let net = Arc::new(net);
     let keys = &settings.record_keys;
@@ -143,7 +151,7 @@
         .with_context(|| format!("system_key: {}", settings.system_key.display()))?;
     let system_key = SigningKey::from_hex(&system_key).context("system_key")?;
     if system_key.public_hex() != keys.system {
-        anyhow::bail!("system_key: it does not belong to record_keys.system");
+        anyhow::bail!("system_key: the private key does not match record_keys.system");
     }
     let entries: Vec<_> = settings.entries.iter().map(|e| e.at()).collect();
     let sources = entry_sources(settings.entry, &settings.region, &entries, settings.feed.fan_out);
@@ -173,7 +181,7 @@
     let admin = crate::admin::serve(&entry)?;
     let callers = crate::callers::serve(&entry, listen)?;
     start(&entry, connections, system_key).await;
-    log::info!("The entry listens for callers at {}.", entry.settings.listen);
+    log::info!("Listening for callers at {}.", entry.settings.listen);
     stop_asked().await;
     stop(&entry).await;
     callers.stop(true).await;
@@ -210,10 +218,10 @@
     tokio::spawn(entry.net.clone().keep_keys_current());
 }
 
-/// Stops accepting, finishes what runs, then ends.
+/// Rejects new requests and waits for requests in progress, at most for the configured drain time.
 async fn stop(entry: &Entry) {
     log::info!(
-        "The entry was asked to stop; it finishes {} requests.",
+        "Stop requested; waiting for {} requests in progress.",
         entry.open.load(Ordering::Relaxed)
     );
     entry.note(Event::new("entry", "stopping"));
@@ -240,7 +248,7 @@
     }
 }
 
-/// Asks the groups that this entry uses how they stand.
+/// Periodically queries the status of the groups that this entry uses.
 async fn greet_groups(entry: Arc<Entry>) {
     let mut last = Millis(0);
     loop {
--- a/crates/oliveworks-entry/src/service.rs
+++ b/crates/oliveworks-entry/src/service.rs
@@ -1,4 +1,5 @@
-//! Plain services: method, path, query, headers and body are carried whole, in both directions.
+//! Calls of plain services. Method, path, query, headers and body are passed on unchanged, except
+//! for headers that concern only one connection.
 
 use std::sync::Arc;
 
@@ -18,10 +19,10 @@
 use crate::process::Entry;
 use crate::state::Prompt;
 
-/// A body up to this size is held, so that it can be sent again.
+/// Maximum size of a body that is buffered so that a retry can send it again, in bytes.
 const HELD_MAX: usize = 64 << 10;
 
-/// `/services/NAME/...`
+/// Handles `/services/NAME/...`.
 pub async fn call(entry: Shared, request: HttpRequest, body: Payload) -> HttpResponse {
     let entry: Arc<Entry> = (*entry).clone();
     let mut driver = match prepare(&entry, &request, body).await {
@@ -43,7 +44,7 @@
     }
 }
 
-/// What follows the service's name in the request's target.
+/// Returns the part of the request's target after the service's name.
 fn rest(request: &HttpRequest, name: &str) -> String {
     let prefix = format!("/services/{name}");
     let target = request.uri().path_and_query().map_or("/", |t| t.as_str());
@@ -111,7 +112,7 @@
     response.body(kept.body.clone())
 }
 
-/// Streams the service's answer; one that breaks off ends in a broken connection.
+/// Streams the service's answer. The connection is aborted if the answer ends early.
 fn stream(mut driver: Driver, status: u16, headers: &[(String, Vec<u8>)]) -> HttpResponse {
     let mut response =
         HttpResponse::build(StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY));
--- a/crates/oliveworks-entry/src/settings.rs
+++ b/crates/oliveworks-entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! An entry's settings.
+//! Settings of an entry.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,25 +15,26 @@
 use oliveworks_runtime::settings::Check;
 use serde::{Deserialize, Serialize};
 
-/// Bounds on callers.
+/// Limits and timeouts that concern callers' requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CallerSettings {
-    /// The largest body of a completion, in bytes.
+    /// Maximum size of a completion's body, in bytes.
     pub body_max: usize,
-    /// The time in which a caller must have sent it, in milliseconds.
+    /// Maximum time that a caller may take to send the body, in milliseconds.
     pub body_ms: u64,
-    /// Connections at once.
+    /// Maximum number of concurrent connections.
     pub connections: usize,
-    /// Tries of one request.
+    /// Maximum number of attempts of one request.
     pub tries: u32,
-    /// Further tries, as hundredths of the requests.
+    /// Maximum number of retries, in percent of the requests.
     pub retry_percent: u32,
-    /// Groups of one template that this entry uses.
+    /// Maximum number of groups of one model template that this entry uses.
     pub groups: usize,
-    /// An agent that says nothing for this long is lost, in milliseconds.
+    /// Time without a frame from an agent after which the agent is treated as lost, in
+    /// milliseconds.
     pub lost_ms: u64,
-    /// Between two questions to a group for its load, in milliseconds.
+    /// Time between two status queries to a group, in milliseconds.
     pub hello_ms: u64,
 }
 
@@ -52,35 +53,35 @@
     }
 }
 
-/// All settings of an entry.
+/// Settings of an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// This entry.
+    /// Id of this entry.
     pub entry: EntryId,
-    /// Its region.
+    /// Region of this entry.
     pub region: String,
-    /// Its failure domain.
+    /// Failure domain of this entry.
     pub failure_domain: String,
-    /// Where callers reach it.
+    /// Address at which the entry listens for callers.
     pub listen: SocketAddr,
-    /// Where operators and monitoring reach it.
+    /// Address at which the entry listens for operators and monitoring.
     pub admin: SocketAddr,
-    /// Where other processes reach it.
+    /// Address at which the entry listens for other processes.
     pub peer: SocketAddr,
-    /// The platform.
+    /// URL of the platform.
     pub platform: String,
-    /// All entries, this one among them.
+    /// All entries, including this one.
     pub entries: Vec<EntryPeer>,
-    /// Keys of the connections between processes.
+    /// Certificates and keys of the connections between processes.
     pub tls: TlsConfig,
-    /// Keys of records.
+    /// Public keys that verify records.
     pub record_keys: RecordKeys,
-    /// The file with the system's private key for records.
+    /// File with the system's private key, which signs records.
     pub system_key: PathBuf,
-    /// The digest of the token that operators' tools show, in hexadecimal.
+    /// Digest of the token that operators' tools present, in hexadecimal.
     pub operator_token_digest: String,
-    /// Bounds on callers.
+    /// Limits and timeouts that concern callers' requests.
     #[serde(default)]
     pub callers: CallerSettings,
     /// Admission.
@@ -89,19 +90,20 @@
     /// Routing.
     #[serde(default)]
     pub routing: RouteConfig,
-    /// The deciding role.
+    /// Deciding role.
     #[serde(default)]
     pub decider: DeciderConfig,
-    /// Times of the feed.
+    /// Times and fan-out of the feed.
     #[serde(default)]
     pub feed: FeedConfig,
-    /// Between two reads of the platform's list, by entries that may decide, in milliseconds.
+    /// Time between two reads of the platform's list of hosts by an entry that may decide, in
+    /// milliseconds.
     #[serde(default = "one_second")]
     pub list_ms: u32,
-    /// Logs.
+    /// Logging.
     #[serde(default)]
     pub log: LogConfig,
-    /// How long a stop waits for work in progress, in milliseconds.
+    /// Maximum time that a stop waits for requests in progress, in milliseconds.
     #[serde(default = "one_minute")]
     pub drain_ms: u64,
 }
@@ -118,23 +120,26 @@
     fn check(&self) -> Result<(), String> {
         let me = self.entries.iter().find(|e| e.entry == self.entry);
         match me {
-            None => return Err(format!("entries: {} itself is missing", self.entry)),
+            None => return Err(format!("entries: this entry, {}, is not listed", self.entry)),
             Some(me) if me.region != self.region => {
-                return Err(format!("region: entries says {}", me.region));
+                return Err(format!(
+                    "region: the list of entries has region {} for this entry",
+                    me.region
+                ));
             }
             Some(_) => {}
         }
         if !self.platform.starts_with("http://") {
-            return Err("platform: starts with http://".into());
+            return Err("platform: must start with http://".into());
         }
         if self.callers.tries == 0 {
-            return Err("callers.tries: at least 1".into());
+            return Err("callers.tries: must be at least 1".into());
         }
         if self.callers.groups == 0 {
-            return Err("callers.groups: at least 1".into());
+            return Err("callers.groups: must be at least 1".into());
         }
         if self.routing.block == 0 {
-            return Err("routing.block: at least 1".into());
+            return Err("routing.block: must be at least 1".into());
         }
         self.record_keys.check()
     }
--- a/crates/oliveworks-entry/src/state.rs
+++ b/crates/oliveworks-entry/src/state.rs
@@ -1,4 +1,4 @@
-//! What an entry knows and decides on: routers, agents, queues.
+//! State of an entry: routers, agents, callers and queues.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -18,36 +18,36 @@
 
 use crate::settings::CallerSettings;
 
-/// Whom a token belongs to.
+/// Owner of a caller's token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Caller {
-    /// The partner.
+    /// Partner.
     pub partner: Name,
-    /// The workspace.
+    /// Workspace of the partner.
     pub workspace: Name,
-    /// The workspace's weight.
+    /// Weight of the workspace in admission.
     pub weight: u32,
 }
 
-/// An agent as last heard.
+/// Status of an agent, from its latest answer.
 #[derive(Clone, Copy, Debug)]
 pub struct Known {
-    /// Which run of the agent.
+    /// Incarnation of the agent.
     pub incarnation: Incarnation,
-    /// Its clock.
+    /// Time on the agent's clock when it answered.
     pub clock: Millis,
-    /// When it said so, on the clock here.
+    /// Time on this entry's clock when the answer was received.
     pub heard: Millis,
-    /// The number of its next cache event.
+    /// Number of the agent's next cache event.
     pub next_event: u64,
 }
 
-/// A prompt as routing sees it.
+/// Prompt in the form that routing uses.
 #[derive(Clone, Debug, Default)]
 pub struct Prompt {
-    /// Hashes of its blocks.
+    /// Hashes of the prompt's prefix blocks.
     pub blocks: Vec<u64>,
-    /// Its tokens, about.
+    /// Approximate number of tokens.
     pub tokens: u32,
 }
 
@@ -57,33 +57,33 @@
     admitted: oneshot::Sender<Result<Epoch, Refusal>>,
 }
 
-/// The next offset of a process that asks for records here, and when it asked.
+/// Next offset of a process that reads records from this entry, and the time of its latest read.
 pub type Head = (Offset, Millis);
 
-/// The state.
+/// State of an entry.
 pub struct Core {
-    /// One router for each template.
+    /// Router of each template.
     pub routers: BTreeMap<TemplateKey, Router>,
-    /// Agents as last heard.
+    /// Latest known status of each agent.
     pub agents: HashMap<HostId, Known>,
-    /// Leaders of groups as last heard or guessed.
+    /// Leader of each group, as last reported or guessed.
     pub leaders: HashMap<Epoch, (HostId, SocketAddr)>,
-    /// Callers by the digest of their token.
+    /// Callers, by the digest of their token.
     pub tokens: HashMap<String, Caller>,
-    /// Retries.
+    /// Budget for retries.
     pub budget: RetryBudget,
-    /// The deciding role.
+    /// Deciding role.
     pub decider: Decider,
-    /// Processes that ask for records here.
+    /// Positions of the processes that read records from this entry, by process name.
     pub heads: BTreeMap<String, Head>,
-    /// Random numbers for routing.
+    /// Random number generator for routing.
     pub rng: StdRng,
     admission: Admission,
     pending: HashMap<RequestId, Pending>,
 }
 
 impl Core {
-    /// The state of an entry that knows nothing.
+    /// Returns the state of an entry that has not received a configuration yet.
     pub fn new(admission: AdmitConfig, callers: &CallerSettings, decider: Decider) -> Core {
         Core {
             routers: BTreeMap::new(),
@@ -99,7 +99,8 @@
         }
     }
 
-    /// The configuration changed.
+    /// Adopts a changed configuration. `most` is the maximum number of groups of a model's template
+    /// that this entry uses.
     pub fn configure(
         &mut self,
         pool: &Pool,
@@ -127,7 +128,7 @@
         }
         self.routers.retain(|key, _| groups.contains_key(key));
         for (key, epochs) in groups {
-            // The keys of a plain service have their homes in all of its replicas.
+            // Any replica of a plain service can be the home of a key, so all groups are used.
             let service = pool.template(&key).is_some_and(|p| p.template.kind == Kind::Service);
             let most = if service { usize::MAX } else { most };
             let router = self.routers.entry(key).or_insert_with(|| Router::new(routing));
@@ -136,7 +137,8 @@
         self.leaders.retain(|epoch, _| pool.group(*epoch).is_some());
     }
 
-    /// Puts a request into its queue. The receiver tells the group, or the refusal.
+    /// Adds a request to its workspace's queue. The receiver yields the group that the request was
+    /// admitted to, or the refusal.
     pub fn enter(
         &mut self,
         now: Millis,
@@ -156,7 +158,7 @@
         receiver
     }
 
-    /// Admits whatever there is room for.
+    /// Admits waiting requests for as long as their templates have room.
     pub fn pump(&mut self, now: Millis) {
         loop {
             let routers = &self.routers;
@@ -175,30 +177,30 @@
         let chosen = self.choose(now, &pending.template, &pending.prompt, &[]);
         let Some(epoch) = chosen else { return };
         if pending.admitted.send(Ok(epoch)).is_err() {
-            // The caller left meanwhile.
+            // The caller disconnected in the meantime.
             self.ended(now, &pending.template, epoch, false);
         }
     }
 
     fn refuse(&mut self, id: RequestId, refusal: Refusal) {
         if let Some(pending) = self.pending.remove(&id) {
-            // The caller may have left meanwhile.
+            // The caller may have disconnected in the meantime.
             let _ = pending.admitted.send(Err(refusal));
         }
     }
 
-    /// The caller of a waiting request left.
+    /// Removes a waiting request whose caller disconnected.
     pub fn leave(&mut self, id: RequestId) {
         self.pending.remove(&id);
         self.admission.remove(id);
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.admission.len()
     }
 
-    /// Chooses a group and counts the request as sent there.
+    /// Chooses a group that is not in `not` and counts the request as sent to the group.
     pub fn choose(
         &mut self,
         now: Millis,
@@ -212,14 +214,14 @@
         Some(epoch)
     }
 
-    /// A request at a group ended; `fault`: for a reason that lies with the group.
+    /// Records the end of a request at a group. `fault` is set if the group caused a failure.
     pub fn ended(&mut self, now: Millis, template: &TemplateKey, epoch: Epoch, fault: bool) {
         if let Some(router) = self.routers.get_mut(template) {
             router.ended(now, epoch, fault);
         }
     }
 
-    /// An agent said how it stands; `epoch` is the group that it was asked for.
+    /// Records the status that an agent reported. `epoch` is the group that the query was about.
     pub fn hello(
         &mut self,
         now: Millis,
@@ -246,7 +248,7 @@
         }
     }
 
-    /// Refuses what is late, and admits what there is room for.
+    /// Rejects requests that waited too long, and admits requests whose templates have room.
     pub fn tick(&mut self, now: Millis) {
         for (id, refusal) in self.admission.expire(now) {
             self.refuse(id, refusal);
@@ -255,5 +257,5 @@
     }
 }
 
-/// Tries that a quiet entry has saved up.
+/// Maximum number of retries that an entry accumulates in its budget while few are used.
 const RETRIES_SAVED: u32 = 20;
