--- a/crates/oliveworks-entry/src/admin.rs
+++ b/crates/oliveworks-entry/src/admin.rs
@@ -22,9 +22,9 @@
 type Shared = State<Arc<Entry>>;
 
 /// Maximum number of processes queried for one timeline request.
-const ASKED_MAX: usize = 64;
+const QUERIED_PEERS_MAX: usize = 64;
 /// Timeout of a query for the events of another process.
-const EVENTS_WITHIN: Duration = Duration::from_millis(1_500);
+const EVENTS_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 fn allowed(entry: &Entry, request: &HttpRequest) -> Result<(), HttpResponse> {
     let token = crate::auth::bearer(request.headers()).map(token_digest);
@@ -50,8 +50,8 @@
 }
 
 async fn ready(entry: Shared) -> HttpResponse {
-    let known = entry.store.age_ms(entry.clock.now()).is_some();
-    if known && !entry.draining.load(Ordering::Relaxed) {
+    let has_config = entry.store.age_ms(entry.clock.now()).is_some();
+    if has_config && !entry.draining.load(Ordering::Relaxed) {
         return HttpResponse::Ok().body("ready\n");
     }
     HttpResponse::ServiceUnavailable().body("stopping, or the configuration is not known yet\n")
@@ -128,13 +128,14 @@
     let mut heads: BTreeMap<String, Offset> = BTreeMap::new();
     heads.insert(entry.settings.entry.to_string(), entry.store.next());
     let core = entry.core();
-    let recent = core.heads.iter().filter(|(_, (_, at))| now.since(*at) < HEAD_MS);
+    let recent =
+        core.reader_positions.iter().filter(|(_, (_, at))| now.since(*at) < READER_EXPIRY_MS);
     heads.extend(recent.map(|(name, (next, _))| (name.clone(), *next)));
     HttpResponse::Ok().json(&heads)
 }
 
 /// Time without a read of records after which a process is not listed any more, in milliseconds.
-const HEAD_MS: u64 = 15_000;
+const READER_EXPIRY_MS: u64 = 15_000;
 
 /// Returns whether the record at an offset was applied.
 async fn outcome(entry: Shared, request: HttpRequest, offset: Path<u64>) -> HttpResponse {
@@ -164,7 +165,7 @@
         let (entry, filter) = (entry.clone(), filter.clone());
         async move {
             let question = Question::Timeline(filter);
-            let reply = entry.net.ask(&name, at, &question, EVENTS_WITHIN).await;
+            let reply = entry.net.ask(&name, at, &question, EVENTS_TIMEOUT).await;
             (name, reply)
         }
     }));
@@ -208,7 +209,7 @@
             }
         }
     });
-    peers.truncate(ASKED_MAX);
+    peers.truncate(QUERIED_PEERS_MAX);
     peers
 }
 
--- a/crates/oliveworks-entry/src/callers.rs
+++ b/crates/oliveworks-entry/src/callers.rs
@@ -28,7 +28,7 @@
 /// Header with the time left until a request's deadline, in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-deadline-ms";
 /// Maximum length of a key, in bytes.
-const KEY_MAX: usize = 255;
+const KEY_LEN_MAX: usize = 255;
 /// Maximum time until the deadline that a caller may ask for, in milliseconds.
 const DEADLINE_MAX_MS: u64 = 3_600_000;
 
@@ -41,7 +41,7 @@
 }
 
 /// Options of a request, taken from its headers and its template.
-pub struct Intake {
+pub struct RequestOptions {
     /// Id of the request.
     pub id: RequestId,
     /// Caller's idempotency key.
@@ -59,12 +59,14 @@
     pub max_tokens: u32,
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|v| v.to_str().ok())
 }
 
 fn deadline_ms(headers: &HeaderMap, template_ms: u32) -> Result<u64, Refusal> {
-    let Some(value) = text(headers, DEADLINE_HEADER) else { return Ok(u64::from(template_ms)) };
+    let Some(value) = header_text(headers, DEADLINE_HEADER) else {
+        return Ok(u64::from(template_ms));
+    };
     let bad =
         || refuse(ErrorKind::BadRequest, format!("{DEADLINE_HEADER}: 1 to {DEADLINE_MAX_MS}"));
     let ms: u64 = value.trim().parse().map_err(|_| bad())?;
@@ -72,7 +74,7 @@
 }
 
 /// Returns the creation time in a UUID of version 7, in milliseconds since 1970.
-fn born_ms(key: &str) -> Option<u64> {
+fn uuid_time_ms(key: &str) -> Option<u64> {
     let hex: String = key.chars().filter(|c| *c != '-').collect();
     if key.len() != 36 || hex.len() != 32 || hex.as_bytes()[12] != b'7' {
         return None;
@@ -81,23 +83,24 @@
     Some((bits >> 80) as u64)
 }
 
-fn key(
+fn idempotency_key(
     headers: &HeaderMap,
     template: &TemplateKey,
     digest: u64,
 ) -> Result<Option<(RequestId, Key)>, Refusal> {
     let Some(value) = headers.get(KEY_HEADER) else { return Ok(None) };
-    let bad = || refuse(ErrorKind::BadRequest, format!("{KEY_HEADER}: 1 to {KEY_MAX} characters"));
+    let bad =
+        || refuse(ErrorKind::BadRequest, format!("{KEY_HEADER}: 1 to {KEY_LEN_MAX} characters"));
     let value = value.to_str().map_err(|_| bad())?;
-    if value.is_empty() || value.len() > KEY_MAX {
+    if value.is_empty() || value.len() > KEY_LEN_MAX {
         return Err(bad());
     }
     let id = RequestId(xxh3_128(format!("{template}/{value}").as_bytes()));
-    let key = Key { born_ms: born_ms(value), homes_at: Offset(0), digest };
+    let key = Key { born_ms: uuid_time_ms(value), homes_at: Offset(0), digest };
     Ok(Some((id, key)))
 }
 
-impl Intake {
+impl RequestOptions {
     /// Reads the options of a request. `digest` is the digest of the request, which is stored with
     /// its key.
     pub fn new(
@@ -105,15 +108,16 @@
         headers: &HeaderMap,
         published: &Published,
         digest: u64,
-    ) -> Result<Intake, Refusal> {
+    ) -> Result<RequestOptions, Refusal> {
         let template = &published.template;
-        let said = text(headers, ONCE_HEADER).is_some_and(|v| v != "false" && v != "0");
-        let repeatable = template.repeatable && !said;
+        let must_run_once =
+            header_text(headers, ONCE_HEADER).is_some_and(|v| v != "false" && v != "0");
+        let repeatable = template.repeatable && !must_run_once;
         let left_ms = deadline_ms(headers, template.limits.deadline_ms)?;
         // A repeatable request may run more than once anyway, so its key is ignored.
         let key = match repeatable {
             true => None,
-            false => key(headers, &template.key(), digest)?,
+            false => idempotency_key(headers, &template.key(), digest)?,
         };
         let id = key.map_or_else(|| RequestId(rand::rng().random()), |(id, _)| id);
         let terms = RequestTerms {
@@ -122,7 +126,7 @@
             deadline: entry.clock.now().plus(left_ms),
             max_attempts: entry.settings.callers.tries,
         };
-        Ok(Intake {
+        Ok(RequestOptions {
             id,
             key: key.map(|(_, k)| k),
             terms,
@@ -135,7 +139,12 @@
 }
 
 /// Returns the template of the caller's workspace that has the given kind and name.
-pub fn find(entry: &Entry, caller: &Caller, kind: Kind, name: &str) -> Result<Published, Refusal> {
+pub fn find_template(
+    entry: &Entry,
+    caller: &Caller,
+    kind: Kind,
+    name: &str,
+) -> Result<Published, Refusal> {
     let found = entry.store.with_pool(|pool| {
         pool.find_template(&caller.partner, &caller.workspace, kind, name).cloned()
     });
@@ -146,14 +155,14 @@
 }
 
 /// Guard that removes a waiting request from the queue if its caller disconnects.
-struct Place<'a> {
+struct QueueGuard<'a> {
     entry: &'a Entry,
     id: RequestId,
 }
 
-impl Drop for Place<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
-        self.entry.core().leave(self.id);
+        self.entry.core().remove_waiting(self.id);
     }
 }
 
@@ -162,32 +171,32 @@
 pub async fn admit(
     entry: &Entry,
     caller: &Caller,
-    intake: &Intake,
+    options: &RequestOptions,
     prompt: &Prompt,
 ) -> Result<Option<Epoch>, Refusal> {
     if entry.draining.load(Ordering::Relaxed) {
         return Err(refuse(ErrorKind::Unavailable, "this entry is stopping"));
     }
-    if intake.key.is_some() {
+    if options.key.is_some() {
         return Ok(None);
     }
     let now = entry.clock.now();
     let receiver = {
         let mut core = entry.core();
-        let none = core.routers.get(&intake.template).is_none_or(|r| r.is_empty());
+        let none = core.routers.get(&options.template).is_none_or(|r| r.is_empty());
         if none {
             return Err(refuse(ErrorKind::Unavailable, "no replica group serves this now"));
         }
         let waiting = WaitingRequest {
-            id: intake.id,
-            template: intake.template.clone(),
-            priority: intake.priority,
-            deadline: intake.terms.deadline,
-            limit: intake.queue,
+            id: options.id,
+            template: options.template.clone(),
+            priority: options.priority,
+            deadline: options.terms.deadline,
+            limit: options.queue,
         };
-        core.enter(now, caller, waiting, prompt.clone())
+        core.enqueue(now, caller, waiting, prompt.clone())
     };
-    let _place = Place { entry, id: intake.id };
+    let _guard = QueueGuard { entry, id: options.id };
     match receiver.await {
         Ok(admitted) => admitted.map(Some),
         Err(_) => Err(refuse(ErrorKind::Unavailable, "no replica group serves this now")),
--- a/crates/oliveworks-entry/src/completion.rs
+++ b/crates/oliveworks-entry/src/completion.rs
@@ -14,8 +14,8 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::answer::REQUEST_HEADER;
-use crate::callers::{self, Intake, Shared, refuse};
-use crate::driver::{Body, Driver, Job, Out};
+use crate::callers::{self, RequestOptions, Shared, refuse};
+use crate::driver::{AnswerPart, Body, Driver, Job};
 use crate::process::Entry;
 use crate::state::Prompt;
 
@@ -37,8 +37,8 @@
     };
     let data: Vec<Value> = entry.store.with_pool(|pool| {
         let own = pool.templates().map(|p| &p.template).filter(|t| {
-            let theirs = t.partner == caller.partner && t.workspace == caller.workspace;
-            theirs && t.kind == Kind::Model
+            let is_own = t.partner == caller.partner && t.workspace == caller.workspace;
+            is_own && t.kind == Kind::Model
         });
         let line = |t: &oliveworks_core::template::Template| {
             json!({"id": t.model, "object": "model", "created": 0, "owned_by": t.partner})
@@ -78,26 +78,26 @@
     let bytes = callers::read_body(entry, &mut body).await?;
     let parsed = parse(&bytes, chat)?;
     let model = parsed.get("model").and_then(Value::as_str).unwrap_or_default();
-    let published = callers::find(entry, &caller, Kind::Model, model)?;
-    let intake = Intake::new(entry, request.headers(), &published, xxh3_64(&bytes))?;
-    check_tokens(&parsed, intake.max_tokens)?;
+    let published = callers::find_template(entry, &caller, Kind::Model, model)?;
+    let options = RequestOptions::new(entry, request.headers(), &published, xxh3_64(&bytes))?;
+    check_tokens(&parsed, options.max_tokens)?;
     let prompt = prompt(&parsed, entry.settings.routing.block);
-    let admitted = callers::admit(entry, &caller, &intake, &prompt).await?;
+    let admitted = callers::admit(entry, &caller, &options, &prompt).await?;
     let include_usage = parsed.pointer("/stream_options/include_usage").and_then(Value::as_bool);
     let shape = Shape {
         chat,
-        id: format!("{}-{}", if chat { "chatcmpl" } else { "cmpl" }, intake.id),
+        id: format!("{}-{}", if chat { "chatcmpl" } else { "cmpl" }, options.id),
         model: model.to_owned(),
         created: wall_ms() / 1000,
         usage: include_usage.unwrap_or(false),
     };
     let streamed = parsed.get("stream").and_then(Value::as_bool).unwrap_or(false);
     let job = Job {
-        id: intake.id,
-        template: intake.template,
-        terms: intake.terms,
-        key: intake.key,
-        priority: intake.priority,
+        id: options.id,
+        template: options.template,
+        terms: options.terms,
+        key: options.key,
+        priority: options.priority,
         call: Call::Completion { chat, body: bytes },
         body: Body::None,
         prompt,
@@ -127,12 +127,12 @@
     }
 }
 
-fn check_tokens(parsed: &Value, most: u32) -> Result<(), Refusal> {
+fn check_tokens(parsed: &Value, max: u32) -> Result<(), Refusal> {
     for name in ["max_tokens", "max_completion_tokens"] {
         let Some(value) = parsed.get(name).filter(|v| !v.is_null()) else { continue };
-        let good = value.as_u64().is_some_and(|n| (1..=u64::from(most)).contains(&n));
+        let good = value.as_u64().is_some_and(|n| (1..=u64::from(max)).contains(&n));
         if !good {
-            return Err(refuse(ErrorKind::BadRequest, format!("{name}: 1 to {most}")));
+            return Err(refuse(ErrorKind::BadRequest, format!("{name}: 1 to {max}")));
         }
     }
     Ok(())
@@ -214,14 +214,14 @@
     let mut text = Vec::new();
     loop {
         match driver.next().await {
-            Ok(Out::Piece(data)) => text.extend_from_slice(&data),
-            Ok(Out::End(reason, used)) => {
+            Ok(AnswerPart::Piece(data)) => text.extend_from_slice(&data),
+            Ok(AnswerPart::End(reason, used)) => {
                 let text = String::from_utf8_lossy(&text);
                 return HttpResponse::Ok()
                     .header(REQUEST_HEADER, driver.id().to_string())
                     .json(&shape.whole(&text, &reason, &used));
             }
-            Ok(Out::Head(..) | Out::Kept(_)) => {
+            Ok(AnswerPart::Head(..) | AnswerPart::Kept(_)) => {
                 // Answers are kept for repeated keys of plain services only.
                 let why = "the request ran; its answer is not kept";
                 let refusal = Refusal::new(ErrorKind::AnswerGone, Ran::Yes, why);
@@ -268,7 +268,7 @@
 /// Passes the answer on to the caller. Returns `Err(None)` if the caller disconnected.
 async fn relay(
     driver: &mut Driver,
-    first: Out,
+    first: AnswerPart,
     shape: &Shape,
     sender: &Sender,
 ) -> Result<(), Option<Refusal>> {
@@ -277,12 +277,12 @@
     let mut is_first = true;
     loop {
         match out {
-            Out::Piece(data) => {
+            AnswerPart::Piece(data) => {
                 let text = String::from_utf8_lossy(&data);
                 send(event(&shape.delta(&text, is_first)))?;
                 is_first = false;
             }
-            Out::End(reason, used) => {
+            AnswerPart::End(reason, used) => {
                 send(event(&shape.last(&reason)))?;
                 if shape.usage {
                     let mut chunk = shape.chunk(json!([]));
@@ -291,7 +291,7 @@
                 }
                 return send(Bytes::from_static(b"data: [DONE]\n\n"));
             }
-            Out::Head(..) | Out::Kept(_) => {
+            AnswerPart::Head(..) | AnswerPart::Kept(_) => {
                 let why = "the request ran; its answer is not kept";
                 return Err(Some(Refusal::new(ErrorKind::AnswerGone, Ran::Yes, why)));
             }
@@ -308,9 +308,9 @@
 /// Waits until the caller has disconnected.
 async fn closed(sender: &Sender) {
     while !sender.is_closed() {
-        ntex::time::sleep(ntex::time::Millis(CLOSED_LOOK_MS)).await;
+        ntex::time::sleep(ntex::time::Millis(DISCONNECT_CHECK_MS)).await;
     }
 }
 
 /// Time between two checks whether the caller of a stream has disconnected, in milliseconds.
-const CLOSED_LOOK_MS: u32 = 100;
+const DISCONNECT_CHECK_MS: u32 = 100;
--- a/crates/oliveworks-entry/src/decide.rs
+++ b/crates/oliveworks-entry/src/decide.rs
@@ -14,20 +14,20 @@
 use crate::process::Entry;
 
 /// Time between two runs of the decider, in milliseconds.
-const LOOK_MS: u32 = 100;
+const DECIDE_INTERVAL_MS: u32 = 100;
 /// Time between two checks whether a snapshot is due, in milliseconds.
-const SNAPSHOT_MS: u64 = 3_000;
+const SNAPSHOT_CHECK_MS: u64 = 3_000;
 /// Number of entries, by rank, that read the platform's list of hosts. One of these three is
 /// expected to act, so entries of higher rank do not read the list.
-const READERS: u64 = 3;
+const LIST_READERS: u64 = 3;
 
 /// Runs the decider. Never returns.
 pub async fn decide(entry: Arc<Entry>, platform: Platform, key: SigningKey) {
     ntex::rt::spawn(read_list(entry.clone(), platform.clone()));
-    let mut snapshot_looked = Millis(0);
+    let mut snapshot_checked_at = Millis(0);
     let mut snapshot_at = Offset(0);
     loop {
-        sleep(Wait(LOOK_MS)).await;
+        sleep(Wait(DECIDE_INTERVAL_MS)).await;
         let now = entry.clock.now();
         let records = entry.store.with_pool(|pool| {
             let mut rng = rand::rng();
@@ -46,7 +46,7 @@
                 Ok(offset) => {
                     log::info!("Appended record {offset} of kind {kind}.");
                     let event = Event::new("decider", kind);
-                    entry.note(event.text(format!("record {offset}")));
+                    entry.record_event(event.text(format!("record {offset}")));
                 }
                 // If the record was appended, it is seen when the log is read. Otherwise the
                 // decider plans it again.
@@ -56,11 +56,11 @@
                 }
             }
         }
-        if now.since(snapshot_looked) >= SNAPSHOT_MS {
-            snapshot_looked = now;
-            let kept =
+        if now.since(snapshot_checked_at) >= SNAPSHOT_CHECK_MS {
+            snapshot_checked_at = now;
+            let result =
                 keep_snapshot(&entry.store, &platform, &key, entry.rank, &mut snapshot_at).await;
-            if let Err(e) = kept {
+            if let Err(e) = result {
                 log::warn!("Writing a snapshot failed: {e:#}.");
             }
         }
@@ -68,7 +68,7 @@
 }
 
 async fn read_list(entry: Arc<Entry>, platform: Platform) {
-    if entry.rank >= READERS {
+    if entry.rank >= LIST_READERS {
         return;
     }
     loop {
--- a/crates/oliveworks-entry/src/driver.rs
+++ b/crates/oliveworks-entry/src/driver.rs
@@ -22,14 +22,14 @@
 use rand::RngExt;
 
 use crate::process::Entry;
-use crate::state::{Known, Prompt};
+use crate::state::{AgentStatus, Prompt};
 
 /// Maximum time between the handover of a request and its start at the agent, in milliseconds.
-const START_MAX_MS: u64 = 30_000;
+const START_WINDOW_MS: u64 = 30_000;
 /// Age above which the status of an agent is refreshed before a handover, in milliseconds.
-const KNOWN_MS: u64 = 10_000;
+const AGENT_STATUS_MAX_AGE_MS: u64 = 10_000;
 /// Timeout of a revocation.
-const REVOKE_WITHIN: Duration = Duration::from_millis(1_500);
+const REVOKE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Body of a request.
 pub enum Body {
@@ -65,7 +65,7 @@
 
 /// Part of an answer.
 #[derive(Debug)]
-pub enum Out {
+pub enum AnswerPart {
     /// Status and headers of a service's answer.
     Head(u16, Vec<(String, Vec<u8>)>),
     /// Piece of the answer's content.
@@ -76,7 +76,7 @@
     Kept(Kept),
 }
 
-struct Current {
+struct CurrentAttempt {
     id: AttemptId,
     epoch: Epoch,
     reader: Reader,
@@ -89,10 +89,10 @@
     entry: Arc<Entry>,
     job: Job,
     relay: Relay,
-    current: Option<Current>,
+    current: Option<CurrentAttempt>,
     /// Agent that the current attempt was handed to, which a revocation is sent to.
     handed_to: Option<(HostId, SocketAddr, Handover)>,
-    counted: Option<Epoch>,
+    counted_at: Option<Epoch>,
     begun: bool,
     head_passed: bool,
     done: bool,
@@ -111,7 +111,7 @@
             relay,
             current: None,
             handed_to: None,
-            counted: admitted,
+            counted_at: admitted,
             begun: false,
             head_passed: false,
             done: false,
@@ -123,19 +123,19 @@
         self.job.id
     }
 
-    fn note(&self, kind: &str, epoch: Option<Epoch>, text: String) {
+    fn record_event(&self, kind: &str, epoch: Option<Epoch>, text: String) {
         let mut event = Event::new("entry", kind).request(self.job.id).text(text);
         if let Some(epoch) = epoch {
             event = event.group(epoch);
         }
-        self.entry.note(event);
+        self.entry.record_event(event);
     }
 
     /// Returns the next part of the answer.
     ///
     /// # Errors
     /// Returns the final refusal if no further attempt is allowed.
-    pub async fn next(&mut self) -> Result<Out, Refusal> {
+    pub async fn next(&mut self) -> Result<AnswerPart, Refusal> {
         let mut next = if self.current.is_some() { Next::Wait } else { Next::Send };
         loop {
             next = match next {
@@ -145,7 +145,7 @@
                     Err(next) => next,
                 },
                 Next::Revoke => self.revoke().await,
-                Next::Answered => unreachable!("the end of an answer is handled by `reply`"),
+                Next::Answered => unreachable!("the end of an answer is handled by `handle_reply`"),
                 Next::Refuse(refusal) => return Err(self.refused(refusal)),
             };
         }
@@ -153,26 +153,26 @@
 
     fn refused(&mut self, refusal: Refusal) -> Refusal {
         self.done = true;
-        self.uncount(refusal.kind == ErrorKind::ContactLost);
-        self.note("refused", None, refusal.to_string());
+        self.end_at_group(refusal.kind == ErrorKind::ContactLost);
+        self.record_event("refused", None, refusal.to_string());
         self.entry.metrics.request(refusal.kind.answer().code);
         refusal
     }
 
     /// Ends the counting of the request at its group. `fault` is set if the group caused a failure.
-    fn uncount(&mut self, fault: bool) {
-        if let Some(epoch) = self.counted.take() {
+    fn end_at_group(&mut self, fault: bool) {
+        if let Some(epoch) = self.counted_at.take() {
             let now = self.entry.clock.now();
             let mut core = self.entry.core();
             core.ended(now, &self.job.template, epoch, fault);
-            core.pump(now);
+            core.admit_waiting(now);
         }
     }
 
     /// Returns whether a further attempt is possible, and takes that attempt out of the retry
     /// budget. No further attempt is possible after the answer's head was passed on or a streamed
     /// body was sent.
-    fn budget(&self) -> bool {
+    fn take_retry(&self) -> bool {
         !self.head_passed
             && !matches!(self.job.body, Body::Spent)
             && self.entry.core().budget.try_take()
@@ -180,16 +180,16 @@
 
     fn failed(&mut self, why: &str) -> Next {
         log::info!("Attempt of request {} failed at its group: {why}.", self.job.id);
-        self.uncount(true);
+        self.end_at_group(true);
         if let Some(current) = &self.current {
-            self.note("lost", Some(current.epoch), why.to_owned());
+            self.record_event("lost", Some(current.epoch), why.to_owned());
             if let Some((host, ..)) = self.handed_to {
-                self.entry.guess_next(current.epoch, host);
+                self.entry.guess_next_leader(current.epoch, host);
             }
         }
-        let budget = self.budget();
+        let may_retry = self.take_retry();
         let now = self.entry.clock.now();
-        let next = self.relay.failed(now, why, budget);
+        let next = self.relay.failed(now, why, may_retry);
         if next != Next::Revoke {
             self.current = None;
         }
@@ -210,50 +210,52 @@
                 groups.filter(|g| g.state == GroupState::Active).last().map(|g| g.epoch)
             });
         }
-        if let Some(epoch) = self.counted {
+        if let Some(epoch) = self.counted_at {
             return Some(epoch);
         }
         let now = self.entry.clock.now();
         let mut core = self.entry.core();
-        let mut not = self.relay.tried().to_vec();
-        let chosen = core.choose(now, &self.job.template, &self.job.prompt, &not).or_else(|| {
-            // All groups were tried. Groups that failed earlier may have recovered, so all groups
-            // are candidates again.
-            not.clear();
-            core.choose(now, &self.job.template, &self.job.prompt, &not)
-        });
-        self.counted = chosen;
+        let mut excluded = self.relay.tried().to_vec();
+        let chosen =
+            core.choose(now, &self.job.template, &self.job.prompt, &excluded).or_else(|| {
+                // All groups were tried. Groups that failed earlier may have recovered, so all
+                // groups are candidates again.
+                excluded.clear();
+                core.choose(now, &self.job.template, &self.job.prompt, &excluded)
+            });
+        self.counted_at = chosen;
         chosen
     }
 
     /// Hands the request over to the leader of a group.
     async fn send(&mut self) -> Next {
         let Some(epoch) = self.choose() else { return self.relay.no_group() };
-        let leader = match self.known(epoch).await {
-            Some(known) => Some(known),
+        let leader = match self.leader_status(epoch).await {
+            Some(leader) => Some(leader),
             None => {
                 // The first query failed and made the next member in rank order the presumed
                 // leader.
-                self.known(epoch).await
+                self.leader_status(epoch).await
             }
         };
-        let Some((host, at, known)) = leader else {
+        let Some((host, at, status)) = leader else {
             let why = "the group's leader was not reached";
             return self.not_sent(epoch, why);
         };
         if let Err(e) = self.entry.net.connect(&host.to_string(), at).await {
             log::debug!("Connecting to {host} failed: {e:#}.");
-            self.entry.guess_next(epoch, host);
+            self.entry.guess_next_leader(epoch, host);
             return self.not_sent(epoch, "the group's leader was not reached");
         }
         let now = self.entry.clock.now();
         let left = self.job.terms.deadline.since(now);
-        let not_after = known.clock.plus(now.since(known.heard) + left.min(START_MAX_MS));
+        let not_after =
+            status.clock.plus(now.since(status.received_at) + left.min(START_WINDOW_MS));
         let attempt = rand::rng().random();
         let handed = Handover {
             id: self.job.id,
             attempt,
-            incarnation: known.incarnation,
+            incarnation: status.incarnation,
             not_after,
             key: self.job.key,
         };
@@ -267,7 +269,7 @@
             priority: self.job.priority,
             call: self.job.call.clone(),
         };
-        self.note("sent", Some(epoch), format!("{host}, try {}", self.relay.attempts()));
+        self.record_event("sent", Some(epoch), format!("{host}, try {}", self.relay.attempts()));
         self.handed_to = Some((host, at, handed));
         self.begun = true;
         let question = Question::Run(Box::new(run));
@@ -286,33 +288,33 @@
                         None
                     }
                 };
-                self.current = Some(Current { id, epoch, reader, _writer: writer });
+                self.current = Some(CurrentAttempt { id, epoch, reader, _writer: writer });
                 Next::Wait
             }
         }
     }
 
     fn not_sent(&mut self, epoch: Epoch, why: &str) -> Next {
-        self.uncount(true);
+        self.end_at_group(true);
         self.relay.sent(epoch, 0);
         let refusal = Refusal::new(ErrorKind::Unavailable, Ran::No, why);
-        let budget = self.budget();
-        self.relay.refused(self.entry.clock.now(), refusal, false, budget)
+        let may_retry = self.take_retry();
+        self.relay.refused(self.entry.clock.now(), refusal, false, may_retry)
     }
 
     /// Returns the group's leader and the status of its agent. Queries the agent first if the
     /// status is missing or too old.
-    async fn known(&self, epoch: Epoch) -> Option<(HostId, SocketAddr, Known)> {
+    async fn leader_status(&self, epoch: Epoch) -> Option<(HostId, SocketAddr, AgentStatus)> {
         let fresh = || {
             let (host, at) = self.entry.leader(epoch)?;
-            let known = *self.entry.core().agents.get(&host)?;
-            let age = self.entry.clock.now().since(known.heard);
-            (age < KNOWN_MS).then_some((host, at, known))
+            let status = *self.entry.core().agents.get(&host)?;
+            let age = self.entry.clock.now().since(status.received_at);
+            (age < AGENT_STATUS_MAX_AGE_MS).then_some((host, at, status))
         };
-        if let Some(known) = fresh() {
-            return Some(known);
+        if let Some(leader) = fresh() {
+            return Some(leader);
         }
-        self.entry.greet(&self.job.template, epoch).await;
+        self.entry.query_leader(&self.job.template, epoch).await;
         fresh()
     }
 
@@ -339,7 +341,7 @@
     }
 
     /// Reads frames until one yields a part of the answer or ends the attempt.
-    async fn read(&mut self) -> Result<Out, Next> {
+    async fn read(&mut self) -> Result<AnswerPart, Next> {
         loop {
             let now = self.entry.clock.now();
             let Some(current) = &mut self.current else { return Err(Next::Send) };
@@ -347,32 +349,32 @@
             if left == 0 {
                 return Err(self.relay.deadline(self.begun));
             }
-            let quiet = self.entry.settings.callers.lost_ms;
-            let within = Duration::from_millis(left.min(quiet));
+            let lost_ms = self.entry.settings.callers.lost_ms;
+            let within = Duration::from_millis(left.min(lost_ms));
             let frame = tokio::time::timeout(within, current.reader.next::<Reply>()).await;
             let reply = match frame {
-                Err(_) if left <= quiet => return Err(self.relay.deadline(self.begun)),
+                Err(_) if left <= lost_ms => return Err(self.relay.deadline(self.begun)),
                 Err(_) => return Err(self.failed("the agent says nothing")),
                 Ok(Err(e)) => return Err(self.failed(&format!("{e:#}"))),
                 Ok(Ok(None)) => return Err(self.failed("the answer broke off")),
                 Ok(Ok(Some(reply))) => reply,
             };
-            if let Some(read) = self.reply(now, reply) {
+            if let Some(read) = self.handle_reply(now, reply) {
                 return read;
             }
         }
     }
 
     /// Handles a frame. Returns `None` if the frame has no effect on the answer.
-    fn reply(&mut self, now: Millis, reply: Reply) -> Option<Result<Out, Next>> {
+    fn handle_reply(&mut self, now: Millis, reply: Reply) -> Option<Result<AnswerPart, Next>> {
         match reply {
             Reply::Alive => None,
             Reply::Head { status, headers } => {
                 self.head_passed = true;
-                Some(Ok(Out::Head(status, headers)))
+                Some(Ok(AnswerPart::Head(status, headers)))
             }
             Reply::Piece { id, number, data } => match self.relay.piece(id, number) {
-                PieceAction::Pass => Some(Ok(Out::Piece(data))),
+                PieceAction::Pass => Some(Ok(AnswerPart::Piece(data))),
                 PieceAction::Drop => None,
                 PieceAction::Gap => Some(Err(self.failed("a piece is missing"))),
             },
@@ -380,7 +382,7 @@
                 match self.relay.end(now, id, pieces, false) {
                     Next::Answered => {
                         self.answered(Some(load));
-                        Some(Ok(Out::End(finish_reason, usage)))
+                        Some(Ok(AnswerPart::End(finish_reason, usage)))
                     }
                     Next::Wait => None,
                     _ => Some(Err(self.failed("the end does not fit"))),
@@ -388,7 +390,7 @@
             }
             Reply::Kept(kept) => {
                 self.answered(None);
-                Some(Ok(Out::Kept(kept)))
+                Some(Ok(AnswerPart::Kept(kept)))
             }
             Reply::Refused { id, refusal, leader } => {
                 let current = self.current.take()?;
@@ -400,7 +402,7 @@
                         self.entry.core().leaders.insert(current.epoch, leader);
                     }
                     (None, Some((host, ..))) if refusal.kind == ErrorKind::Unavailable => {
-                        self.entry.guess_next(current.epoch, host);
+                        self.entry.guess_next_leader(current.epoch, host);
                     }
                     _ => {}
                 }
@@ -411,10 +413,10 @@
                         refusal.kind,
                         ErrorKind::ContactLost | ErrorKind::Unavailable | ErrorKind::BackendFailed
                     );
-                    self.uncount(fault);
+                    self.end_at_group(fault);
                 }
-                let budget = self.budget();
-                Some(Err(self.relay.refused(now, refusal, hinted, budget)))
+                let may_retry = self.take_retry();
+                Some(Err(self.relay.refused(now, refusal, hinted, may_retry)))
             }
             other => Some(Err(self.failed(&format!("an answer of kind {}", other.kind())))),
         }
@@ -422,14 +424,14 @@
 
     fn answered(&mut self, load: Option<oliveworks_core::route::Load>) {
         self.done = true;
-        if let (Some(load), Some(epoch)) = (load, self.counted)
+        if let (Some(load), Some(epoch)) = (load, self.counted_at)
             && let Some(router) = self.entry.core().routers.get_mut(&self.job.template)
         {
             router.report(epoch, load);
         }
-        self.uncount(false);
+        self.end_at_group(false);
         self.entry.metrics.request("answered");
-        self.note("answered", None, format!("{} pieces", self.relay.passed()));
+        self.record_event("answered", None, format!("{} pieces", self.relay.passed()));
     }
 
     /// Asks the agent of the current attempt to prevent the request from beginning.
@@ -439,15 +441,15 @@
             None => None,
             Some((host, at, handed)) => {
                 let (name, question) = (host.to_string(), Question::Revoke(handed));
-                match self.entry.net.ask(&name, at, &question, REVOKE_WITHIN).await {
+                match self.entry.net.ask(&name, at, &question, REVOKE_TIMEOUT).await {
                     Ok(Reply::Revoked(outcome)) => Some(outcome),
                     _ => None,
                 }
             }
         };
-        self.note("revoked", None, format!("{outcome:?}"));
-        let budget = self.budget();
-        self.relay.revoked(self.entry.clock.now(), outcome, budget)
+        self.record_event("revoked", None, format!("{outcome:?}"));
+        let may_retry = self.take_retry();
+        self.relay.revoked(self.entry.clock.now(), outcome, may_retry)
     }
 }
 
@@ -466,9 +468,9 @@
         self.entry.open.fetch_sub(1, Ordering::Relaxed);
         if !self.done {
             self.relay.cancelled();
-            self.uncount(false);
+            self.end_at_group(false);
             self.entry.metrics.request("cancelled");
-            self.note("cancelled", None, String::new());
+            self.record_event("cancelled", None, String::new());
         }
     }
 }
--- a/crates/oliveworks-entry/src/peers.rs
+++ b/crates/oliveworks-entry/src/peers.rs
@@ -40,7 +40,7 @@
     let reply = match question {
         Question::Feed(question) => {
             let now = entry.clock.now();
-            entry.core().heads.insert(name.to_owned(), (question.from, now));
+            entry.core().reader_positions.insert(name.to_owned(), (question.from, now));
             Reply::Feed(entry.store.answer(&question, entry.clock).await)
         }
         Question::Report(report) => {
--- a/crates/oliveworks-entry/src/process.rs
+++ b/crates/oliveworks-entry/src/process.rs
@@ -28,7 +28,7 @@
 /// Time between two checks of the queues, in milliseconds.
 const TICK_MS: u32 = 20;
 /// Timeout of a status query to an agent.
-pub const HELLO_WITHIN: Duration = Duration::from_millis(900);
+pub const HELLO_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// State shared by the tasks of the process.
 pub struct Entry {
@@ -62,7 +62,7 @@
     }
 
     /// Adds an event to the timeline.
-    pub fn note(&self, event: Event) {
+    pub fn record_event(&self, event: Event) {
         self.timeline.note(event);
     }
 
@@ -87,7 +87,7 @@
 
     /// Returns the host after `host` in the rank order of a group, which is the next candidate for
     /// the presumed leader.
-    fn guess_after(&self, epoch: Epoch, host: HostId) -> Option<(HostId, std::net::SocketAddr)> {
+    fn next_ranked(&self, epoch: Epoch, host: HostId) -> Option<(HostId, std::net::SocketAddr)> {
         self.store.with_pool(|pool| {
             let group = pool.group(epoch)?;
             let at = group.ranked.iter().position(|h| *h == host).map_or(0, |i| i + 1);
@@ -98,17 +98,17 @@
 
     /// Queries the status of a group's presumed leader. Returns whether the leader serves the
     /// group.
-    pub async fn greet(&self, template: &TemplateKey, epoch: Epoch) -> bool {
+    pub async fn query_leader(&self, template: &TemplateKey, epoch: Epoch) -> bool {
         let Some((host, at)) = self.leader(epoch) else { return false };
         let from = self.core().agents.get(&host).map_or(0, |k| k.next_event);
         let question = Question::Hello(from);
-        match self.net.ask(&host.to_string(), at, &question, HELLO_WITHIN).await {
+        match self.net.ask(&host.to_string(), at, &question, HELLO_TIMEOUT).await {
             Ok(Reply::Hello(hello)) => {
                 let now = self.clock.now();
-                self.core().hello(now, template, epoch, (host, at), &hello);
+                self.core().record_status(now, template, epoch, (host, at), &hello);
                 let serving = hello.serving == Some(epoch);
                 if !serving && hello.leader.is_none() {
-                    self.guess_next(epoch, host);
+                    self.guess_next_leader(epoch, host);
                 }
                 serving
             }
@@ -116,7 +116,7 @@
                 if let Err(e) = other {
                     log::debug!("Querying the status of {host} failed: {e:#}.");
                 }
-                self.guess_next(epoch, host);
+                self.guess_next_leader(epoch, host);
                 false
             }
         }
@@ -124,8 +124,8 @@
 
     /// Presumes that the host after `host` in rank order leads the group. Used when `host` neither
     /// leads the group nor names the leader.
-    pub fn guess_next(&self, epoch: Epoch, host: HostId) {
-        if let Some(guess) = self.guess_after(epoch, host) {
+    pub fn guess_next_leader(&self, epoch: Epoch, host: HostId) {
+        if let Some(guess) = self.next_ranked(epoch, host) {
             self.core().leaders.insert(epoch, guess);
         }
     }
@@ -175,7 +175,7 @@
         core: Mutex::new(core),
         settings,
     });
-    entry.note(Event::new("entry", "started"));
+    entry.record_event(Event::new("entry", "started"));
     let listen = TcpListener::bind(entry.settings.listen)
         .with_context(|| format!("listen: {}", entry.settings.listen))?;
     let admin = crate::admin::serve(&entry)?;
@@ -214,7 +214,7 @@
     });
     ntex::rt::spawn(crate::decide::decide(entry.clone(), platform, key));
     ntex::rt::spawn(tick(entry.clone()));
-    ntex::rt::spawn(greet_groups(entry.clone()));
+    ntex::rt::spawn(query_groups(entry.clone()));
     tokio::spawn(entry.net.clone().keep_keys_current());
 }
 
@@ -224,7 +224,7 @@
         "Stop requested; waiting for {} requests in progress.",
         entry.open.load(Ordering::Relaxed)
     );
-    entry.note(Event::new("entry", "stopping"));
+    entry.record_event(Event::new("entry", "stopping"));
     entry.draining.store(true, Ordering::Relaxed);
     let until = entry.clock.now().plus(entry.settings.drain_ms);
     while entry.open.load(Ordering::Relaxed) > 0 && entry.clock.now() < until {
@@ -249,7 +249,7 @@
 }
 
 /// Periodically queries the status of the groups that this entry uses.
-async fn greet_groups(entry: Arc<Entry>) {
+async fn query_groups(entry: Arc<Entry>) {
     let mut last = Millis(0);
     loop {
         sleep(Wait(TICK_MS * 2)).await;
@@ -267,9 +267,9 @@
         for (template, epoch) in groups {
             let entry = entry.clone();
             ntex::rt::spawn(async move {
-                if entry.greet(&template, epoch).await {
+                if entry.query_leader(&template, epoch).await {
                     let now = entry.clock.now();
-                    entry.core().pump(now);
+                    entry.core().admit_waiting(now);
                 }
             });
         }
--- a/crates/oliveworks-entry/src/service.rs
+++ b/crates/oliveworks-entry/src/service.rs
@@ -14,13 +14,13 @@
 use oliveworks_net::wire::{Call, is_carried};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::callers::{self, Intake, Shared, refuse};
-use crate::driver::{Body, Driver, Job, Out};
+use crate::callers::{self, RequestOptions, Shared, refuse};
+use crate::driver::{AnswerPart, Body, Driver, Job};
 use crate::process::Entry;
 use crate::state::Prompt;
 
 /// Maximum size of a body that is buffered so that a retry can send it again, in bytes.
-const HELD_MAX: usize = 64 << 10;
+const BUFFERED_BODY_MAX: usize = 64 << 10;
 
 /// Handles `/services/NAME/...`.
 pub async fn call(entry: Shared, request: HttpRequest, body: Payload) -> HttpResponse {
@@ -30,9 +30,9 @@
         Err(refusal) => return callers::answer_refused(&entry, &refusal),
     };
     match driver.next().await {
-        Ok(Out::Head(status, headers)) => stream(driver, status, &headers),
-        Ok(Out::Kept(kept)) => repeat(&kept),
-        Ok(Out::Piece(_) | Out::End(..)) => {
+        Ok(AnswerPart::Head(status, headers)) => stream(driver, status, &headers),
+        Ok(AnswerPart::Kept(kept)) => kept_response(&kept),
+        Ok(AnswerPart::Piece(_) | AnswerPart::End(..)) => {
             let refusal = Refusal::new(
                 ErrorKind::BackendFailed,
                 oliveworks_core::error::Ran::Unknown,
@@ -62,7 +62,7 @@
 ) -> Result<Driver, Refusal> {
     let caller = crate::auth::caller(entry, request.headers())?;
     let name = request.match_info().get("name").unwrap_or_default().to_owned();
-    let published = callers::find(entry, &caller, Kind::Service, &name)?;
+    let published = callers::find_template(entry, &caller, Kind::Service, &name)?;
     let headers: Vec<(String, Vec<u8>)> = request
         .headers()
         .iter()
@@ -77,7 +77,9 @@
     let body = match length {
         None if !chunked => Body::None,
         Some(0) => Body::None,
-        Some(n) if n <= HELD_MAX => Body::Whole(callers::read_body(entry, &mut payload).await?),
+        Some(n) if n <= BUFFERED_BODY_MAX => {
+            Body::Whole(callers::read_body(entry, &mut payload).await?)
+        }
         _ => Body::Stream(payload.into_inner()),
     };
     let held: &[u8] = match &body {
@@ -85,16 +87,16 @@
         _ => &[],
     };
     let digest = xxh3_64(&[method.as_bytes(), path.as_bytes(), held].concat());
-    let intake = Intake::new(entry, request.headers(), &published, digest)?;
+    let options = RequestOptions::new(entry, request.headers(), &published, digest)?;
     let prompt = Prompt::default();
-    let admitted = callers::admit(entry, &caller, &intake, &prompt).await?;
+    let admitted = callers::admit(entry, &caller, &options, &prompt).await?;
     let has_body = !matches!(body, Body::None);
     let job = Job {
-        id: intake.id,
-        template: intake.template,
-        terms: intake.terms,
-        key: intake.key,
-        priority: intake.priority,
+        id: options.id,
+        template: options.template,
+        terms: options.terms,
+        key: options.key,
+        priority: options.priority,
         call: Call::Service { method, path, headers, has_body },
         body,
         prompt,
@@ -102,7 +104,7 @@
     Ok(Driver::new(entry.clone(), job, admitted))
 }
 
-fn repeat(kept: &Kept) -> HttpResponse {
+fn kept_response(kept: &Kept) -> HttpResponse {
     let status = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK);
     let mut response = HttpResponse::build(status);
     response.header("x-repeated", "true");
@@ -124,8 +126,8 @@
     ntex::rt::spawn(async move {
         loop {
             let part = match driver.next().await {
-                Ok(Out::Piece(data)) => Ok(Bytes::from(data)),
-                Ok(Out::End(..)) => return,
+                Ok(AnswerPart::Piece(data)) => Ok(Bytes::from(data)),
+                Ok(AnswerPart::End(..)) => return,
                 Ok(_) => Err(std::io::Error::other("an answer with two heads")),
                 Err(refusal) => Err(std::io::Error::other(refusal.to_string())),
             };
--- a/crates/oliveworks-entry/src/state.rs
+++ b/crates/oliveworks-entry/src/state.rs
@@ -31,13 +31,13 @@
 
 /// Status of an agent, from its latest answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Known {
+pub struct AgentStatus {
     /// Incarnation of the agent.
     pub incarnation: Incarnation,
     /// Time on the agent's clock when it answered.
     pub clock: Millis,
     /// Time on this entry's clock when the answer was received.
-    pub heard: Millis,
+    pub received_at: Millis,
     /// Number of the agent's next cache event.
     pub next_event: u64,
 }
@@ -58,14 +58,14 @@
 }
 
 /// Next offset of a process that reads records from this entry, and the time of its latest read.
-pub type Head = (Offset, Millis);
+pub type ReaderPosition = (Offset, Millis);
 
 /// State of an entry.
 pub struct Core {
     /// Router of each template.
     pub routers: BTreeMap<TemplateKey, Router>,
     /// Latest known status of each agent.
-    pub agents: HashMap<HostId, Known>,
+    pub agents: HashMap<HostId, AgentStatus>,
     /// Leader of each group, as last reported or guessed.
     pub leaders: HashMap<Epoch, (HostId, SocketAddr)>,
     /// Callers, by the digest of their token.
@@ -75,7 +75,7 @@
     /// Deciding role.
     pub decider: Decider,
     /// Positions of the processes that read records from this entry, by process name.
-    pub heads: BTreeMap<String, Head>,
+    pub reader_positions: BTreeMap<String, ReaderPosition>,
     /// Random number generator for routing.
     pub rng: StdRng,
     admission: Admission,
@@ -90,9 +90,9 @@
             agents: HashMap::new(),
             leaders: HashMap::new(),
             tokens: HashMap::new(),
-            budget: RetryBudget::new(callers.retry_percent, RETRIES_SAVED),
+            budget: RetryBudget::new(callers.retry_percent, RETRY_BURST),
             decider,
-            heads: BTreeMap::new(),
+            reader_positions: BTreeMap::new(),
             rng: StdRng::from_rng(&mut rand::rng()),
             admission: Admission::new(admission),
             pending: HashMap::new(),
@@ -139,7 +139,7 @@
 
     /// Adds a request to its workspace's queue. The receiver yields the group that the request was
     /// admitted to, or the refusal.
-    pub fn enter(
+    pub fn enqueue(
         &mut self,
         now: Millis,
         caller: &Caller,
@@ -154,12 +154,12 @@
         for (id, refusal) in self.admission.enqueue(now, &owner, caller.weight, waiting) {
             self.refuse(id, refusal);
         }
-        self.pump(now);
+        self.admit_waiting(now);
         receiver
     }
 
     /// Admits waiting requests for as long as their templates have room.
-    pub fn pump(&mut self, now: Millis) {
+    pub fn admit_waiting(&mut self, now: Millis) {
         loop {
             let routers = &self.routers;
             let has_room = |t: &TemplateKey| routers.get(t).is_some_and(|r| r.has_room(now));
@@ -190,7 +190,7 @@
     }
 
     /// Removes a waiting request whose caller disconnected.
-    pub fn leave(&mut self, id: RequestId) {
+    pub fn remove_waiting(&mut self, id: RequestId) {
         self.pending.remove(&id);
         self.admission.remove(id);
     }
@@ -200,16 +200,16 @@
         self.admission.len()
     }
 
-    /// Chooses a group that is not in `not` and counts the request as sent to the group.
+    /// Chooses a group that is not in `excluded` and counts the request as sent to the group.
     pub fn choose(
         &mut self,
         now: Millis,
         template: &TemplateKey,
         prompt: &Prompt,
-        not: &[Epoch],
+        excluded: &[Epoch],
     ) -> Option<Epoch> {
         let router = self.routers.get_mut(template)?;
-        let epoch = router.choose(now, &mut self.rng, &prompt.blocks, prompt.tokens, not)?;
+        let epoch = router.choose(now, &mut self.rng, &prompt.blocks, prompt.tokens, excluded)?;
         router.sent(epoch, &prompt.blocks, prompt.tokens);
         Some(epoch)
     }
@@ -222,7 +222,7 @@
     }
 
     /// Records the status that an agent reported. `epoch` is the group that the query was about.
-    pub fn hello(
+    pub fn record_status(
         &mut self,
         now: Millis,
         template: &TemplateKey,
@@ -230,13 +230,13 @@
         from: (HostId, SocketAddr),
         hello: &Hello,
     ) {
-        let known = Known {
+        let status = AgentStatus {
             incarnation: hello.incarnation,
             clock: hello.clock,
-            heard: now,
+            received_at: now,
             next_event: hello.next_event,
         };
-        self.agents.insert(from.0, known);
+        self.agents.insert(from.0, status);
         if hello.serving == Some(epoch) {
             self.leaders.insert(epoch, from);
             if let Some(router) = self.routers.get_mut(template) {
@@ -253,9 +253,9 @@
         for (id, refusal) in self.admission.expire(now) {
             self.refuse(id, refusal);
         }
-        self.pump(now);
+        self.admit_waiting(now);
     }
 }
 
 /// Maximum number of retries that an entry accumulates in its budget while few are used.
-const RETRIES_SAVED: u32 = 20;
+const RETRY_BURST: u32 = 20;
