--- a/crates/oliveworks-agent/src/admin.rs
+++ b/crates/oliveworks-agent/src/admin.rs
@@ -1,4 +1,4 @@
-//! Metrics, liveness and readiness.
+//! HTTP interface for monitoring: metrics, liveness and readiness.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -32,11 +32,12 @@
     }
 }
 
-/// Serves the pages in a thread of their own.
+/// Starts the HTTP server for monitoring in a thread of its own.
 pub fn serve(process: &Arc<Process>) -> anyhow::Result<ntex::server::Server> {
     let at = process.settings.admin;
     let listener = TcpListener::bind(at).with_context(|| format!("admin: {at}"))?;
-    // The engine's client belongs to the main thread, so only what may be shared is taken along.
+    // The client of the engine cannot leave the main thread, so the closures hold only the parts of
+    // the process that can be shared.
     let (metrics_of, store, clock) =
         (process.metrics.clone(), process.store.clone(), process.clock);
     let ready_store = store.clone();
--- a/crates/oliveworks-agent/src/backend.rs
+++ b/crates/oliveworks-agent/src/backend.rs
@@ -1,4 +1,4 @@
-//! The backend server: its health, its orders, its cache events.
+//! Communication with the backend server: health, orders and cache events.
 
 use std::sync::Arc;
 
@@ -8,20 +8,20 @@
 
 use crate::process::{Process, lock};
 
-/// Between two health checks, in milliseconds.
+/// Time between two health checks, in milliseconds.
 const HEALTH_MS: u32 = 300;
-/// Failed checks in a row that make a server unhealthy.
+/// Number of consecutive failed health checks after which the server counts as unhealthy.
 const FAILURES: u32 = 2;
-/// Cache events kept for entries.
+/// Number of recent cache events kept for entries.
 const EVENTS_KEPT: usize = 256;
 
 impl Process {
-    /// Gives an order to the backend server, in the background.
+    /// Sends an order to the backend server in the background, and records the result.
     pub fn order(self: Arc<Process>, number: u64, order: EngineOrder) {
         ntex::rt::spawn(async move {
             let done = self.engine.order(&order).await;
             if let Err(e) = &done {
-                log::warn!("The backend server did not carry out {order:?}: {e:#}.");
+                log::warn!("The backend server failed to carry out the order {order:?}: {e:#}.");
             }
             let now = self.clock.now();
             self.decide(|agent| agent.order_done(now, number, done.is_ok()));
@@ -29,7 +29,8 @@
     }
 }
 
-/// Waits for the server's first word, so that the agent knows how far its fences have come.
+/// Waits for the first answer of the backend server and records the highest fence that the server
+/// has seen.
 pub async fn first_word(process: &Arc<Process>) {
     loop {
         match process.engine.health().await {
@@ -38,14 +39,14 @@
                 return;
             }
             Err(e) => {
-                log::warn!("The backend server is not there yet: {e:#}.");
+                log::warn!("The backend server is not reachable yet: {e:#}.");
                 sleep(Wait(HEALTH_MS * 3)).await;
             }
         }
     }
 }
 
-/// Checks the server's health for as long as the process runs.
+/// Checks the health of the backend server and reads its cache events. Never returns.
 pub async fn watch(process: Arc<Process>) {
     let mut failures = 0;
     let mut instance = None;
@@ -55,7 +56,7 @@
             Ok(health) => {
                 failures = 0;
                 if instance.is_some_and(|i| i != health.instance) {
-                    // Another run of the server: it has forgotten everything.
+                    // The server was restarted and has lost its state.
                     process.decide(|agent| agent.engine_health(false));
                     process.timeline.note(Event::new("agent", "backend_restarted"));
                 }
@@ -79,7 +80,8 @@
 }
 
 async fn read_cache_events(process: &Process, next: &mut u64) {
-    // A plain service has none, and a gap is made up by the entries' own traffic.
+    // A plain service has no cache events. After a gap, the entries learn the cached blocks from
+    // their own traffic.
     let Ok(events) = process.engine.cache_events(*next).await else { return };
     *next = events.next;
     let stored = events.stored.into_iter().map(|block| (true, block));
--- a/crates/oliveworks-agent/src/main.rs
+++ b/crates/oliveworks-agent/src/main.rs
@@ -1,7 +1,7 @@
-//! `oliveworks-agent`: the process beside each backend server.
+//! `oliveworks-agent`: the process that runs on each host beside the backend server.
 //!
-//! It is the only one that gives the server orders. It holds the host's place in a replica group,
-//! forms the group with the other members, and gates every request.
+//! The agent is the only process that sends orders to the server. The agent represents the host in
+//! a replica group, forms the group with the other members, and gates every request.
 
 mod admin;
 mod backend;
--- a/crates/oliveworks-agent/src/peers.rs
+++ b/crates/oliveworks-agent/src/peers.rs
@@ -1,4 +1,4 @@
-//! What other processes ask of the agent.
+//! Requests and lease messages from other processes to the agent.
 
 use std::sync::Arc;
 
@@ -10,10 +10,10 @@
 
 use crate::process::{Process, lock};
 
-/// Connections as the endpoint hands them over.
+/// Receiver of new connections, each with the name of its peer.
 pub type Connections = UnboundedReceiver<(String, Connection)>;
 
-/// Serves every connection.
+/// Serves every connection until the endpoint is closed.
 pub async fn serve(process: Arc<Process>, mut connections: Connections) {
     while let Some((name, connection)) = connections.recv().await {
         ntex::rt::spawn(datagrams(process.clone(), name.clone(), connection.clone()));
@@ -21,13 +21,14 @@
     }
 }
 
-/// Reads lease messages. A message under another name than its connection's is dropped.
+/// Receives lease messages. A message whose sender differs from the peer of the connection is
+/// dropped.
 async fn datagrams(process: Arc<Process>, name: String, connection: Connection) {
     let host: Option<HostId> = name.parse().ok();
     while let Ok(datagram) = process.net.read_datagram(&connection).await {
         let Some(Datagram::Lease(from, msg)) = datagram else { continue };
         if host != Some(from) || from.to_string() != name {
-            log::warn!("A lease message of {from} came from {name}; it is dropped.");
+            log::warn!("Dropped a lease message of {from} that was sent by {name}.");
             continue;
         }
         let now = process.clock.now();
@@ -41,7 +42,7 @@
         ntex::rt::spawn(async move {
             let (writer, reader) = process.net.framed(send, recv);
             if let Err(e) = answer(&process, &name, writer, reader).await {
-                log::debug!("A question of {name} was not answered: {e:#}.");
+                log::debug!("Answering a request of {name} failed: {e:#}.");
             }
         });
     }
@@ -54,9 +55,9 @@
     mut reader: Reader,
 ) -> anyhow::Result<()> {
     let Some(question) = reader.next::<Question>().await? else { return Ok(()) };
-    // Only entries hand requests over, revoke them, and ask for state.
+    // Only entries may hand over requests, revoke them and query the status.
     if !name.starts_with("entry-") {
-        anyhow::bail!("{name} is no entry");
+        anyhow::bail!("{name} is not an entry");
     }
     match question {
         Question::Hello(from) => writer.send(&Reply::Hello(hello(process, from))).await?,
@@ -76,8 +77,8 @@
     Ok(())
 }
 
-/// Cache events told in one answer. What an entry's own traffic stores it knows without being told;
-/// more than this would not fit the bytes allowed for control.
+/// Maximum number of cache events in one answer. An entry knows the blocks that its own traffic
+/// stores. More events would exceed the traffic allowed for control messages.
 const EVENTS_TOLD: usize = 32;
 
 fn hello(process: &Process, events_from: u64) -> Hello {
@@ -103,7 +104,8 @@
     })
 }
 
-/// The engine's load, at least what this agent itself has handed to it.
+/// Returns the load of the engine. The number of running requests is at least the number that this
+/// agent handed to the engine, and the capacity at most the limit of the group's template.
 pub fn load(
     agent: &oliveworks_core::agent::Agent,
     backend: &crate::process::BackendState,
--- a/crates/oliveworks-agent/src/process.rs
+++ b/crates/oliveworks-agent/src/process.rs
@@ -1,4 +1,4 @@
-//! The process: its state, its timers, its start and its end.
+//! Process of an agent: state, timers, start and stop.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -27,62 +27,65 @@
 
 use crate::settings::Settings;
 
-/// Between two looks of the timers, in milliseconds.
+/// Time between two ticks of the agent's decisions, in milliseconds.
 const TICK_MS: u32 = 50;
-/// A report without news goes out this often, in milliseconds.
+/// Time after which an unchanged report is sent again, in milliseconds.
 const REPORT_MS: u64 = 30_000;
-/// Entries that may decide, and so want reports.
+/// Number of entries, by rank, that may decide and therefore receive reports.
 const DECIDERS: usize = 3;
 
-/// What the backend server last told.
+/// Latest state that the backend server reported.
 #[derive(Clone, Debug, Default)]
 pub struct BackendState {
-    /// Its load.
+    /// Load of the backend server.
     pub load: Load,
-    /// Cache events: their numbers, whether a block was stored rather than evicted, and the block.
+    /// Recent cache events: number, whether the block was stored (`true`) or evicted (`false`), and
+    /// the block's hash.
     pub events: VecDeque<(u64, bool, u64)>,
-    /// The number of the next event.
+    /// Number of the next cache event.
     pub next_event: u64,
-    /// The weights that it holds.
+    /// Digest of the weights that the server holds.
     pub weights: Option<u64>,
 }
 
-/// Everything that the process's tasks share.
+/// State shared by the tasks of the process.
 pub struct Process {
-    /// The settings.
+    /// Settings.
     pub settings: Settings,
-    /// The clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// The configuration.
+    /// Configuration.
     pub store: Arc<Store>,
-    /// The endpoint.
+    /// Network endpoint.
     pub net: Arc<Net>,
     /// Metrics.
     pub metrics: Arc<Metrics>,
-    /// The time line.
+    /// Timeline of events.
     pub timeline: Arc<Timeline>,
-    /// The backend server.
+    /// Client of the backend server.
     pub engine: Engine,
-    /// What it last told.
+    /// Latest state that the backend server reported.
     pub backend: Arc<Mutex<BackendState>>,
     agent: Arc<Mutex<Agent>>,
     cuts: watch::Sender<u64>,
 }
 
-/// Locks, whatever happened to another holder: the decisions leave no half-done state behind.
+/// Locks a mutex, even if a thread panicked while it held the lock. The decisions leave no partly
+/// changed state behind.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Process {
-    /// Tells an agent's name and where it is reached, if it is in this host's group.
+    /// Returns the name and address of another host's agent, if the host is in this host's group.
     fn peer(&self, host: HostId) -> Option<(String, std::net::SocketAddr)> {
         let me = self.settings.host;
         let at = self.store.with_pool(|p| p.group_of(me).and_then(|g| g.address(host)))?;
         Some((host.to_string(), at))
     }
 
-    /// Where the leader that holds this host's promise is reached.
+    /// Returns the leader that holds this host's promise and the address of its agent. Returns
+    /// `None` if there is no such leader or this host is the leader itself.
     pub fn leader(&self) -> Option<(HostId, std::net::SocketAddr)> {
         let leader = lock(&self.agent).leader(self.clock.now())?;
         if leader == self.settings.host {
@@ -91,14 +94,14 @@
         self.peer(leader).map(|(_, at)| (leader, at))
     }
 
-    /// The present moment as the ledger needs it.
+    /// Returns the current time and configuration age for the ledger.
     pub fn moment(&self) -> Now {
         let mono = self.clock.now();
         let age = self.store.age_ms(mono).unwrap_or(u64::MAX);
         Now { mono, wall_ms: wall_ms(), config_age_ms: age }
     }
 
-    /// Changes the decisions and carries their commands out.
+    /// Applies `change` to the agent's decisions and carries out the resulting commands.
     pub fn decide(self: &Arc<Process>, change: impl FnOnce(&mut Agent) -> Vec<Command>) {
         let commands = change(&mut lock(&self.agent));
         for command in commands {
@@ -106,12 +109,12 @@
         }
     }
 
-    /// Looks at the decisions, or changes them without commands.
+    /// Reads the agent's decisions, or changes them in a way that results in no commands.
     pub fn with_agent<T>(&self, look: impl FnOnce(&mut Agent) -> T) -> T {
         look(&mut lock(&self.agent))
     }
 
-    /// Tells of requests that must end.
+    /// Returns a receiver that is notified when all running requests must end.
     pub fn cuts(&self) -> watch::Receiver<u64> {
         self.cuts.subscribe()
     }
@@ -136,11 +139,12 @@
         if let Some(group) = group {
             event = event.group(group);
         }
-        log::info!("The group is now {kind}: {}.", event.text);
+        log::info!("Group event {kind}: {}.", event.text);
         self.timeline.note(event);
     }
 
-    /// What the log says of this host, after it changed.
+    /// Sets the group that the log assigns to this host, after records were applied. `proved`
+    /// states whether the configuration had been proved to be the latest at some time before that.
     fn assign(self: &Arc<Process>, proved: bool) {
         let host = self.settings.host;
         let assigned = self.store.with_pool(|pool| Assigned::of(pool, host));
@@ -149,14 +153,14 @@
     }
 }
 
-/// Runs the agent until it is told to stop.
+/// Runs the agent until the process is asked to stop.
 pub async fn run(settings: Settings) -> anyhow::Result<()> {
     let clock = Clock::new();
     let metrics = Arc::new(Metrics::new());
     let timeline = Arc::new(Timeline::new(&settings.host.to_string()));
     let (net, connections) = Net::open(settings.peer, settings.tls.clone(), metrics.clone())?;
     if net.name() != settings.host.to_string() {
-        anyhow::bail!("tls.cert: it names {}, not {}", net.name(), settings.host);
+        anyhow::bail!("tls.cert: the certificate names {}, expected {}", net.name(), settings.host);
     }
     let keys = &settings.record_keys;
     let ring = KeyRing::of_fleet(&keys.partners, &keys.system).context("record_keys")?;
@@ -199,7 +203,7 @@
     ntex::rt::spawn(tick(process.clone()));
     ntex::rt::spawn(report(process.clone()));
     tokio::spawn(process.net.clone().keep_keys_current());
-    log::info!("The agent of {} is up.", process.settings.host);
+    log::info!("The agent of {} has started.", process.settings.host);
     stop_asked().await;
     process.stop().await;
     server.stop(true).await;
@@ -224,9 +228,10 @@
         });
     }
 
-    /// Takes nothing new, waits until the group has drained and been freed, then ends.
+    /// Announces that the host leaves, and waits until the host belongs to no group and no request
+    /// runs, at most for the configured drain time.
     async fn stop(self: &Arc<Process>) {
-        log::info!("The agent was asked to stop; it drains.");
+        log::info!("Stop requested; draining the host.");
         self.timeline.note(Event::new("agent", "stopping").host(self.settings.host));
         self.decide(|agent| agent.leave());
         let until = self.clock.now().plus(self.settings.drain_ms);
@@ -238,7 +243,7 @@
             }
             sleep(Wait(TICK_MS * 2)).await;
         }
-        log::warn!("The time to drain is over; what still runs is cut off.");
+        log::warn!("The host was not drained within the drain time; running requests are aborted.");
     }
 }
 
@@ -254,7 +259,8 @@
     }
 }
 
-/// Tells the deciders of this host's group: at once when something changed, and now and then.
+/// Sends reports of this host's group to the deciders: soon after every change, and at regular
+/// intervals.
 async fn report(process: Arc<Process>) {
     let mut told: Option<(GroupReport, u64)> = None;
     let deciders = rank_entries("decider", process.settings.entries.iter().map(|e| e.entry));
@@ -277,7 +283,7 @@
             ntex::rt::spawn(async move {
                 let within = Duration::from_secs(2);
                 let name = entry.entry.to_string();
-                // A decider that was not reached hears the next report.
+                // A decider that was not reached receives the next report.
                 let _ = process.net.ask(&name, entry.peer, &question, within).await;
             });
         }
--- a/crates/oliveworks-agent/src/run.rs
+++ b/crates/oliveworks-agent/src/run.rs
@@ -1,4 +1,4 @@
-//! Running a request: the gate, the backend server, and the way back.
+//! Execution of a request: the gate, the call to the backend server, and the return of the answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,16 +16,16 @@
 
 use crate::process::{Process, lock};
 
-/// While there is nothing else to say, the entry hears this often that the request is in hand.
+/// Interval of keep-alive frames to the entry while the request runs and nothing else is sent.
 const ALIVE: Duration = Duration::from_millis(500);
-/// The largest answer kept for a repeated key, in bytes.
+/// Maximum size of an answer that is kept for a repeated key, in bytes.
 const KEPT_MAX: usize = 64 << 10;
 
-/// Why a run ended without its answer.
+/// Reason why a request ended without a complete answer.
 enum Stop {
-    /// The entry, or the caller behind it, went away.
+    /// The entry or its caller disconnected.
     Left,
-    /// Tell the entry this.
+    /// The request failed. The refusal is sent to the entry.
     Refused(Refusal),
 }
 
@@ -48,7 +48,7 @@
     Stop::Refused(Refusal::new(ErrorKind::ContactLost, Ran::Unknown, why))
 }
 
-/// A request in progress.
+/// Request in progress.
 struct Job<'a> {
     process: &'a Arc<Process>,
     run: &'a Run,
@@ -59,7 +59,7 @@
     pieces: u64,
 }
 
-/// Runs a request that an entry handed over.
+/// Runs a request that an entry handed over, and sends the answer.
 pub async fn run(
     process: &Arc<Process>,
     run: Run,
@@ -82,7 +82,7 @@
             writer.finish();
             return Ok(());
         }
-        (Begin::Run, None) => anyhow::bail!("a request runs only with a pass"),
+        (Begin::Run, None) => anyhow::bail!("the gate admitted a request without a permit"),
     };
     note(process, &run, "began");
     let mut job = Job { process, run: &run, permit, cuts, writer, kept: None, pieces: run.from };
@@ -118,7 +118,8 @@
 }
 
 impl Job<'_> {
-    /// Waits for something of the backend server, and meanwhile for reasons to stop waiting.
+    /// Waits for a result of the backend server. Returns an error if the request has to end
+    /// earlier: the group ended, the entry disconnected or the deadline passed.
     async fn wait<T>(&mut self, what: impl Future<Output = T>) -> Result<T, Stop> {
         tokio::pin!(what);
         let deadline = Duration::from_millis(u64::from(self.run.left_ms));
@@ -141,7 +142,7 @@
         }
     }
 
-    /// The second gate: what the backend server said may go back only while the group is whole.
+    /// Second gate: output of the backend server may be returned only while the group is complete.
     fn check_pass(&self) -> Result<(), Stop> {
         let now = self.process.clock.now();
         match self.process.with_agent(|agent| agent.may_pass(now, &self.permit)) {
@@ -246,7 +247,7 @@
     }
 }
 
-/// The request's body as its frames come; at most one is held in memory.
+/// Returns the body of a request as a stream of its frames. At most one frame is held in memory.
 fn body(
     reader: Reader,
 ) -> impl futures_util::Stream<Item = Result<Bytes, std::io::Error>> + Unpin + 'static {
@@ -255,7 +256,7 @@
         match reader.next::<Question>().await {
             Ok(Some(Question::Body(bytes))) => Some((Ok(Bytes::from(bytes)), Some(reader))),
             Ok(Some(Question::BodyEnd)) => None,
-            // A body that breaks off must not look complete.
+            // A truncated body must not look complete to the backend server.
             _ => Some((Err(std::io::Error::other("the body broke off")), None)),
         }
     });
--- a/crates/oliveworks-agent/src/settings.rs
+++ b/crates/oliveworks-agent/src/settings.rs
@@ -1,4 +1,4 @@
-//! An agent's settings.
+//! Settings of an agent.
 
 use std::net::SocketAddr;
 
@@ -13,16 +13,16 @@
 use oliveworks_runtime::settings::Check;
 use serde::{Deserialize, Serialize};
 
-/// The backend server beside the agent.
+/// Backend server on the agent's host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackendSettings {
-    /// Where it is reached.
+    /// URL of the backend server.
     pub url: String,
-    /// Whether it refuses orders and requests with an old fence.
+    /// Whether the server rejects orders and requests with an old fence.
     pub checks_fences: bool,
-    /// The longest that an order takes effect after it was given, in milliseconds. Counts only for
-    /// a server that checks no fences: a restarted agent waits this long.
+    /// Maximum time after which an order can still take effect, in milliseconds. Used only for a
+    /// server that checks no fences: a restarted agent waits this long before its first order.
     #[serde(default = "ten_seconds")]
     pub order_max_ms: u64,
 }
@@ -31,43 +31,43 @@
     10_000
 }
 
-/// All settings of an agent.
+/// Settings of an agent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The host that the agent stands on.
+    /// Host that the agent runs on.
     pub host: HostId,
-    /// The host's fabric domain.
+    /// Fabric domain of the host.
     pub domain: DomainId,
-    /// The host's region.
+    /// Region of the host.
     pub region: String,
-    /// Where other processes reach the agent.
+    /// Address at which the agent listens for other processes.
     pub peer: SocketAddr,
-    /// Where metrics, liveness and readiness are served.
+    /// Address at which metrics, liveness and readiness are served.
     pub admin: SocketAddr,
-    /// The platform.
+    /// URL of the platform.
     pub platform: String,
-    /// The backend server.
+    /// Backend server.
     pub backend: BackendSettings,
     /// All entries.
     pub entries: Vec<EntryPeer>,
-    /// Keys of the connections between processes.
+    /// Certificates and keys of the connections between processes.
     pub tls: TlsConfig,
-    /// Keys of records.
+    /// Public keys that verify records.
     pub record_keys: RecordKeys,
     /// Times of the lease protocol.
     #[serde(default)]
     pub lease: LeaseConfig,
-    /// Times and bounds of the request ledger.
+    /// Times and limits of the request ledger.
     #[serde(default)]
     pub ledger: LedgerConfig,
-    /// Times of the feed.
+    /// Times and fan-out of the feed.
     #[serde(default)]
     pub feed: FeedConfig,
-    /// Logs.
+    /// Logging.
     #[serde(default)]
     pub log: LogConfig,
-    /// How long a stop waits for work in progress, in milliseconds.
+    /// Maximum time that a stop waits for the host to drain, in milliseconds.
     #[serde(default = "two_minutes")]
     pub drain_ms: u64,
 }
@@ -79,13 +79,13 @@
 impl Check for Settings {
     fn check(&self) -> Result<(), String> {
         if self.entries.is_empty() {
-            return Err("entries: names no entry".into());
+            return Err("entries: must list at least one entry".into());
         }
         if !self.backend.url.starts_with("http://") {
-            return Err("backend.url: starts with http://".into());
+            return Err("backend.url: must start with http://".into());
         }
         if !self.platform.starts_with("http://") {
-            return Err("platform: starts with http://".into());
+            return Err("platform: must start with http://".into());
         }
         self.lease.check()?;
         self.ledger.check()?;
