--- a/crates/oliveworks-agent/src/backend.rs
+++ b/crates/oliveworks-agent/src/backend.rs
@@ -11,9 +11,9 @@
 /// Time between two health checks, in milliseconds.
 const HEALTH_MS: u32 = 300;
 /// Number of consecutive failed health checks after which the server counts as unhealthy.
-const FAILURES: u32 = 2;
+const UNHEALTHY_FAILURES: u32 = 2;
 /// Number of recent cache events kept for entries.
-const EVENTS_KEPT: usize = 256;
+const CACHE_EVENTS_MAX: usize = 256;
 
 impl Process {
     /// Sends an order to the backend server in the background, and records the result.
@@ -24,14 +24,14 @@
                 log::warn!("The backend server failed to carry out the order {order:?}: {e:#}.");
             }
             let now = self.clock.now();
-            self.decide(|agent| agent.order_done(now, number, done.is_ok()));
+            self.apply(|agent| agent.order_done(now, number, done.is_ok()));
         });
     }
 }
 
 /// Waits for the first answer of the backend server and records the highest fence that the server
 /// has seen.
-pub async fn first_word(process: &Arc<Process>) {
+pub async fn wait_for_backend(process: &Arc<Process>) {
     loop {
         match process.engine.health().await {
             Ok(health) => {
@@ -57,11 +57,11 @@
                 failures = 0;
                 if instance.is_some_and(|i| i != health.instance) {
                     // The server was restarted and has lost its state.
-                    process.decide(|agent| agent.engine_health(false));
+                    process.apply(|agent| agent.engine_health(false));
                     process.timeline.note(Event::new("agent", "backend_restarted"));
                 }
                 instance = Some(health.instance);
-                process.decide(|agent| agent.engine_health(true));
+                process.apply(|agent| agent.engine_health(true));
                 let mut backend = lock(&process.backend);
                 backend.load = health.load;
                 backend.weights = health.weights;
@@ -69,8 +69,8 @@
             Err(e) => {
                 failures += 1;
                 log::debug!("The backend server's health check failed: {e:#}.");
-                if failures >= FAILURES {
-                    process.decide(|agent| agent.engine_health(false));
+                if failures >= UNHEALTHY_FAILURES {
+                    process.apply(|agent| agent.engine_health(false));
                 }
             }
         }
@@ -91,7 +91,7 @@
         let number = backend.next_event;
         backend.next_event += 1;
         backend.events.push_back((number, stored, block));
-        if backend.events.len() > EVENTS_KEPT {
+        if backend.events.len() > CACHE_EVENTS_MAX {
             backend.events.pop_front();
         }
     }
--- a/crates/oliveworks-agent/src/peers.rs
+++ b/crates/oliveworks-agent/src/peers.rs
@@ -16,14 +16,14 @@
 /// Serves every connection until the endpoint is closed.
 pub async fn serve(process: Arc<Process>, mut connections: Connections) {
     while let Some((name, connection)) = connections.recv().await {
-        ntex::rt::spawn(datagrams(process.clone(), name.clone(), connection.clone()));
-        ntex::rt::spawn(streams(process.clone(), name, connection));
+        ntex::rt::spawn(serve_datagrams(process.clone(), name.clone(), connection.clone()));
+        ntex::rt::spawn(serve_streams(process.clone(), name, connection));
     }
 }
 
 /// Receives lease messages. A message whose sender differs from the peer of the connection is
 /// dropped.
-async fn datagrams(process: Arc<Process>, name: String, connection: Connection) {
+async fn serve_datagrams(process: Arc<Process>, name: String, connection: Connection) {
     let host: Option<HostId> = name.parse().ok();
     while let Ok(datagram) = process.net.read_datagram(&connection).await {
         let Some(Datagram::Lease(from, msg)) = datagram else { continue };
@@ -32,11 +32,11 @@
             continue;
         }
         let now = process.clock.now();
-        process.decide(|agent| agent.receive(now, from, msg));
+        process.apply(|agent| agent.receive(now, from, msg));
     }
 }
 
-async fn streams(process: Arc<Process>, name: String, connection: Connection) {
+async fn serve_streams(process: Arc<Process>, name: String, connection: Connection) {
     while let Ok((send, recv)) = connection.accept_bi().await {
         let (process, name) = (process.clone(), name.clone());
         ntex::rt::spawn(async move {
@@ -79,15 +79,15 @@
 
 /// Maximum number of cache events in one answer. An entry knows the blocks that its own traffic
 /// stores. More events would exceed the traffic allowed for control messages.
-const EVENTS_TOLD: usize = 32;
+const HELLO_EVENTS_MAX: usize = 32;
 
 fn hello(process: &Process, events_from: u64) -> Hello {
     let now = process.clock.now();
     let leader = process.leader();
     let backend = lock(&process.backend).clone();
     let events = backend.events.iter().filter(|(number, ..)| *number >= events_from);
-    let latest: Vec<_> = events.rev().take(EVENTS_TOLD).collect();
-    let of = |kind: bool| {
+    let latest: Vec<_> = events.rev().take(HELLO_EVENTS_MAX).collect();
+    let blocks_of = |kind: bool| {
         let wanted = latest.iter().rev().filter(|(_, stored, _)| *stored == kind);
         wanted.map(|(.., block)| *block).collect()
     };
@@ -97,8 +97,8 @@
         serving: agent.is_serving(now).then(|| agent.led_view().map(|(e, _)| e)).flatten(),
         leader,
         load: load(agent, &backend),
-        stored: of(true),
-        evicted: of(false),
+        stored: blocks_of(true),
+        evicted: blocks_of(false),
         next_event: backend.next_event,
         next: process.store.next(),
     })
--- a/crates/oliveworks-agent/src/process.rs
+++ b/crates/oliveworks-agent/src/process.rs
@@ -32,7 +32,7 @@
 /// Time after which an unchanged report is sent again, in milliseconds.
 const REPORT_MS: u64 = 30_000;
 /// Number of entries, by rank, that may decide and therefore receive reports.
-const DECIDERS: usize = 3;
+const REPORT_RECEIVERS: usize = 3;
 
 /// Latest state that the backend server reported.
 #[derive(Clone, Debug, Default)]
@@ -67,7 +67,7 @@
     /// Latest state that the backend server reported.
     pub backend: Arc<Mutex<BackendState>>,
     agent: Arc<Mutex<Agent>>,
-    cuts: watch::Sender<u64>,
+    cancellations: watch::Sender<u64>,
 }
 
 /// Locks a mutex, even if a thread panicked while it held the lock. The decisions leave no partly
@@ -95,31 +95,31 @@
     }
 
     /// Returns the current time and configuration age for the ledger.
-    pub fn moment(&self) -> Now {
+    pub fn ledger_now(&self) -> Now {
         let mono = self.clock.now();
         let age = self.store.age_ms(mono).unwrap_or(u64::MAX);
         Now { mono, wall_ms: wall_ms(), config_age_ms: age }
     }
 
     /// Applies `change` to the agent's decisions and carries out the resulting commands.
-    pub fn decide(self: &Arc<Process>, change: impl FnOnce(&mut Agent) -> Vec<Command>) {
+    pub fn apply(self: &Arc<Process>, change: impl FnOnce(&mut Agent) -> Vec<Command>) {
         let commands = change(&mut lock(&self.agent));
         for command in commands {
-            self.obey(command);
+            self.execute(command);
         }
     }
 
     /// Reads the agent's decisions, or changes them in a way that results in no commands.
-    pub fn with_agent<T>(&self, look: impl FnOnce(&mut Agent) -> T) -> T {
-        look(&mut lock(&self.agent))
+    pub fn with_agent<T>(&self, access: impl FnOnce(&mut Agent) -> T) -> T {
+        access(&mut lock(&self.agent))
     }
 
     /// Returns a receiver that is notified when all running requests must end.
-    pub fn cuts(&self) -> watch::Receiver<u64> {
-        self.cuts.subscribe()
+    pub fn cancellations(&self) -> watch::Receiver<u64> {
+        self.cancellations.subscribe()
     }
 
-    fn obey(self: &Arc<Process>, command: Command) {
+    fn execute(self: &Arc<Process>, command: Command) {
         match command {
             Command::Send(host, msg) => {
                 if let Some((name, at)) = self.peer(host) {
@@ -128,12 +128,12 @@
                 }
             }
             Command::Order(number, order) => self.clone().order(number, order),
-            Command::CutRequests => self.cuts.send_modify(|n| *n += 1),
-            Command::Note(kind, text) => self.note(kind, text),
+            Command::CutRequests => self.cancellations.send_modify(|n| *n += 1),
+            Command::Note(kind, text) => self.record_event(kind, text),
         }
     }
 
-    fn note(&self, kind: &str, text: String) {
+    fn record_event(&self, kind: &str, text: String) {
         let group = self.with_agent(|a| a.assigned().map(|a| a.epoch));
         let mut event = Event::new("agent", kind).host(self.settings.host).text(text);
         if let Some(group) = group {
@@ -149,7 +149,7 @@
         let host = self.settings.host;
         let assigned = self.store.with_pool(|pool| Assigned::of(pool, host));
         let now = self.clock.now();
-        self.decide(|agent| agent.assign(now, assigned, proved));
+        self.apply(|agent| agent.assign(now, assigned, proved));
     }
 }
 
@@ -192,13 +192,13 @@
         timeline,
         backend: Arc::default(),
         agent: Arc::new(Mutex::new(agent)),
-        cuts: watch::channel(0).0,
+        cancellations: watch::channel(0).0,
         settings,
     });
     process.timeline.note(Event::new("agent", "started").host(process.settings.host));
     let server = crate::admin::serve(&process)?;
     process.start(connections).await;
-    crate::backend::first_word(&process).await;
+    crate::backend::wait_for_backend(&process).await;
     ntex::rt::spawn(crate::backend::watch(process.clone()));
     ntex::rt::spawn(tick(process.clone()));
     ntex::rt::spawn(report(process.clone()));
@@ -233,7 +233,7 @@
     async fn stop(self: &Arc<Process>) {
         log::info!("Stop requested; draining the host.");
         self.timeline.note(Event::new("agent", "stopping").host(self.settings.host));
-        self.decide(|agent| agent.leave());
+        self.apply(|agent| agent.leave());
         let until = self.clock.now().plus(self.settings.drain_ms);
         while self.clock.now() < until {
             let member = self.store.with_pool(|p| p.group_of(self.settings.host).is_some());
@@ -249,8 +249,8 @@
 
 async fn tick(process: Arc<Process>) {
     loop {
-        let now = process.moment();
-        process.decide(|agent| {
+        let now = process.ledger_now();
+        process.apply(|agent| {
             let commands = agent.tick(now.mono);
             agent.tick_home(now);
             commands
@@ -262,29 +262,30 @@
 /// Sends reports of this host's group to the deciders: soon after every change, and at regular
 /// intervals.
 async fn report(process: Arc<Process>) {
-    let mut told: Option<(GroupReport, u64)> = None;
+    let mut last_sent: Option<(GroupReport, u64)> = None;
     let deciders = rank_entries("decider", process.settings.entries.iter().map(|e| e.entry));
-    let deciders: Vec<_> = deciders.into_iter().take(DECIDERS).collect();
+    let deciders: Vec<_> = deciders.into_iter().take(REPORT_RECEIVERS).collect();
     loop {
         sleep(Wait(TICK_MS * 2)).await;
         let now = process.clock.now();
         let Some(report) = process.with_agent(|a| a.report(now)) else {
-            told = None;
+            last_sent = None;
             continue;
         };
-        let fresh = told.as_ref().is_none_or(|(old, at)| *old != report || now.0 >= at + REPORT_MS);
-        if !fresh {
+        let is_due =
+            last_sent.as_ref().is_none_or(|(old, at)| *old != report || now.0 >= at + REPORT_MS);
+        if !is_due {
             continue;
         }
-        told = Some((report.clone(), now.0));
+        last_sent = Some((report.clone(), now.0));
         for entry in process.settings.entries.iter().filter(|e| deciders.contains(&e.entry)) {
             let (process, entry) = (process.clone(), entry.clone());
             let question = Question::Report(report.clone());
             ntex::rt::spawn(async move {
-                let within = Duration::from_secs(2);
+                let timeout = Duration::from_secs(2);
                 let name = entry.entry.to_string();
                 // A decider that was not reached receives the next report.
-                let _ = process.net.ask(&name, entry.peer, &question, within).await;
+                let _ = process.net.ask(&name, entry.peer, &question, timeout).await;
             });
         }
     }
--- a/crates/oliveworks-agent/src/run.rs
+++ b/crates/oliveworks-agent/src/run.rs
@@ -17,35 +17,35 @@
 use crate::process::{Process, lock};
 
 /// Interval of keep-alive frames to the entry while the request runs and nothing else is sent.
-const ALIVE: Duration = Duration::from_millis(500);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(500);
 /// Maximum size of an answer that is kept for a repeated key, in bytes.
-const KEPT_MAX: usize = 64 << 10;
+const KEPT_ANSWER_MAX: usize = 64 << 10;
 
 /// Reason why a request ended without a complete answer.
-enum Stop {
+enum RunError {
     /// The entry or its caller disconnected.
-    Left,
+    Disconnected,
     /// The request failed. The refusal is sent to the entry.
     Refused(Refusal),
 }
 
-impl From<anyhow::Error> for Stop {
-    fn from(error: anyhow::Error) -> Stop {
+impl From<anyhow::Error> for RunError {
+    fn from(error: anyhow::Error) -> RunError {
         if let Some(status) = error.downcast_ref::<EngineStatus>()
             && (400..500).contains(&status.status)
             && status.status != 409
         {
             let refusal = Refusal::new(ErrorKind::BadRequest, Ran::No, status.body.clone());
-            return Stop::Refused(refusal);
+            return RunError::Refused(refusal);
         }
         let why = format!("{error:#}");
-        Stop::Refused(Refusal::new(ErrorKind::BackendFailed, Ran::Unknown, why))
+        RunError::Refused(Refusal::new(ErrorKind::BackendFailed, Ran::Unknown, why))
     }
 }
 
-fn group_ended() -> Stop {
+fn group_ended() -> RunError {
     let why = "the replica group ended while the request ran";
-    Stop::Refused(Refusal::new(ErrorKind::ContactLost, Ran::Unknown, why))
+    RunError::Refused(Refusal::new(ErrorKind::ContactLost, Ran::Unknown, why))
 }
 
 /// Request in progress.
@@ -53,7 +53,7 @@
     process: &'a Arc<Process>,
     run: &'a Run,
     permit: RunPermit,
-    cuts: watch::Receiver<u64>,
+    cancellations: watch::Receiver<u64>,
     writer: Writer,
     kept: Option<Kept>,
     pieces: u64,
@@ -66,8 +66,8 @@
     mut writer: Writer,
     reader: Reader,
 ) -> anyhow::Result<()> {
-    let now = process.moment();
-    let cuts = process.cuts();
+    let now = process.ledger_now();
+    let cancellations = process.cancellations();
     let (begin, permit) = process.with_agent(|agent| agent.gate(now, run.epoch, &run.handed));
     let permit = match (begin, permit) {
         (Begin::Run, Some(permit)) => permit,
@@ -84,8 +84,9 @@
         }
         (Begin::Run, None) => anyhow::bail!("the gate admitted a request without a permit"),
     };
-    note(process, &run, "began");
-    let mut job = Job { process, run: &run, permit, cuts, writer, kept: None, pieces: run.from };
+    record_event(process, &run, "began");
+    let mut job =
+        Job { process, run: &run, permit, cancellations, writer, kept: None, pieces: run.from };
     let outcome = match &run.call {
         Call::Completion { chat, body } => job.complete(*chat, body).await,
         Call::Service { method, path, headers, has_body } => {
@@ -97,10 +98,10 @@
     let kept = job.kept.take().filter(|_| outcome.is_ok());
     process.with_agent(|agent| agent.finish(now, &run.handed, kept));
     match outcome {
-        Ok(()) => note(process, &run, "ended"),
-        Err(Stop::Left) => note(process, &run, "cancelled"),
-        Err(Stop::Refused(refusal)) => {
-            note(process, &run, "failed");
+        Ok(()) => record_event(process, &run, "ended"),
+        Err(RunError::Disconnected) => record_event(process, &run, "cancelled"),
+        Err(RunError::Refused(refusal)) => {
+            record_event(process, &run, "failed");
             let reply = Reply::Refused { id: run.id, refusal, leader: None };
             job.writer.send(&reply).await?;
         }
@@ -109,7 +110,7 @@
     Ok(())
 }
 
-fn note(process: &Process, run: &Run, kind: &str) {
+fn record_event(process: &Process, run: &Run, kind: &str) {
     let event = Event::new("gate", kind)
         .request(run.id.request)
         .group(run.epoch)
@@ -120,30 +121,30 @@
 impl Job<'_> {
     /// Waits for a result of the backend server. Returns an error if the request has to end
     /// earlier: the group ended, the entry disconnected or the deadline passed.
-    async fn wait<T>(&mut self, what: impl Future<Output = T>) -> Result<T, Stop> {
-        tokio::pin!(what);
+    async fn wait<T>(&mut self, result: impl Future<Output = T>) -> Result<T, RunError> {
+        tokio::pin!(result);
         let deadline = Duration::from_millis(u64::from(self.run.left_ms));
         let deadline = tokio::time::sleep(deadline);
         tokio::pin!(deadline);
         loop {
             tokio::select! {
-                done = &mut what => return Ok(done),
-                _ = self.cuts.changed() => return Err(group_ended()),
-                () = self.writer.stopped() => return Err(Stop::Left),
+                done = &mut result => return Ok(done),
+                _ = self.cancellations.changed() => return Err(group_ended()),
+                () = self.writer.stopped() => return Err(RunError::Disconnected),
                 () = &mut deadline => {
                     let why = "the deadline passed while it ran";
                     let refusal = Refusal::new(ErrorKind::DeadlineExceeded, Ran::Unknown, why);
-                    return Err(Stop::Refused(refusal));
+                    return Err(RunError::Refused(refusal));
                 }
-                () = tokio::time::sleep(ALIVE) => {
-                    self.writer.send(&Reply::Alive).await.map_err(|_| Stop::Left)?;
+                () = tokio::time::sleep(KEEP_ALIVE_INTERVAL) => {
+                    self.writer.send(&Reply::Alive).await.map_err(|_| RunError::Disconnected)?;
                 }
             }
         }
     }
 
     /// Second gate: output of the backend server may be returned only while the group is complete.
-    fn check_pass(&self) -> Result<(), Stop> {
+    fn check_may_pass(&self) -> Result<(), RunError> {
         let now = self.process.clock.now();
         match self.process.with_agent(|agent| agent.may_pass(now, &self.permit)) {
             true => Ok(()),
@@ -151,25 +152,25 @@
         }
     }
 
-    async fn send(&mut self, reply: &Reply) -> Result<(), Stop> {
-        self.check_pass()?;
-        self.writer.send(reply).await.map_err(|_| Stop::Left)
+    async fn send(&mut self, reply: &Reply) -> Result<(), RunError> {
+        self.check_may_pass()?;
+        self.writer.send(reply).await.map_err(|_| RunError::Disconnected)
     }
 
-    async fn piece(&mut self, data: Vec<u8>) -> Result<(), Stop> {
+    async fn piece(&mut self, data: Vec<u8>) -> Result<(), RunError> {
         let reply = Reply::Piece { id: self.run.id, number: self.pieces, data };
         self.pieces += 1;
         self.send(&reply).await
     }
 
-    async fn end(&mut self, finish_reason: String, usage: Usage) -> Result<(), Stop> {
+    async fn end(&mut self, finish_reason: String, usage: Usage) -> Result<(), RunError> {
         let backend = lock(&self.process.backend).clone();
         let load = self.process.with_agent(|agent| crate::peers::load(agent, &backend));
         let reply = Reply::End { id: self.run.id, pieces: self.pieces, finish_reason, usage, load };
         self.send(&reply).await
     }
 
-    async fn complete(&mut self, chat: bool, body: &[u8]) -> Result<(), Stop> {
+    async fn complete(&mut self, chat: bool, body: &[u8]) -> Result<(), RunError> {
         let process = self.process.clone();
         let completion = Completion {
             request: self.run.id.request.to_string(),
@@ -207,7 +208,7 @@
         headers: &[(String, Vec<u8>)],
         has_body: bool,
         reader: Reader,
-    ) -> Result<(), Stop> {
+    ) -> Result<(), RunError> {
         let process = self.process.clone();
         let call = ServiceCall {
             request: self.run.id.request.to_string(),
@@ -239,7 +240,7 @@
             if let Some(answer) = &mut kept {
                 answer.body.extend_from_slice(&chunk);
             }
-            kept = kept.filter(|k| k.body.len() <= KEPT_MAX);
+            kept = kept.filter(|k| k.body.len() <= KEPT_ANSWER_MAX);
             self.piece(chunk.to_vec()).await?;
         }
         self.kept = kept;
