--- a/crates/oliveworks-feed/src/lib.rs
+++ b/crates/oliveworks-feed/src/lib.rs
@@ -1,8 +1,9 @@
-//! Keeps a process's pool current, from the platform's log or from other processes.
+//! Replication of the configuration records to a process, from the platform's log or from other
+//! processes.
 //!
-//! A [`Store`] holds the pool and the latest signed records. [`follow`] keeps it current for as long
-//! as the process runs; [`Store::answer`] passes records on to others. Signatures are checked by
-//! every process, so a record that an entry invents is worth nothing.
+//! A [`Store`] holds the pool and the latest signed records. [`follow`] keeps the store current for
+//! as long as the process runs, and [`Store::answer`] passes records on to other processes. Every
+//! process checks the signatures of records, so an entry cannot forge a record.
 //!
 //! ```
 //! use oliveworks_core::feed::{FeedConfig, Source};
@@ -17,8 +18,9 @@
 //! assert_eq!(store.next(), Offset(0));
 //! ```
 //!
-//! Memory: the pool, and at most [`TAIL`] records. Untrusted input: records and snapshots are
-//! verified; a badly signed record is passed over alike by all processes that have the same keys.
+//! Memory use is bounded by the pool, [`TAIL`] records and 1,024 outcomes of records. Records and
+//! snapshots are untrusted input and are verified. All processes with the same keys skip the same
+//! records with invalid signatures.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -38,17 +40,18 @@
 use oliveworks_runtime::clock::Clock;
 use tokio::sync::watch;
 
-/// Records kept to pass on.
+/// Number of recent records kept for other processes.
 pub const TAIL: usize = 512;
-/// Records read from the log at once.
+/// Maximum number of records in one read of the log.
 const PAGE: usize = 256;
-/// After an error, before the next question, in milliseconds.
+/// Backoff after an error, in milliseconds.
 const PAUSE_MS: u32 = 200;
-/// Time for the answer beyond the time that it may be held back.
+/// Time allowed for an answer in addition to the time that the answer may be held back, in
+/// milliseconds.
 const ANSWER_MARGIN_MS: u64 = 1_000;
-/// The longest that an answer is held back, in milliseconds.
+/// Maximum time that an answer is held back, in milliseconds.
 const HOLD_MAX_MS: u32 = 10_000;
-/// Outcomes of records that are kept for publishers who ask.
+/// Number of recent outcomes of records kept for queries by publishers.
 const OUTCOMES: usize = 1024;
 
 struct Inner {
@@ -58,7 +61,7 @@
     outcomes: VecDeque<(Offset, Result<(), Ignored>)>,
 }
 
-/// A process's configuration.
+/// Configuration of a process.
 pub struct Store {
     inner: Mutex<Inner>,
     keys: KeyRing,
@@ -66,26 +69,26 @@
     changed: watch::Sender<Offset>,
 }
 
-/// What happened to records that were read.
+/// Result of applying an answer with records.
 #[derive(Debug, Default)]
 pub struct Applied {
-    /// Records with their offsets, applied or ignored.
+    /// Records with their offsets, whether applied to the pool or ignored by it.
     pub records: Vec<(Offset, Record)>,
-    /// A snapshot was adopted.
+    /// Whether a snapshot was adopted.
     pub snapshot: bool,
-    /// What was held before had been proved to be the latest at some time.
+    /// Whether the configuration held before had been proved to be the latest at some time.
     pub proved: bool,
 }
 
 impl Applied {
-    /// Whether the pool changed.
+    /// Returns whether a snapshot was adopted or records were read.
     pub fn any(&self) -> bool {
         self.snapshot || !self.records.is_empty()
     }
 }
 
 impl Store {
-    /// A store that knows nothing. `nonce` is drawn at random.
+    /// Returns an empty store. `nonce` is a random number.
     pub fn new(
         now: Millis,
         nonce: u64,
@@ -108,44 +111,44 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Looks at the pool.
+    /// Calls a function with the pool, which is locked meanwhile.
     pub fn with_pool<T>(&self, look: impl FnOnce(&Pool) -> T) -> T {
         look(&self.lock().pool)
     }
 
-    /// The next offset of the pool.
+    /// Returns the next offset of the pool.
     pub fn next(&self) -> Offset {
         self.lock().pool.next()
     }
 
-    /// How long ago the pool was proved to be the latest, in milliseconds.
+    /// Returns the time since the pool was last proved to be the latest, in milliseconds.
     pub fn age_ms(&self, now: Millis) -> Option<u64> {
         self.lock().feed.age_ms(now)
     }
 
-    /// Where records come from now.
+    /// Returns the current source of records.
     pub fn source(&self) -> Source {
         self.lock().feed.source()
     }
 
-    /// Tells of changes of the next offset.
+    /// Returns a receiver that is notified when the next offset changes.
     pub fn changes(&self) -> watch::Receiver<Offset> {
         self.changed.subscribe()
     }
 
-    /// What became of the record at an offset, if that is still known.
+    /// Returns the outcome of the record at an offset, if the outcome is still kept.
     pub fn outcome(&self, offset: Offset) -> Option<Result<(), Ignored>> {
         let inner = self.lock();
         inner.outcomes.iter().find(|(o, _)| *o == offset).map(|(_, r)| r.clone())
     }
 
-    /// Answers another process, as soon as there is something new for it or the time is over.
+    /// Answers another process, as soon as new records exist or the hold time has passed.
     pub async fn answer(&self, question: &FeedQuestion, clock: Clock) -> FeedAnswer {
         let mut changes = self.changes();
         if self.next() <= question.from {
             let hold = Duration::from_millis(u64::from(question.hold_ms.min(HOLD_MAX_MS)));
             let newer = changes.wait_for(|next| *next > question.from);
-            // The time being over is as good a reason to answer.
+            // After a time-out, the answer reports that nothing is new.
             let _ = tokio::time::timeout(hold, newer).await;
         }
         self.answer_now(question, clock.now())
@@ -159,8 +162,8 @@
         let wanted = inner.tail.iter().filter(|(o, _)| *o >= question.from);
         FeedAnswer {
             number: question.number,
-            // Unsigned, since no process but the operators' has to be believed: the asker gets it
-            // from a process of the fleet, and compares digests over time.
+            // The snapshot is unsigned: the requester receives the snapshot from an authenticated
+            // process of the fleet. Digests allow the pools of processes to be compared over time.
             snapshot: behind.then(|| Snapshot::of(&inner.pool).to_bytes()),
             records: if behind { Vec::new() } else { wanted.cloned().collect() },
             next,
@@ -168,7 +171,7 @@
         }
     }
 
-    /// Takes an answer in.
+    /// Applies an answer to the store.
     fn take(&self, now: Millis, source: Source, answer: FeedAnswer) -> anyhow::Result<Applied> {
         let mut inner = self.lock();
         let proved = inner.feed.age_ms(now).is_some();
@@ -182,7 +185,7 @@
                 continue;
             }
             if offset > inner.pool.next() {
-                bail!("the answer leaves a gap before {offset}");
+                bail!("the answer has a gap before record {offset}");
             }
             inner.apply(offset, text, &self.keys, &mut applied);
         }
@@ -196,7 +199,7 @@
     fn ask(&self, now: Millis) -> (Source, Offset, u64) {
         let mut inner = self.lock();
         if let Some(source) = inner.feed.tick(now) {
-            log::info!("Records now come from {source:?}.");
+            log::info!("The source of records is now {source:?}.");
         }
         let number = inner.feed.ask(now);
         (inner.feed.source(), inner.pool.next(), number)
@@ -204,14 +207,14 @@
 }
 
 impl Inner {
-    /// Adopts a snapshot if it is newer than what is held: configuration never goes back.
+    /// Adopts a snapshot if it is newer than the pool. The configuration never goes back.
     fn adopt(&mut self, snapshot: Snapshot) -> anyhow::Result<bool> {
         if snapshot.pool.next() <= self.pool.next() {
             return Ok(false);
         }
         let pool = snapshot.into_verified_pool().map_err(anyhow::Error::msg)?;
         if pool.partners() != self.pool.partners() {
-            bail!("the snapshot is of other partners than the settings name");
+            bail!("the partners in the snapshot differ from those in the settings");
         }
         self.pool = pool;
         self.tail.clear();
@@ -221,14 +224,14 @@
     fn apply(&mut self, offset: Offset, text: String, keys: &KeyRing, applied: &mut Applied) {
         match keys.open(&text) {
             Err(e) => {
-                log::warn!("Record {offset} is passed over: {e:#}.");
+                log::warn!("Skipped record {offset}, which cannot be verified: {e:#}.");
                 self.pool.skip(offset);
                 self.keep_outcome(offset, Err(Ignored::NoRight));
             }
             Ok(record) => {
                 let outcome = self.pool.apply(offset, &record);
                 if let Err(why) = &outcome {
-                    log::debug!("Record {offset} ({}) is ignored: {why}.", record.body.kind());
+                    log::debug!("Ignored record {offset} of kind {}: {why}.", record.body.kind());
                 }
                 self.keep_outcome(offset, outcome);
                 applied.records.push((offset, record));
@@ -248,19 +251,19 @@
     }
 }
 
-/// What [`follow`] needs to reach others.
+/// Connections and addresses that [`follow`] uses to reach its sources.
 pub struct Links {
-    /// The endpoint.
+    /// Network endpoint.
     pub net: Arc<Net>,
-    /// The platform.
+    /// Client of the platform.
     pub platform: Platform,
-    /// Where entries are reached.
+    /// Addresses of the entries.
     pub entries: BTreeMap<EntryId, SocketAddr>,
-    /// This process's clock.
+    /// Clock of this process.
     pub clock: Clock,
 }
 
-/// Keeps the store current. `applied` hears of every change. Never returns.
+/// Keeps the store current and calls `applied` after every change. Never returns.
 pub async fn follow(store: Arc<Store>, links: Links, mut applied: impl FnMut(&Applied)) {
     let best = store.source();
     loop {
@@ -275,12 +278,12 @@
             Ok(changes) if changes.any() => applied(&changes),
             Ok(_) => {}
             Err(e) => {
-                log::debug!("No records from {source:?}: {e:#}.");
+                log::debug!("Reading records from {source:?} failed: {e:#}.");
                 sleep(Wait(PAUSE_MS)).await;
             }
         }
         if source == Source::Log && best != Source::Log {
-            // Only the first reader of a region may read the log at its own pace.
+            // Only the first reader of a region may read the log without a pause between reads.
             let spent = links.clock.now().since(asked);
             sleep(Wait(store.config.own_read_ms.saturating_sub(spent) as u32)).await;
         }
@@ -294,13 +297,13 @@
     from: Offset,
     number: u64,
 ) -> anyhow::Result<FeedAnswer> {
-    let at = *links.entries.get(&entry).context("an entry without an address")?;
+    let at = *links.entries.get(&entry).context("the entry has no address")?;
     let hold_ms = store.config.beat_ms as u32;
     let question = Question::Feed(FeedQuestion { from, number, hold_ms });
     let within = Duration::from_millis(store.config.beat_ms + ANSWER_MARGIN_MS);
     match links.net.ask(&entry.to_string(), at, &question, within).await? {
         Reply::Feed(answer) => Ok(answer),
-        other => bail!("{entry} answered with {}", other.kind()),
+        other => bail!("{entry} answered with a message of kind {}", other.kind()),
     }
 }
 
@@ -322,7 +325,7 @@
         Read::Expired(start) => {
             let snapshot = read_snapshot(&store.keys, platform).await?;
             if snapshot.pool.next() < start {
-                bail!("the log starts at {start}, after the latest snapshot");
+                bail!("the log starts at record {start}, after the end of the latest snapshot");
             }
             let next = snapshot.pool.next();
             Ok(FeedAnswer {
@@ -337,19 +340,20 @@
 }
 
 async fn read_snapshot(keys: &KeyRing, platform: &Platform) -> anyhow::Result<Snapshot> {
-    let record = platform.last(SNAPSHOTS).await?.context("there is no snapshot")?;
+    let record = platform.last(SNAPSHOTS).await?.context("the log has no snapshot")?;
     let bytes = oliveworks_platform::sign::from_hex(&record.data)?;
     keys.open_snapshot(&bytes)
 }
 
-/// Records between two snapshots.
+/// Number of records between two snapshots.
 pub const SNAPSHOT_EVERY: u64 = 128;
 
-/// Writes a snapshot if one is due. `rank`: the first in rank writes first, the next only if that
-/// one does not. `last` is the offset of the last snapshot known.
+/// Writes a snapshot if one is due. The process with `rank` 0 writes first; a process of higher
+/// rank writes only if the processes before it have not. `last` is the offset of the latest known
+/// snapshot.
 ///
 /// # Errors
-/// If the log does not answer.
+/// Returns an error if the log does not answer or a snapshot cannot be decoded or signed.
 pub async fn keep_snapshot(
     store: &Store,
     platform: &Platform,
@@ -373,6 +377,6 @@
     let text = oliveworks_platform::sign::to_hex(&key.sign_snapshot(&snapshot)?);
     platform.append(SNAPSHOTS, &text).await?;
     *last = snapshot.pool.next();
-    log::info!("A snapshot up to record {last} is kept.");
+    log::info!("Wrote a snapshot of the records before {last}.");
     Ok(())
 }
