--- a/crates/oliveworks-net/src/frame.rs
+++ b/crates/oliveworks-net/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames on a stream: a length and a message in a compact binary form.
+//! Frames on a stream. A frame is a length followed by a message in the postcard format.
 
 use std::sync::Arc;
 
@@ -13,16 +13,17 @@
 
 use crate::wire::{Question, Reply};
 
-/// The largest frame, in bytes. Snapshots of the largest pool fit; a request's body is split.
+/// Maximum size of a frame, in bytes. A snapshot of the largest pool fits into one frame. The body
+/// of a request is split into several frames.
 pub const FRAME_MAX: usize = 8 << 20;
 
 fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder().max_frame_length(FRAME_MAX).new_codec()
 }
 
-/// A message's kind, for metrics.
+/// Kind of a message, used in metrics.
 pub trait Kind {
-    /// The kind.
+    /// Returns the kind of the message.
     fn kind(&self) -> &'static str;
 }
 
@@ -38,14 +39,14 @@
     }
 }
 
-/// The writing side of a stream.
+/// Sending side of a stream.
 pub struct Writer {
     inner: FramedWrite<SendStream, LengthDelimitedCodec>,
     metrics: Arc<Metrics>,
 }
 
 impl Writer {
-    /// Frames a stream.
+    /// Returns a writer of frames to a stream.
     pub fn new(stream: SendStream, metrics: Arc<Metrics>) -> Writer {
         Writer { inner: FramedWrite::new(stream, codec()), metrics }
     }
@@ -53,41 +54,42 @@
     /// Sends a message.
     ///
     /// # Errors
-    /// If the stream or its connection ended.
+    /// Returns an error if the stream or its connection ended.
     pub async fn send<T: Serialize + Kind>(&mut self, message: &T) -> anyhow::Result<()> {
         let bytes = postcard::to_stdvec(message).context("encoding")?;
         self.metrics.message(Direction::Out, message.kind(), bytes.len());
         self.inner.send(Bytes::from(bytes)).await.context("sending")
     }
 
-    /// Says that nothing more comes.
+    /// Signals the end of the stream to the peer.
     pub fn finish(mut self) {
-        // It fails only if the stream was ended before.
+        // This fails only if the stream has already ended.
         let _ = self.inner.get_mut().finish();
     }
 
-    /// Ends when the other side will read no more, or its connection is lost.
+    /// Waits until the peer stops reading or the connection is lost.
     pub async fn stopped(&mut self) {
         let _ = self.inner.get_mut().stopped().await;
     }
 }
 
-/// The reading side of a stream.
+/// Receiving side of a stream.
 pub struct Reader {
     inner: FramedRead<RecvStream, LengthDelimitedCodec>,
     metrics: Arc<Metrics>,
 }
 
 impl Reader {
-    /// Frames a stream.
+    /// Returns a reader of frames from a stream.
     pub fn new(stream: RecvStream, metrics: Arc<Metrics>) -> Reader {
         Reader { inner: FramedRead::new(stream, codec()), metrics }
     }
 
-    /// The next message, `None` after the last.
+    /// Returns the next message, or `None` at the end of the stream.
     ///
     /// # Errors
-    /// If the stream or its connection broke, or the frame holds no such message.
+    /// Returns an error if the stream or its connection failed, or if the frame does not contain a
+    /// message of this type.
     pub async fn next<T: DeserializeOwned + Kind>(&mut self) -> anyhow::Result<Option<T>> {
         let Some(frame) = self.inner.next().await else { return Ok(None) };
         let frame = frame.context("receiving")?;
--- a/crates/oliveworks-net/src/keys.rs
+++ b/crates/oliveworks-net/src/keys.rs
@@ -1,4 +1,4 @@
-//! Keys: the fleet's authority, the certificates of processes, and their reload.
+//! TLS keys: the fleet's certificate authority, the certificates of processes, and the key files.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -15,39 +15,40 @@
 use rustls_pki_types::{CertificateDer, PrivateKeyDer};
 use serde::{Deserialize, Serialize};
 
-/// Where a process finds its keys.
+/// Paths of the key files of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TlsConfig {
-    /// The authority's certificate, in PEM.
+    /// Certificate of the authority, in PEM.
     pub ca: PathBuf,
-    /// This process's certificate, in PEM.
+    /// Certificate of this process, in PEM.
     pub cert: PathBuf,
-    /// This process's private key, in PEM.
+    /// Private key of this process, in PEM.
     pub key: PathBuf,
 }
 
-/// A certificate with its private key, in PEM.
+/// Certificate with its private key, in PEM.
 #[derive(Clone, Debug)]
 pub struct Issued {
-    /// The certificate.
+    /// Certificate.
     pub cert: String,
-    /// The private key.
+    /// Private key.
     pub key: String,
 }
 
-/// The fleet's authority. Its private key belongs with the operators, on no host.
+/// Certificate authority of the fleet. Its private key is kept by the operators and must not be
+/// stored on a host.
 pub struct Authority {
     issuer: Issuer<'static, KeyPair>,
-    /// The authority's certificate and key.
+    /// Certificate and private key of the authority.
     pub issued: Issued,
 }
 
 impl Authority {
-    /// Makes a new authority.
+    /// Generates a new authority.
     ///
     /// # Errors
-    /// If no key can be made.
+    /// Returns an error if no key can be generated.
     pub fn generate() -> anyhow::Result<Authority> {
         let key = KeyPair::generate()?;
         let mut params = CertificateParams::new(Vec::new())?;
@@ -58,20 +59,20 @@
         Ok(Authority { issuer: Issuer::new(params, key), issued })
     }
 
-    /// Reads an authority back.
+    /// Returns the authority with the given certificate and key.
     ///
     /// # Errors
-    /// If the certificate or key cannot be read.
+    /// Returns an error if the certificate or key cannot be read.
     pub fn open(issued: Issued) -> anyhow::Result<Authority> {
         let key = KeyPair::from_pem(&issued.key)?;
         let issuer = Issuer::from_ca_cert_pem(&issued.cert, key)?;
         Ok(Authority { issuer, issued })
     }
 
-    /// Issues a certificate to a process, by its name.
+    /// Issues a certificate for the process with the given name.
     ///
     /// # Errors
-    /// If no key can be made, or the name is none.
+    /// Returns an error if no key can be generated or the name is invalid.
     pub fn issue(&self, process: &str) -> anyhow::Result<Issued> {
         let key = KeyPair::generate()?;
         let mut params = CertificateParams::new(vec![process.to_owned()])?;
@@ -82,22 +83,22 @@
     }
 }
 
-/// The keys of a process as read from its files.
+/// Keys of a process, as read from its files.
 pub struct Loaded {
     ca: Vec<CertificateDer<'static>>,
     chain: Vec<CertificateDer<'static>>,
     key: PrivateKeyDer<'static>,
-    /// The name in the certificate.
+    /// Process name in the certificate.
     pub name: String,
-    /// The files' contents, to see whether they changed.
+    /// Contents of the files, used to detect changes.
     pub contents: [Vec<u8>; 3],
 }
 
 impl TlsConfig {
-    /// Reads the files.
+    /// Reads the key files.
     ///
     /// # Errors
-    /// Names the file that cannot be read or does not hold what it should.
+    /// Returns an error that names the file that cannot be read or has invalid contents.
     pub fn load(&self) -> anyhow::Result<Loaded> {
         let contents = [read(&self.ca)?, read(&self.cert)?, read(&self.key)?];
         let [ca, cert, key] = &contents;
@@ -105,7 +106,7 @@
         let chain = certificates(cert, &self.cert)?;
         let key = PrivateKeyDer::from_pem_slice(key)
             .map_err(|e| anyhow!("{}: no private key: {e}", self.key.display()))?;
-        let first = chain.first().context("an empty chain")?;
+        let first = chain.first().context("the certificate chain is empty")?;
         let name = name_of(first).with_context(|| format!("{}", self.cert.display()))?;
         Ok(Loaded { ca, chain, key, name, contents })
     }
@@ -119,15 +120,15 @@
     let certs: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(pem).collect();
     let certs = certs.map_err(|e| anyhow!("tls: {}: {e}", path.display()))?;
     if certs.is_empty() {
-        return Err(anyhow!("tls: {}: holds no certificate", path.display()));
+        return Err(anyhow!("tls: {}: the file contains no certificate", path.display()));
     }
     Ok(certs)
 }
 
-/// The process that a certificate names.
+/// Returns the process name in a certificate.
 ///
 /// # Errors
-/// If the certificate cannot be read or names none.
+/// Returns an error if the certificate cannot be parsed or contains no process name.
 pub fn name_of(cert: &CertificateDer<'_>) -> anyhow::Result<String> {
     use x509_parser::prelude::{FromDer, GeneralName, X509Certificate};
     let (_, parsed) = X509Certificate::from_der(cert).map_err(|e| anyhow!("certificate: {e}"))?;
@@ -139,11 +140,12 @@
     dns.context("the certificate names no process")
 }
 
-/// The protocol's name in the TLS handshake. Changes with the wire format.
+/// Protocol name in the TLS handshake (ALPN). The name changes with the wire format.
 const PROTOCOL: &[u8] = b"oliveworks/1";
 
 impl Loaded {
-    /// Keys for stateless resets and connection ids that an earlier run of the same process had too.
+    /// Returns the keys for stateless resets and for connection ids. Both are derived from the
+    /// private key, so every run of the same process has the same keys.
     pub(crate) fn restart_keys(&self) -> (Arc<dyn quinn::crypto::HmacKey>, u64) {
         let [_, _, key] = &self.contents;
         let reset = ring::hmac::Key::new(ring::hmac::HMAC_SHA256, key);
@@ -161,10 +163,10 @@
         Ok(Arc::new(roots))
     }
 
-    /// The side that accepts connections.
+    /// Returns the TLS configuration for incoming connections.
     ///
     /// # Errors
-    /// If the key does not fit the certificate.
+    /// Returns an error if the key does not match the certificate.
     pub fn server(&self) -> anyhow::Result<QuicServerConfig> {
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let verifier =
@@ -177,10 +179,10 @@
         Ok(QuicServerConfig::try_from(config)?)
     }
 
-    /// The side that opens connections.
+    /// Returns the TLS configuration for outgoing connections.
     ///
     /// # Errors
-    /// If the key does not fit the certificate.
+    /// Returns an error if the key does not match the certificate.
     pub fn client(&self) -> anyhow::Result<QuicClientConfig> {
         let provider = Arc::new(rustls::crypto::ring::default_provider());
         let mut config = rustls::ClientConfig::builder_with_provider(provider)
--- a/crates/oliveworks-net/src/lib.rs
+++ b/crates/oliveworks-net/src/lib.rs
@@ -1,9 +1,9 @@
 //! Messages between oliveworks processes over QUIC with mutual TLS.
 //!
-//! Lease messages travel as datagrams: a late one is worth nothing. Everything else is a question
-//! on a stream of its own, answered by one or more replies. A process without a key signed by the
-//! fleet's authority gets nothing, and a process is who its certificate says, whatever its messages
-//! claim.
+//! Lease messages are sent as datagrams, because a late lease message is useless. All other
+//! communication consists of questions, each on a stream of its own and answered by one or more
+//! replies. A process without a certificate signed by the fleet's authority cannot connect. A
+//! process is identified by its certificate, regardless of what its messages claim.
 //!
 //! ```
 //! use oliveworks_net::keys::Authority;
@@ -13,9 +13,9 @@
 //! assert!(issued.cert.contains("BEGIN CERTIFICATE"));
 //! ```
 //!
-//! A frame is at most [`frame::FRAME_MAX`] bytes; a larger one ends its stream. What a peer sends
-//! is decoded without trust, but a peer with a valid key can still waste time and memory within
-//! the bounds of its streams.
+//! A frame has at most [`frame::FRAME_MAX`] bytes. A larger frame ends its stream. Data from peers
+//! is decoded as untrusted input, but a peer with a valid key can still use up time and memory
+//! within the limits of its streams.
 
 pub mod frame;
 pub mod keys;
--- a/crates/oliveworks-net/src/net.rs
+++ b/crates/oliveworks-net/src/net.rs
@@ -1,4 +1,4 @@
-//! Connections to other processes.
+//! Network endpoint of a process and its connections to other processes.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -20,19 +20,21 @@
 use crate::keys::{Loaded, TlsConfig, name_of};
 use crate::wire::{Datagram, Question, Reply};
 
-/// A connection without a word for this long is lost, in milliseconds.
+/// Time without traffic after which a connection is closed, in milliseconds.
 const IDLE_MS: u32 = 15_000;
-/// A process that does not answer for this long is not reached.
+/// Timeout of opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Between two looks at the key files.
+/// Time between two checks of the key files for changes.
 const KEYS_LOOK: Duration = Duration::from_secs(5);
-/// Streams that a peer may have open at once; more wait. The transport sets room aside for all of
-/// them when a connection opens: 4,096 cost 0.7 MB a connection.
+/// Maximum number of concurrent streams that a peer may open. Further streams wait. The transport
+/// allocates memory for all streams when a connection opens: 4,096 streams cost 0.7 MB per
+/// connection.
 const STREAMS_MAX: u32 = 512;
-/// What one stream may have in flight unread: bounds the memory of a slow caller.
+/// Maximum amount of unread data in flight on one stream, in bytes. Limits the memory that a slow
+/// caller uses.
 const STREAM_WINDOW: u32 = 64 << 10;
 
-/// A process's endpoint.
+/// Network endpoint of a process.
 pub struct Net {
     endpoint: Endpoint,
     client: RwLock<ClientConfig>,
@@ -56,32 +58,33 @@
         .stream_receive_window(STREAM_WINDOW.into())
         .datagram_receive_buffer_size(Some(64 << 10))
         .datagram_send_buffer_size(64 << 10)
-        // Probing for larger packets costs bytes on connections that carry little.
+        // Probes for larger packets would cost traffic on connections with little load.
         .mtu_discovery_config(None);
     Arc::new(config)
 }
 
-/// Opens the socket. The key of stateless resets comes from the process's private key, so that a
-/// process that restarted resets the connections of its earlier run; else their peers would send
-/// into the void until the connections are idle for too long.
+/// Opens the socket. The key for stateless resets is derived from the private key of the process,
+/// so that a restarted process resets the connections of its earlier run. Otherwise the peers would
+/// send to those connections without effect until the idle timeout.
 fn bind(at: SocketAddr, server: ServerConfig, loaded: &Loaded) -> anyhow::Result<Endpoint> {
     let (reset_key, id_key) = loaded.restart_keys();
     let mut config = EndpointConfig::new(reset_key);
-    // Packets for connection ids that do not come from this key are dropped without a reset.
+    // Packets whose connection ids were not generated with this key are dropped without a reset.
     config.cid_generator(move || Box::new(HashedConnectionIdGenerator::from_key(id_key)));
     let socket = std::net::UdpSocket::bind(at)?;
-    let runtime = quinn::default_runtime().context("no runtime")?;
+    let runtime = quinn::default_runtime().context("no async runtime is available")?;
     Ok(Endpoint::new(config, Some(server), socket, runtime)?)
 }
 
 impl Net {
-    /// Opens the endpoint. Must be called within the runtime that is to carry it.
+    /// Opens the endpoint. Must be called within the async runtime that the endpoint uses.
     ///
-    /// # Errors
-    /// If the keys cannot be read or the address is taken.
+    /// The receiver yields every connection with the name of its peer, whichever side opened the
+    /// connection. The owner of the receiver must read the streams and datagrams of the
+    /// connections.
     ///
-    /// Every connection, whichever side opened it, comes out of the receiver under its peer's name;
-    /// its streams and datagrams are to be read there.
+    /// # Errors
+    /// Returns an error if the keys cannot be read or the address is in use.
     pub fn open(
         at: SocketAddr,
         tls: TlsConfig,
@@ -110,23 +113,24 @@
         Ok((net, connections))
     }
 
-    /// This process's name, by its certificate.
+    /// Returns the name of this process, from its certificate.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// The address that it listens at.
+    /// Returns the address that the endpoint listens on.
     ///
     /// # Errors
-    /// If the socket is gone.
+    /// Returns an error if the socket is closed.
     pub fn local_addr(&self) -> anyhow::Result<SocketAddr> {
         Ok(self.endpoint.local_addr()?)
     }
 
-    /// Reads the keys again, if their files changed. New connections use the new ones.
+    /// Reloads the keys if their files changed. Only new connections use the new keys. Returns
+    /// whether the keys were replaced.
     ///
     /// # Errors
-    /// If the new keys cannot be used; the old ones stay in use.
+    /// Returns an error if the new keys cannot be used. The old keys then stay in use.
     pub fn reload(&self) -> anyhow::Result<bool> {
         let loaded = self.tls.load()?;
         if let Ok(contents) = self.contents.lock()
@@ -148,14 +152,16 @@
         Ok(true)
     }
 
-    /// Looks at the key files now and then, for as long as the process runs.
+    /// Checks the key files for changes at regular intervals and reloads them. Never returns.
     pub async fn keep_keys_current(self: Arc<Net>) {
         loop {
             tokio::time::sleep(KEYS_LOOK).await;
             match self.reload() {
-                Ok(true) => log::info!("The keys were replaced."),
+                Ok(true) => log::info!("Reloaded the TLS keys."),
                 Ok(false) => {}
-                Err(e) => log::warn!("The new keys cannot be used: {e:#}."),
+                Err(e) => {
+                    log::warn!("Reloading the TLS keys failed; the old keys stay in use: {e:#}.")
+                }
             }
         }
     }
@@ -171,13 +177,14 @@
                 };
                 match handshake.await {
                     Ok((name, connection)) => net.keep(&name, connection),
-                    Err(e) => log::warn!("A process was turned away: {e:#}."),
+                    Err(e) => log::warn!("Rejected an incoming connection: {e:#}."),
                 }
             });
         }
     }
 
-    /// Bytes sent and received in datagrams of the network, with all that the transport adds.
+    /// Returns the bytes sent and received in UDP datagrams, including the overhead of the
+    /// transport.
     pub fn udp_bytes(&self) -> (u64, u64) {
         let ended = (self.ended.0.load(Ordering::Relaxed), self.ended.1.load(Ordering::Relaxed));
         let Ok(live) = self.live.lock() else { return ended };
@@ -186,7 +193,7 @@
             .fold(ended, |(tx, rx), s| (tx + s.udp_tx.bytes, rx + s.udp_rx.bytes))
     }
 
-    /// Adds the bytes of connections that ended to the totals.
+    /// Removes closed connections and adds their bytes to the totals.
     fn sweep(&self) {
         let Ok(mut live) = self.live.lock() else { return };
         live.retain(|connection| {
@@ -209,14 +216,15 @@
             peers.retain(|_, c| c.close_reason().is_none());
             peers.insert(name.to_owned(), connection.clone());
         }
-        // The receiver is gone only when the process stops.
+        // The receiver is dropped only when the process stops.
         let _ = self.opened.send((name.to_owned(), connection));
     }
 
-    /// A connection to a process, the one in use if there is one.
+    /// Returns a connection to a process. Opens a new connection only if none is in use.
     ///
     /// # Errors
-    /// If it cannot be reached in time, or is not who it should be.
+    /// Returns an error if the process cannot be reached in time or its certificate has another
+    /// name.
     pub async fn connect(&self, name: &str, at: SocketAddr) -> anyhow::Result<Connection> {
         if let Some(connection) = self.existing(name, at) {
             return Ok(connection);
@@ -241,17 +249,19 @@
         good.then(|| connection.clone())
     }
 
-    /// Forgets a connection that gave no answer, so that the next try opens a new one.
+    /// Stops using the connection to a process that did not answer, so that the next attempt opens
+    /// a new connection.
     pub fn forget(&self, name: &str) {
         if let Ok(mut peers) = self.peers.lock() {
             peers.remove(name);
         }
     }
 
-    /// Opens a stream with a question.
+    /// Opens a stream and sends a question on it. The caller may send further frames and reads the
+    /// replies.
     ///
     /// # Errors
-    /// If the process cannot be reached.
+    /// Returns an error if the process cannot be reached.
     pub async fn question(
         &self,
         name: &str,
@@ -265,10 +275,10 @@
         Ok((writer, Reader::new(recv, self.metrics.clone())))
     }
 
-    /// Asks a question that has one reply.
+    /// Sends a question and returns its single reply.
     ///
     /// # Errors
-    /// If there is none in time.
+    /// Returns an error if no reply is received in time.
     pub async fn ask(
         &self,
         name: &str,
@@ -290,8 +300,8 @@
         }
     }
 
-    /// Sends a datagram to a process, over the connection in use; without one, opens it and drops
-    /// the datagram.
+    /// Sends a datagram to a process over the connection in use. If there is no connection, drops
+    /// the datagram and opens a connection in the background.
     pub fn send_datagram(self: &Arc<Net>, name: &str, at: SocketAddr, datagram: &Datagram) {
         let Some(connection) = self.existing(name, at) else {
             self.dial(name, at);
@@ -299,11 +309,11 @@
         };
         let Ok(bytes) = postcard::to_stdvec(datagram) else { return };
         self.metrics.message(Direction::Out, "lease", bytes.len());
-        // A datagram may be lost; the lease protocol asks again.
+        // A lost datagram does no harm, because the lease protocol repeats its messages.
         let _ = connection.send_datagram(Bytes::from(bytes));
     }
 
-    /// Opens a connection in the background, unless that is being done.
+    /// Opens a connection in the background, unless an attempt is already in progress.
     fn dial(self: &Arc<Net>, name: &str, at: SocketAddr) {
         let first = self.dialing.lock().is_ok_and(|mut d| d.insert(name.to_owned()));
         if !first {
@@ -312,7 +322,7 @@
         let (net, name) = (self.clone(), name.to_owned());
         tokio::spawn(async move {
             if let Err(e) = net.connect(&name, at).await {
-                log::debug!("No connection to {name}: {e:#}.");
+                log::debug!("Connecting to {name} failed: {e:#}.");
             }
             if let Ok(mut dialing) = net.dialing.lock() {
                 dialing.remove(&name);
@@ -320,29 +330,29 @@
         });
     }
 
-    /// The next datagram of a connection.
+    /// Returns the next datagram of a connection, or `None` if the datagram cannot be decoded.
     ///
     /// # Errors
-    /// If the connection ended.
+    /// Returns an error if the connection ended.
     pub async fn read_datagram(&self, connection: &Connection) -> anyhow::Result<Option<Datagram>> {
         let bytes = connection.read_datagram().await?;
         self.metrics.message(Direction::In, "lease", bytes.len());
         Ok(postcard::from_bytes(&bytes).ok())
     }
 
-    /// Frames an accepted stream.
+    /// Returns the writer and the reader of frames for an accepted stream.
     pub fn framed(&self, send: quinn::SendStream, recv: quinn::RecvStream) -> (Writer, Reader) {
         (Writer::new(send, self.metrics.clone()), Reader::new(recv, self.metrics.clone()))
     }
 
-    /// Ends all connections.
+    /// Closes all connections. Waits at most 300 ms for the peers to be notified.
     pub async fn close(&self) {
         self.endpoint.close(VarInt::from_u32(0), b"stopping");
         let _ = tokio::time::timeout(Duration::from_millis(300), self.endpoint.wait_idle()).await;
     }
 }
 
-/// The name in a peer's certificate.
+/// Returns the process name in a peer's certificate.
 fn peer_name(connection: &Connection) -> anyhow::Result<String> {
     let identity = connection.peer_identity().context("the peer showed no certificate")?;
     let Ok(chain) = identity.downcast::<Vec<CertificateDer<'static>>>() else {
--- a/crates/oliveworks-net/src/wire.rs
+++ b/crates/oliveworks-net/src/wire.rs
@@ -1,4 +1,4 @@
-//! What processes say to each other.
+//! Messages between processes.
 
 use std::net::SocketAddr;
 
@@ -11,36 +11,39 @@
 use oliveworks_runtime::timeline::Filter;
 use serde::{Deserialize, Serialize};
 
-/// A datagram.
+/// Message that is sent as a datagram.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Datagram {
-    /// The lease protocol, under the sender's host name, which must be its certificate's.
+    /// Message of the lease protocol, with the host of the sender. The host must match the sender's
+    /// certificate.
     Lease(HostId, LeaseMsg),
 }
 
-/// The first frame of a stream.
+/// Message from the process that opens a stream. Each question except [`Question::Body`] and
+/// [`Question::BodyEnd`] is the first frame of its stream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Question {
-    /// An entry asks an agent how it stands, and for cache events from a number on.
+    /// Query of an entry for the status of an agent, and for its cache events from this number on.
     Hello(u64),
-    /// An entry hands a request over. [`Question::Body`] frames follow, then [`Question::BodyEnd`].
+    /// Handover of a request from an entry. [`Question::Body`] frames follow, then
+    /// [`Question::BodyEnd`].
     Run(Box<Run>),
-    /// A part of the request's body.
+    /// Part of the request's body.
     Body(Vec<u8>),
-    /// The request's body is complete.
+    /// End of the request's body.
     BodyEnd,
-    /// An entry lost contact and asks that a try not begin.
+    /// Revocation by an entry that lost contact, to prevent an attempt from beginning.
     Revoke(Handover),
-    /// A process asks for what follows an offset; the answer may be held back for a while.
+    /// Query for the records from an offset on. The answer may be held back for a while.
     Feed(FeedQuestion),
-    /// A group's report to a decider.
+    /// Report of a group to a decider.
     Report(GroupReport),
-    /// For operators: events.
+    /// Query for timeline events, on behalf of operators.
     Timeline(Filter),
 }
 
 impl Question {
-    /// The kind, for metrics.
+    /// Returns the kind of the message, used in metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Question::Hello(_) => "hello",
@@ -54,167 +57,169 @@
     }
 }
 
-/// A request for an agent.
+/// Request as sent to an agent.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Run {
-    /// The try.
+    /// Id of the attempt.
     pub id: AttemptId,
-    /// The group.
+    /// Epoch of the group that the request is sent to.
     pub epoch: Epoch,
-    /// What the agent's ledger needs.
+    /// Handover for the agent's ledger.
     pub handed: Handover,
-    /// The first piece wanted; the caller has those before it.
+    /// Number of the first wanted piece. The caller already has the pieces before it.
     pub from: u64,
-    /// The time left to the request, in milliseconds.
+    /// Time left until the request's deadline, in milliseconds.
     pub left_ms: u32,
-    /// The request's priority.
+    /// Priority of the request.
     pub priority: u8,
-    /// What to call at the backend server.
+    /// Call to make at the backend server.
     pub call: Call,
 }
 
-/// What to call at the backend server.
+/// Call to make at the backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Call {
-    /// A model engine's chat or plain completion, with the body as JSON.
+    /// Chat or plain completion of a model engine, with the body as JSON.
     Completion {
-        /// Chat messages rather than a plain prompt.
+        /// Whether the request has chat messages rather than a plain prompt.
         chat: bool,
-        /// The request's body.
+        /// Body of the request.
         body: Vec<u8>,
     },
-    /// A plain service's call; its body follows in frames.
+    /// Call of a plain service. Its body follows in frames.
     Service {
-        /// The method.
+        /// HTTP method.
         method: String,
-        /// The path and query.
+        /// Path and query.
         path: String,
-        /// The headers that are carried.
+        /// Headers that are forwarded.
         headers: Vec<(String, Vec<u8>)>,
         /// Whether a body follows.
         has_body: bool,
     },
 }
 
-/// A question for records.
+/// Query for records.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FeedQuestion {
-    /// The first offset wanted.
+    /// Offset of the first wanted record.
     pub from: Offset,
-    /// Comes back in the answer.
+    /// Number of the question, which is returned in the answer.
     pub number: u64,
-    /// How long the answer may be held back while nothing is new, in milliseconds.
+    /// Maximum time that the answer may be held back while there are no new records, in
+    /// milliseconds.
     pub hold_ms: u32,
 }
 
-/// An answer with records.
+/// Answer with records.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FeedAnswer {
-    /// The question's number.
+    /// Number of the question.
     pub number: u64,
-    /// A signed snapshot, if the offset asked for is no longer kept.
+    /// Snapshot, if the record at the requested offset is no longer kept.
     pub snapshot: Option<Vec<u8>>,
     /// Signed records with their offsets.
     pub records: Vec<(Offset, String)>,
-    /// Nothing at or after this was known.
+    /// Next offset of the sender: the sender knows no record at or after this offset.
     pub next: Offset,
-    /// How long ago that was proved, in milliseconds.
+    /// Time since `next` was last proved to be the end of the log, in milliseconds.
     pub age_ms: Option<u64>,
 }
 
-/// How an agent stands.
+/// Status of an agent.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Hello {
-    /// Which run of the agent this is.
+    /// Incarnation of the agent.
     pub incarnation: Incarnation,
-    /// Its clock.
+    /// Time on the agent's clock.
     pub clock: Millis,
-    /// The group that it serves now, if it leads one.
+    /// Group that the agent currently serves as its leader, if any.
     pub serving: Option<Epoch>,
-    /// Who leads its group, if it is not itself.
+    /// Leader of the agent's group and the address of the leader's agent, if the leader is another
+    /// host.
     pub leader: Option<(HostId, SocketAddr)>,
-    /// The load of its backend server.
+    /// Load of the backend server.
     pub load: Load,
-    /// Prefix blocks stored at the engine: the latest ones, from the number asked for on.
+    /// Prefix blocks that the engine stored: the latest ones, from the requested event number on.
     pub stored: Vec<u64>,
-    /// Prefix blocks evicted there.
+    /// Prefix blocks that the engine evicted.
     pub evicted: Vec<u64>,
-    /// The number to ask for next time.
+    /// Event number to request next time.
     pub next_event: u64,
-    /// The next offset of its configuration.
+    /// Next offset of the agent's configuration.
     pub next: Offset,
 }
 
-/// Tokens of an answer.
+/// Token counts of an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt: u32,
-    /// Tokens made.
+    /// Number of generated tokens.
     pub completion: u32,
-    /// Tokens of the prompt that the cache held.
+    /// Number of tokens of the prompt that were cached.
     pub cached: u32,
 }
 
-/// A frame of an answer.
+/// Message in reply to a [`Question`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Reply {
-    /// To [`Question::Hello`].
+    /// Reply to [`Question::Hello`].
     Hello(Hello),
-    /// A service's status and headers.
+    /// Status and headers of a service's answer.
     Head {
-        /// The HTTP status.
+        /// HTTP status.
         status: u16,
-        /// The headers that are carried.
+        /// Headers that are forwarded.
         headers: Vec<(String, Vec<u8>)>,
     },
-    /// The request is in hand; sent while there is nothing else to say.
+    /// Keep-alive frame, sent while the request runs and there is nothing else to send.
     Alive,
-    /// A piece of an answer: a token's text, or bytes of a service's body.
+    /// Piece of an answer: the text of a token, or bytes of a service's body.
     Piece {
-        /// The try.
+        /// Id of the attempt.
         id: AttemptId,
-        /// Counted from zero over all tries.
+        /// Number of the piece, counted from zero over all attempts.
         number: u64,
-        /// What it says.
+        /// Content of the piece.
         data: Vec<u8>,
     },
-    /// The answer's end.
+    /// End of the answer.
     End {
-        /// The try.
+        /// Id of the attempt.
         id: AttemptId,
-        /// Pieces in all.
+        /// Total number of pieces.
         pieces: u64,
-        /// Why the model stopped.
+        /// Reason why the model stopped.
         finish_reason: String,
-        /// Tokens counted.
+        /// Token counts.
         usage: Usage,
-        /// The load after it.
+        /// Load of the backend server after the request.
         load: Load,
     },
-    /// The answer to a key that ran before.
+    /// Kept answer of an earlier request with the same key.
     Kept(Kept),
-    /// The try is refused.
+    /// Refusal of the attempt.
     Refused {
-        /// The try.
+        /// Id of the attempt.
         id: AttemptId,
-        /// Why.
+        /// Reason of the refusal.
         refusal: Refusal,
-        /// Whom to ask instead.
+        /// Leader to ask instead and the address of its agent, if known.
         leader: Option<(HostId, SocketAddr)>,
     },
-    /// To [`Question::Revoke`].
+    /// Reply to [`Question::Revoke`].
     Revoked(Revoked),
-    /// To [`Question::Feed`].
+    /// Reply to [`Question::Feed`].
     Feed(FeedAnswer),
-    /// To [`Question::Report`].
+    /// Reply to [`Question::Report`].
     Noted,
-    /// To [`Question::Timeline`]: events as JSON, since operators' tools read them on.
+    /// Reply to [`Question::Timeline`]: events as JSON, because operators' tools read them.
     Events(Vec<u8>),
 }
 
 impl Reply {
-    /// The kind, for metrics.
+    /// Returns the kind of the message, used in metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Reply::Hello(_) => "hello",
@@ -231,7 +236,7 @@
     }
 }
 
-/// Headers that concern one connection only, and so are not carried.
+/// Headers that are not forwarded because they concern only one connection.
 const NOT_CARRIED: [&str; 12] = [
     "content-length",
     "transfer-encoding",
@@ -247,7 +252,7 @@
     "expect",
 ];
 
-/// Whether a service's header is carried between caller and service.
+/// Returns whether a header is forwarded between the caller and a service.
 pub fn is_carried(name: &str) -> bool {
     !NOT_CARRIED.contains(&name)
 }
--- a/crates/oliveworks-net/tests/connections.rs
+++ b/crates/oliveworks-net/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Connections: who is let in, and that a process which restarted is found again.
+//! Connections: authentication of peers, reconnection to a restarted process, and reload of keys.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,7 +12,7 @@
 
 const WITHIN: Duration = Duration::from_secs(5);
 
-/// Key files of one process, in a folder of the test's own.
+/// Writes the key files of one process to a folder of the test.
 fn keys(authority: &Authority, process: &str, test: &str) -> TlsConfig {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(test).join(process);
     std::fs::create_dir_all(&dir).unwrap();
@@ -24,7 +24,7 @@
     tls
 }
 
-/// A process that answers every report.
+/// Starts a process that answers every status query.
 fn serve(at: SocketAddr, tls: TlsConfig) -> Arc<Net> {
     let (net, mut connections) = Net::open(at, tls, Arc::new(Metrics::new())).unwrap();
     let net = Arc::new(net);
@@ -69,14 +69,15 @@
 async fn a_process_of_another_authority_gets_nothing() {
     let (ours, theirs) = (Authority::generate().unwrap(), Authority::generate().unwrap());
     let host = serve(anywhere(), keys(&ours, "host-1", "authority"));
-    // A stranger that trusts our authority, but whose own certificate is another's.
+    // The stranger trusts our authority, but another authority issued its certificate.
     let tls = keys(&theirs, "entry-1", "authority");
     std::fs::write(&tls.ca, &ours.issued.cert).unwrap();
     let stranger = serve(anywhere(), tls);
     assert!(ask(&stranger, "host-1", host.local_addr().unwrap()).await.is_err());
 }
 
-/// A process in a runtime of its own, so that it can end as a killed one does: without a word.
+/// Starts a process in a runtime of its own, so that the process can end without notifying its
+/// peers, like a killed process.
 fn serve_apart(at: SocketAddr, tls: TlsConfig) -> (tokio::runtime::Runtime, SocketAddr) {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     let at = runtime.block_on(async { serve(at, tls).local_addr().unwrap() });
@@ -94,7 +95,7 @@
     runtime.block_on(ask(&entry, "host-1", at)).unwrap();
     first.shutdown_timeout(WITHIN);
     let (_second, _) = serve_apart(at, tls);
-    // The connection of the former run is reset by the new one, not left to run into its time.
+    // The new run resets the connection of the former run, so the question does not time out.
     let first_try = runtime.block_on(ask(&entry, "host-1", at));
     let error = first_try.err().map(|e| format!("{e:#}")).unwrap_or_default();
     assert!(!error.contains("does not reply"), "{error}");
