--- a/crates/oliveworks-agent/src/run.rs
+++ b/crates/oliveworks-agent/src/run.rs
@@ -224,7 +224,7 @@
         let headers: Vec<(String, Vec<u8>)> = response
             .headers()
             .iter()
-            .filter(|(name, _)| oliveworks_net::wire::is_carried(name.as_str()))
+            .filter(|(name, _)| oliveworks_net::wire::is_forwarded(name.as_str()))
             .map(|(name, value)| (name.as_str().to_owned(), value.as_bytes().to_vec()))
             .collect();
         let content_type = headers.iter().find(|(n, _)| n == "content-type");
--- a/crates/oliveworks-entry/src/service.rs
+++ b/crates/oliveworks-entry/src/service.rs
@@ -11,7 +11,7 @@
 use oliveworks_core::error::{ErrorKind, Refusal};
 use oliveworks_core::ledger::Kept;
 use oliveworks_core::template::Kind;
-use oliveworks_net::wire::{Call, is_carried};
+use oliveworks_net::wire::{Call, is_forwarded};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::callers::{self, RequestOptions, Shared, refuse};
@@ -66,7 +66,7 @@
     let headers: Vec<(String, Vec<u8>)> = request
         .headers()
         .iter()
-        .filter(|(name, _)| is_carried(name.as_str()))
+        .filter(|(name, _)| is_forwarded(name.as_str()))
         .map(|(name, value)| (name.as_str().to_owned(), value.as_bytes().to_vec()))
         .collect();
     let length: Option<usize> =
--- a/crates/oliveworks-feed/src/lib.rs
+++ b/crates/oliveworks-feed/src/lib.rs
@@ -43,16 +43,16 @@
 /// Number of recent records kept for other processes.
 pub const TAIL: usize = 512;
 /// Maximum number of records in one read of the log.
-const PAGE: usize = 256;
+const PAGE_RECORDS: usize = 256;
 /// Backoff after an error, in milliseconds.
-const PAUSE_MS: u32 = 200;
+const ERROR_BACKOFF_MS: u32 = 200;
 /// Time allowed for an answer in addition to the time that the answer may be held back, in
 /// milliseconds.
 const ANSWER_MARGIN_MS: u64 = 1_000;
 /// Maximum time that an answer is held back, in milliseconds.
 const HOLD_MAX_MS: u32 = 10_000;
 /// Number of recent outcomes of records kept for queries by publishers.
-const OUTCOMES: usize = 1024;
+const OUTCOMES_MAX: usize = 1024;
 
 struct Inner {
     pool: Pool,
@@ -82,7 +82,7 @@
 
 impl Applied {
     /// Returns whether a snapshot was adopted or records were read.
-    pub fn any(&self) -> bool {
+    pub fn has_changes(&self) -> bool {
         self.snapshot || !self.records.is_empty()
     }
 }
@@ -112,8 +112,8 @@
     }
 
     /// Calls a function with the pool, which is locked meanwhile.
-    pub fn with_pool<T>(&self, look: impl FnOnce(&Pool) -> T) -> T {
-        look(&self.lock().pool)
+    pub fn with_pool<T>(&self, access: impl FnOnce(&Pool) -> T) -> T {
+        access(&self.lock().pool)
     }
 
     /// Returns the next offset of the pool.
@@ -172,7 +172,12 @@
     }
 
     /// Applies an answer to the store.
-    fn take(&self, now: Millis, source: Source, answer: FeedAnswer) -> anyhow::Result<Applied> {
+    fn apply_answer(
+        &self,
+        now: Millis,
+        source: Source,
+        answer: FeedAnswer,
+    ) -> anyhow::Result<Applied> {
         let mut inner = self.lock();
         let proved = inner.feed.age_ms(now).is_some();
         let mut applied = Applied { proved, ..Applied::default() };
@@ -187,7 +192,7 @@
             if offset > inner.pool.next() {
                 bail!("the answer has a gap before record {offset}");
             }
-            inner.apply(offset, text, &self.keys, &mut applied);
+            inner.apply_record(offset, text, &self.keys, &mut applied);
         }
         let held = inner.pool.next();
         inner.feed.record_answer(now, source, answer.number, answer.next, answer.age_ms, held);
@@ -196,7 +201,7 @@
         Ok(applied)
     }
 
-    fn ask(&self, now: Millis) -> (Source, Offset, u64) {
+    fn next_question(&self, now: Millis) -> (Source, Offset, u64) {
         let mut inner = self.lock();
         if let Some(source) = inner.feed.tick(now) {
             log::info!("The source of records is now {source:?}.");
@@ -221,7 +226,13 @@
         Ok(true)
     }
 
-    fn apply(&mut self, offset: Offset, text: String, keys: &KeyRing, applied: &mut Applied) {
+    fn apply_record(
+        &mut self,
+        offset: Offset,
+        text: String,
+        keys: &KeyRing,
+        applied: &mut Applied,
+    ) {
         match keys.open(&text) {
             Err(e) => {
                 log::warn!("Skipped record {offset}, which cannot be verified: {e:#}.");
@@ -245,7 +256,7 @@
 
     fn keep_outcome(&mut self, offset: Offset, outcome: Result<(), Ignored>) {
         self.outcomes.push_back((offset, outcome));
-        if self.outcomes.len() > OUTCOMES {
+        if self.outcomes.len() > OUTCOMES_MAX {
             self.outcomes.pop_front();
         }
     }
@@ -265,27 +276,28 @@
 
 /// Keeps the store current and calls `applied` after every change. Never returns.
 pub async fn follow(store: Arc<Store>, links: Links, mut applied: impl FnMut(&Applied)) {
-    let best = store.source();
+    let first_source = store.source();
     loop {
-        let asked = links.clock.now();
-        let (source, from, number) = store.ask(asked);
+        let asked_at = links.clock.now();
+        let (source, from, number) = store.next_question(asked_at);
         let answer = match source {
             Source::Log => read_log(&store, &links.platform, from, number).await,
             Source::Entry(entry) => ask_entry(&store, &links, entry, from, number).await,
         };
-        let taken = answer.and_then(|answer| store.take(links.clock.now(), source, answer));
-        match taken {
-            Ok(changes) if changes.any() => applied(&changes),
+        let result =
+            answer.and_then(|answer| store.apply_answer(links.clock.now(), source, answer));
+        match result {
+            Ok(changes) if changes.has_changes() => applied(&changes),
             Ok(_) => {}
             Err(e) => {
                 log::debug!("Reading records from {source:?} failed: {e:#}.");
-                sleep(Wait(PAUSE_MS)).await;
+                sleep(Wait(ERROR_BACKOFF_MS)).await;
             }
         }
-        if source == Source::Log && best != Source::Log {
+        if source == Source::Log && first_source != Source::Log {
             // Only the first reader of a region may read the log without a pause between reads.
-            let spent = links.clock.now().since(asked);
-            sleep(Wait(store.config.own_read_ms.saturating_sub(spent) as u32)).await;
+            let elapsed = links.clock.now().since(asked_at);
+            sleep(Wait(store.config.own_read_ms.saturating_sub(elapsed) as u32)).await;
         }
     }
 }
@@ -300,8 +312,8 @@
     let at = *links.entries.get(&entry).context("the entry has no address")?;
     let hold_ms = store.config.beat_ms as u32;
     let question = Question::Feed(FeedQuestion { from, number, hold_ms });
-    let within = Duration::from_millis(store.config.beat_ms + ANSWER_MARGIN_MS);
-    match links.net.ask(&entry.to_string(), at, &question, within).await? {
+    let timeout = Duration::from_millis(store.config.beat_ms + ANSWER_MARGIN_MS);
+    match links.net.ask(&entry.to_string(), at, &question, timeout).await? {
         Reply::Feed(answer) => Ok(answer),
         other => bail!("{entry} answered with a message of kind {}", other.kind()),
     }
@@ -314,7 +326,7 @@
     number: u64,
 ) -> anyhow::Result<FeedAnswer> {
     let wait_ms = store.config.beat_ms as u32;
-    match platform.read(RECORDS, from, PAGE, wait_ms).await? {
+    match platform.read(RECORDS, from, PAGE_RECORDS, wait_ms).await? {
         Read::Page(page) => Ok(FeedAnswer {
             number,
             snapshot: None,
--- a/crates/oliveworks-net/src/keys.rs
+++ b/crates/oliveworks-net/src/keys.rs
@@ -84,7 +84,7 @@
 }
 
 /// Keys of a process, as read from its files.
-pub struct Loaded {
+pub struct LoadedKeys {
     ca: Vec<CertificateDer<'static>>,
     chain: Vec<CertificateDer<'static>>,
     key: PrivateKeyDer<'static>,
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     /// Returns an error that names the file that cannot be read or has invalid contents.
-    pub fn load(&self) -> anyhow::Result<Loaded> {
+    pub fn load(&self) -> anyhow::Result<LoadedKeys> {
         let contents = [read(&self.ca)?, read(&self.cert)?, read(&self.key)?];
         let [ca, cert, key] = &contents;
         let ca = certificates(ca, &self.ca)?;
@@ -107,8 +107,8 @@
         let key = PrivateKeyDer::from_pem_slice(key)
             .map_err(|e| anyhow!("{}: no private key: {e}", self.key.display()))?;
         let first = chain.first().context("the certificate chain is empty")?;
-        let name = name_of(first).with_context(|| format!("{}", self.cert.display()))?;
-        Ok(Loaded { ca, chain, key, name, contents })
+        let name = process_name(first).with_context(|| format!("{}", self.cert.display()))?;
+        Ok(LoadedKeys { ca, chain, key, name, contents })
     }
 }
 
@@ -129,7 +129,7 @@
 ///
 /// # Errors
 /// Returns an error if the certificate cannot be parsed or contains no process name.
-pub fn name_of(cert: &CertificateDer<'_>) -> anyhow::Result<String> {
+pub fn process_name(cert: &CertificateDer<'_>) -> anyhow::Result<String> {
     use x509_parser::prelude::{FromDer, GeneralName, X509Certificate};
     let (_, parsed) = X509Certificate::from_der(cert).map_err(|e| anyhow!("certificate: {e}"))?;
     let names = parsed.subject_alternative_name()?.context("the certificate names no process")?;
@@ -143,10 +143,10 @@
 /// Protocol name in the TLS handshake (ALPN). The name changes with the wire format.
 const PROTOCOL: &[u8] = b"oliveworks/1";
 
-impl Loaded {
+impl LoadedKeys {
     /// Returns the keys for stateless resets and for connection ids. Both are derived from the
     /// private key, so every run of the same process has the same keys.
-    pub(crate) fn restart_keys(&self) -> (Arc<dyn quinn::crypto::HmacKey>, u64) {
+    pub(crate) fn reset_and_id_keys(&self) -> (Arc<dyn quinn::crypto::HmacKey>, u64) {
         let [_, _, key] = &self.contents;
         let reset = ring::hmac::Key::new(ring::hmac::HMAC_SHA256, key);
         let digest = ring::hmac::sign(&reset, b"connection ids");
--- a/crates/oliveworks-net/src/net.rs
+++ b/crates/oliveworks-net/src/net.rs
@@ -17,15 +17,15 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
 use crate::frame::{Reader, Writer};
-use crate::keys::{Loaded, TlsConfig, name_of};
+use crate::keys::{LoadedKeys, TlsConfig, process_name};
 use crate::wire::{Datagram, Question, Reply};
 
 /// Time without traffic after which a connection is closed, in milliseconds.
-const IDLE_MS: u32 = 15_000;
+const IDLE_TIMEOUT_MS: u32 = 15_000;
 /// Timeout of opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time between two checks of the key files for changes.
-const KEYS_LOOK: Duration = Duration::from_secs(5);
+const KEY_RELOAD_INTERVAL: Duration = Duration::from_secs(5);
 /// Maximum number of concurrent streams that a peer may open. Further streams wait. The transport
 /// allocates memory for all streams when a connection opens: 4,096 streams cost 0.7 MB per
 /// connection.
@@ -40,9 +40,9 @@
     client: RwLock<ClientConfig>,
     peers: Mutex<HashMap<String, Connection>>,
     dialing: Mutex<HashSet<String>>,
-    live: Mutex<Vec<Connection>>,
-    ended: (AtomicU64, AtomicU64),
-    opened: UnboundedSender<(String, Connection)>,
+    open_connections: Mutex<Vec<Connection>>,
+    closed_bytes: (AtomicU64, AtomicU64),
+    new_connections: UnboundedSender<(String, Connection)>,
     metrics: Arc<Metrics>,
     tls: TlsConfig,
     contents: Mutex<[Vec<u8>; 3]>,
@@ -52,7 +52,7 @@
 fn transport() -> Arc<TransportConfig> {
     let mut config = TransportConfig::default();
     config
-        .max_idle_timeout(Some(VarInt::from_u32(IDLE_MS).into()))
+        .max_idle_timeout(Some(VarInt::from_u32(IDLE_TIMEOUT_MS).into()))
         .max_concurrent_bidi_streams(STREAMS_MAX.into())
         .max_concurrent_uni_streams(0u8.into())
         .stream_receive_window(STREAM_WINDOW.into())
@@ -66,8 +66,8 @@
 /// Opens the socket. The key for stateless resets is derived from the private key of the process,
 /// so that a restarted process resets the connections of its earlier run. Otherwise the peers would
 /// send to those connections without effect until the idle timeout.
-fn bind(at: SocketAddr, server: ServerConfig, loaded: &Loaded) -> anyhow::Result<Endpoint> {
-    let (reset_key, id_key) = loaded.restart_keys();
+fn bind(at: SocketAddr, server: ServerConfig, loaded: &LoadedKeys) -> anyhow::Result<Endpoint> {
+    let (reset_key, id_key) = loaded.reset_and_id_keys();
     let mut config = EndpointConfig::new(reset_key);
     // Packets whose connection ids were not generated with this key are dropped without a reset.
     config.cid_generator(move || Box::new(HashedConnectionIdGenerator::from_key(id_key)));
@@ -96,15 +96,15 @@
         let mut client = ClientConfig::new(Arc::new(loaded.client()?));
         client.transport_config(transport());
         let endpoint = bind(at, server, &loaded).with_context(|| format!("peer: {at}"))?;
-        let (opened, connections) = unbounded_channel();
+        let (new_connections, connections) = unbounded_channel();
         let net = Net {
             endpoint,
             client: RwLock::new(client),
             peers: Mutex::default(),
             dialing: Mutex::default(),
-            live: Mutex::default(),
-            ended: Default::default(),
-            opened,
+            open_connections: Mutex::default(),
+            closed_bytes: Default::default(),
+            new_connections,
             metrics,
             tls,
             contents: Mutex::new(loaded.contents),
@@ -155,7 +155,7 @@
     /// Checks the key files for changes at regular intervals and reloads them. Never returns.
     pub async fn keep_keys_current(self: Arc<Net>) {
         loop {
-            tokio::time::sleep(KEYS_LOOK).await;
+            tokio::time::sleep(KEY_RELOAD_INTERVAL).await;
             match self.reload() {
                 Ok(true) => log::info!("Reloaded the TLS keys."),
                 Ok(false) => {}
@@ -176,7 +176,7 @@
                     anyhow::Ok((peer_name(&connection)?, connection))
                 };
                 match handshake.await {
-                    Ok((name, connection)) => net.keep(&name, connection),
+                    Ok((name, connection)) => net.register(&name, connection),
                     Err(e) => log::warn!("Rejected an incoming connection: {e:#}."),
                 }
             });
@@ -186,38 +186,42 @@
     /// Returns the bytes sent and received in UDP datagrams, including the overhead of the
     /// transport.
     pub fn udp_bytes(&self) -> (u64, u64) {
-        let ended = (self.ended.0.load(Ordering::Relaxed), self.ended.1.load(Ordering::Relaxed));
-        let Ok(live) = self.live.lock() else { return ended };
-        live.iter()
+        let closed_bytes = (
+            self.closed_bytes.0.load(Ordering::Relaxed),
+            self.closed_bytes.1.load(Ordering::Relaxed),
+        );
+        let Ok(open_connections) = self.open_connections.lock() else { return closed_bytes };
+        open_connections
+            .iter()
             .map(|c| c.stats())
-            .fold(ended, |(tx, rx), s| (tx + s.udp_tx.bytes, rx + s.udp_rx.bytes))
+            .fold(closed_bytes, |(tx, rx), s| (tx + s.udp_tx.bytes, rx + s.udp_rx.bytes))
     }
 
     /// Removes closed connections and adds their bytes to the totals.
-    fn sweep(&self) {
-        let Ok(mut live) = self.live.lock() else { return };
-        live.retain(|connection| {
+    fn remove_closed(&self) {
+        let Ok(mut open_connections) = self.open_connections.lock() else { return };
+        open_connections.retain(|connection| {
             let open = connection.close_reason().is_none();
             if !open {
                 let stats = connection.stats();
-                self.ended.0.fetch_add(stats.udp_tx.bytes, Ordering::Relaxed);
-                self.ended.1.fetch_add(stats.udp_rx.bytes, Ordering::Relaxed);
+                self.closed_bytes.0.fetch_add(stats.udp_tx.bytes, Ordering::Relaxed);
+                self.closed_bytes.1.fetch_add(stats.udp_rx.bytes, Ordering::Relaxed);
             }
             open
         });
     }
 
-    fn keep(&self, name: &str, connection: Connection) {
-        self.sweep();
-        if let Ok(mut live) = self.live.lock() {
-            live.push(connection.clone());
+    fn register(&self, name: &str, connection: Connection) {
+        self.remove_closed();
+        if let Ok(mut open_connections) = self.open_connections.lock() {
+            open_connections.push(connection.clone());
         }
         if let Ok(mut peers) = self.peers.lock() {
             peers.retain(|_, c| c.close_reason().is_none());
             peers.insert(name.to_owned(), connection.clone());
         }
         // The receiver is dropped only when the process stops.
-        let _ = self.opened.send((name.to_owned(), connection));
+        let _ = self.new_connections.send((name.to_owned(), connection));
     }
 
     /// Returns a connection to a process. Opens a new connection only if none is in use.
@@ -238,15 +242,15 @@
             .await
             .with_context(|| format!("{name} at {at} does not answer"))?
             .with_context(|| format!("{name} at {at}"))?;
-        self.keep(name, connection.clone());
+        self.register(name, connection.clone());
         Ok(connection)
     }
 
     fn existing(&self, name: &str, at: SocketAddr) -> Option<Connection> {
         let peers = self.peers.lock().ok()?;
         let connection = peers.get(name)?;
-        let good = connection.close_reason().is_none() && connection.remote_address() == at;
-        good.then(|| connection.clone())
+        let is_usable = connection.close_reason().is_none() && connection.remote_address() == at;
+        is_usable.then(|| connection.clone())
     }
 
     /// Stops using the connection to a process that did not answer, so that the next attempt opens
@@ -284,14 +288,14 @@
         name: &str,
         at: SocketAddr,
         question: &Question,
-        within: Duration,
+        timeout: Duration,
     ) -> anyhow::Result<Reply> {
         let exchange = async {
             let (writer, mut reader) = self.question(name, at, question).await?;
             writer.finish();
             reader.next::<Reply>().await?.context("no reply")
         };
-        match tokio::time::timeout(within, exchange).await {
+        match tokio::time::timeout(timeout, exchange).await {
             Ok(reply) => reply,
             Err(_) => {
                 self.forget(name);
@@ -304,7 +308,7 @@
     /// the datagram and opens a connection in the background.
     pub fn send_datagram(self: &Arc<Net>, name: &str, at: SocketAddr, datagram: &Datagram) {
         let Some(connection) = self.existing(name, at) else {
-            self.dial(name, at);
+            self.connect_in_background(name, at);
             return;
         };
         let Ok(bytes) = postcard::to_stdvec(datagram) else { return };
@@ -314,9 +318,9 @@
     }
 
     /// Opens a connection in the background, unless an attempt is already in progress.
-    fn dial(self: &Arc<Net>, name: &str, at: SocketAddr) {
-        let first = self.dialing.lock().is_ok_and(|mut d| d.insert(name.to_owned()));
-        if !first {
+    fn connect_in_background(self: &Arc<Net>, name: &str, at: SocketAddr) {
+        let is_first = self.dialing.lock().is_ok_and(|mut d| d.insert(name.to_owned()));
+        if !is_first {
             return;
         }
         let (net, name) = (self.clone(), name.to_owned());
@@ -358,5 +362,5 @@
     let Ok(chain) = identity.downcast::<Vec<CertificateDer<'static>>>() else {
         bail!("the peer showed no certificate");
     };
-    name_of(chain.first().context("the peer showed no certificate")?)
+    process_name(chain.first().context("the peer showed no certificate")?)
 }
--- a/crates/oliveworks-net/src/wire.rs
+++ b/crates/oliveworks-net/src/wire.rs
@@ -237,7 +237,7 @@
 }
 
 /// Headers that are not forwarded because they concern only one connection.
-const NOT_CARRIED: [&str; 12] = [
+const NOT_FORWARDED: [&str; 12] = [
     "content-length",
     "transfer-encoding",
     "connection",
@@ -253,6 +253,6 @@
 ];
 
 /// Returns whether a header is forwarded between the caller and a service.
-pub fn is_carried(name: &str) -> bool {
-    !NOT_CARRIED.contains(&name)
+pub fn is_forwarded(name: &str) -> bool {
+    !NOT_FORWARDED.contains(&name)
 }
