--- a/crates/oliveworks-entry/src/admin.rs
+++ b/crates/oliveworks-entry/src/admin.rs
@@ -1,4 +1,4 @@
-//! For operators and monitoring: metrics, state, the time line.
+//! HTTP interface for operators and monitoring: metrics, status and the timeline.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{SocketAddr, TcpListener};
@@ -21,10 +21,10 @@
 
 type Shared = State<Arc<Entry>>;
 
-/// Processes asked for their events at once, at most.
-const ASKED_MAX: usize = 64;
-/// A process must tell its events within this time.
-const EVENTS_WITHIN: Duration = Duration::from_millis(1_500);
+/// Maximum number of processes queried for one timeline request.
+const QUERIED_PEERS_MAX: usize = 64;
+/// Timeout of a query for the events of another process.
+const EVENTS_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 fn allowed(entry: &Entry, request: &HttpRequest) -> Result<(), HttpResponse> {
     let token = crate::auth::bearer(request.headers()).map(token_digest);
@@ -50,14 +50,14 @@
 }
 
 async fn ready(entry: Shared) -> HttpResponse {
-    let known = entry.store.age_ms(entry.clock.now()).is_some();
-    if known && !entry.draining.load(Ordering::Relaxed) {
+    let has_config = entry.store.age_ms(entry.clock.now()).is_some();
+    if has_config && !entry.draining.load(Ordering::Relaxed) {
         return HttpResponse::Ok().body("ready\n");
     }
     HttpResponse::ServiceUnavailable().body("stopping, or the configuration is not known yet\n")
 }
 
-/// Groups, hosts, templates, and why replicas are missing.
+/// Returns groups, hosts and templates, and the reasons why replicas are missing.
 async fn status(entry: Shared, request: HttpRequest) -> HttpResponse {
     if let Err(refused) = allowed(&entry, &request) {
         return refused;
@@ -119,7 +119,7 @@
     HttpResponse::Ok().json(&body)
 }
 
-/// How far this entry and those that ask it for records have come.
+/// Returns the next offset of this entry and of the processes that read records from it.
 async fn heads(entry: Shared, request: HttpRequest) -> HttpResponse {
     if let Err(refused) = allowed(&entry, &request) {
         return refused;
@@ -128,15 +128,16 @@
     let mut heads: BTreeMap<String, Offset> = BTreeMap::new();
     heads.insert(entry.settings.entry.to_string(), entry.store.next());
     let core = entry.core();
-    let recent = core.heads.iter().filter(|(_, (_, at))| now.since(*at) < HEAD_MS);
+    let recent =
+        core.reader_positions.iter().filter(|(_, (_, at))| now.since(*at) < READER_EXPIRY_MS);
     heads.extend(recent.map(|(name, (next, _))| (name.clone(), *next)));
     HttpResponse::Ok().json(&heads)
 }
 
-/// A process that has not asked for records for this long is not reported, in milliseconds.
-const HEAD_MS: u64 = 15_000;
+/// Time without a read of records after which a process is not listed any more, in milliseconds.
+const READER_EXPIRY_MS: u64 = 15_000;
 
-/// What became of a record.
+/// Returns whether the record at an offset was applied.
 async fn outcome(entry: Shared, request: HttpRequest, offset: Path<u64>) -> HttpResponse {
     if let Err(refused) = allowed(&entry, &request) {
         return refused;
@@ -150,7 +151,8 @@
     HttpResponse::Ok().json(&body)
 }
 
-/// Events of this entry and of the processes that may know more, merged.
+/// Returns the events of this entry, merged with those of other processes that may have matching
+/// events. Processes that did not answer are listed as `silent`.
 async fn timeline(entry: Shared, request: HttpRequest, filter: Query<Filter>) -> HttpResponse {
     if let Err(refused) = allowed(&entry, &request) {
         return refused;
@@ -163,7 +165,7 @@
         let (entry, filter) = (entry.clone(), filter.clone());
         async move {
             let question = Question::Timeline(filter);
-            let reply = entry.net.ask(&name, at, &question, EVENTS_WITHIN).await;
+            let reply = entry.net.ask(&name, at, &question, EVENTS_TIMEOUT).await;
             (name, reply)
         }
     }));
@@ -182,7 +184,8 @@
     HttpResponse::Ok().json(&json!({"events": events, "silent": silent}))
 }
 
-/// Which processes to ask for events: those that the filter, or the events here, point to.
+/// Returns the processes to query for events: the other entries, and the members of the groups that
+/// the filter or the events of this entry refer to.
 fn peers(entry: &Entry, filter: &Filter, events: &[Event]) -> Vec<(String, SocketAddr)> {
     let me = entry.settings.entry;
     let entries = entry.settings.entries.iter().filter(|e| e.entry != me);
@@ -206,11 +209,11 @@
             }
         }
     });
-    peers.truncate(ASKED_MAX);
+    peers.truncate(QUERIED_PEERS_MAX);
     peers
 }
 
-/// Serves the pages in a thread of their own.
+/// Starts the HTTP server for operators in a thread of its own.
 pub fn serve(entry: &Arc<Entry>) -> anyhow::Result<ntex::server::Server> {
     let at = entry.settings.admin;
     let listener = TcpListener::bind(at).with_context(|| format!("admin: {at}"))?;
--- a/crates/oliveworks-entry/src/completion.rs
+++ b/crates/oliveworks-entry/src/completion.rs
@@ -1,4 +1,4 @@
-//! Chat and plain completions, whole and streamed.
+//! Chat and plain completions, as one body or as a stream of events.
 
 use std::sync::Arc;
 
@@ -14,12 +14,12 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::answer::REQUEST_HEADER;
-use crate::callers::{self, Intake, Shared, refuse};
-use crate::driver::{Body, Driver, Job, Out};
+use crate::callers::{self, RequestOptions, Shared, refuse};
+use crate::driver::{AnswerPart, Body, Driver, Job};
 use crate::process::Entry;
 use crate::state::Prompt;
 
-/// What the answer has to look like.
+/// Properties of the answer that the JSON bodies depend on.
 #[derive(Clone)]
 struct Shape {
     chat: bool,
@@ -29,7 +29,7 @@
     usage: bool,
 }
 
-/// `GET /v1/models`
+/// Handles `GET /v1/models`.
 pub async fn models(entry: Shared, request: HttpRequest) -> HttpResponse {
     let caller = match crate::auth::caller(&entry, request.headers()) {
         Ok(caller) => caller,
@@ -37,8 +37,8 @@
     };
     let data: Vec<Value> = entry.store.with_pool(|pool| {
         let own = pool.templates().map(|p| &p.template).filter(|t| {
-            let theirs = t.partner == caller.partner && t.workspace == caller.workspace;
-            theirs && t.kind == Kind::Model
+            let is_own = t.partner == caller.partner && t.workspace == caller.workspace;
+            is_own && t.kind == Kind::Model
         });
         let line = |t: &oliveworks_core::template::Template| {
             json!({"id": t.model, "object": "model", "created": 0, "owned_by": t.partner})
@@ -48,12 +48,12 @@
     HttpResponse::Ok().json(&json!({"object": "list", "data": data}))
 }
 
-/// `POST /v1/chat/completions`
+/// Handles `POST /v1/chat/completions`.
 pub async fn chat(entry: Shared, request: HttpRequest, body: Payload) -> HttpResponse {
     answer(entry, request, body, true).await
 }
 
-/// `POST /v1/completions`
+/// Handles `POST /v1/completions`.
 pub async fn plain(entry: Shared, request: HttpRequest, body: Payload) -> HttpResponse {
     answer(entry, request, body, false).await
 }
@@ -67,7 +67,7 @@
     }
 }
 
-/// Checks, admits and routes a request.
+/// Checks and admits a request. The flag in the result is set if the caller wants a stream.
 async fn prepare(
     entry: &Arc<Entry>,
     request: &HttpRequest,
@@ -78,26 +78,26 @@
     let bytes = callers::read_body(entry, &mut body).await?;
     let parsed = parse(&bytes, chat)?;
     let model = parsed.get("model").and_then(Value::as_str).unwrap_or_default();
-    let published = callers::find(entry, &caller, Kind::Model, model)?;
-    let intake = Intake::new(entry, request.headers(), &published, xxh3_64(&bytes))?;
-    check_tokens(&parsed, intake.max_tokens)?;
+    let published = callers::find_template(entry, &caller, Kind::Model, model)?;
+    let options = RequestOptions::new(entry, request.headers(), &published, xxh3_64(&bytes))?;
+    check_tokens(&parsed, options.max_tokens)?;
     let prompt = prompt(&parsed, entry.settings.routing.block);
-    let admitted = callers::admit(entry, &caller, &intake, &prompt).await?;
+    let admitted = callers::admit(entry, &caller, &options, &prompt).await?;
     let include_usage = parsed.pointer("/stream_options/include_usage").and_then(Value::as_bool);
     let shape = Shape {
         chat,
-        id: format!("{}-{}", if chat { "chatcmpl" } else { "cmpl" }, intake.id),
+        id: format!("{}-{}", if chat { "chatcmpl" } else { "cmpl" }, options.id),
         model: model.to_owned(),
         created: wall_ms() / 1000,
         usage: include_usage.unwrap_or(false),
     };
     let streamed = parsed.get("stream").and_then(Value::as_bool).unwrap_or(false);
     let job = Job {
-        id: intake.id,
-        template: intake.template,
-        terms: intake.terms,
-        key: intake.key,
-        priority: intake.priority,
+        id: options.id,
+        template: options.template,
+        terms: options.terms,
+        key: options.key,
+        priority: options.priority,
         call: Call::Completion { chat, body: bytes },
         body: Body::None,
         prompt,
@@ -127,19 +127,20 @@
     }
 }
 
-fn check_tokens(parsed: &Value, most: u32) -> Result<(), Refusal> {
+fn check_tokens(parsed: &Value, max: u32) -> Result<(), Refusal> {
     for name in ["max_tokens", "max_completion_tokens"] {
         let Some(value) = parsed.get(name).filter(|v| !v.is_null()) else { continue };
-        let good = value.as_u64().is_some_and(|n| (1..=u64::from(most)).contains(&n));
+        let good = value.as_u64().is_some_and(|n| (1..=u64::from(max)).contains(&n));
         if !good {
-            return Err(refuse(ErrorKind::BadRequest, format!("{name}: 1 to {most}")));
+            return Err(refuse(ErrorKind::BadRequest, format!("{name}: 1 to {max}")));
         }
     }
     Ok(())
 }
 
-/// The prompt as routing sees it. Words stand in for tokens: only equality of prefixes and rough
-/// lengths matter, and the model's tokenizer is not known here.
+/// Returns the prompt in the form that routing uses. Words take the place of tokens because the
+/// model's tokenizer is not available here, and routing needs only the equality of prefixes and an
+/// approximate length.
 fn prompt(parsed: &Value, block: usize) -> Prompt {
     let mut words: Vec<&str> = Vec::new();
     if let Some(text) = parsed.get("prompt").and_then(Value::as_str) {
@@ -208,20 +209,20 @@
     }
 }
 
-/// Collects the whole answer. A part of one is never passed on as whole.
+/// Collects the complete answer and returns it as one body. An incomplete answer is never returned.
 async fn whole(entry: &Entry, mut driver: Driver, shape: &Shape) -> HttpResponse {
     let mut text = Vec::new();
     loop {
         match driver.next().await {
-            Ok(Out::Piece(data)) => text.extend_from_slice(&data),
-            Ok(Out::End(reason, used)) => {
+            Ok(AnswerPart::Piece(data)) => text.extend_from_slice(&data),
+            Ok(AnswerPart::End(reason, used)) => {
                 let text = String::from_utf8_lossy(&text);
                 return HttpResponse::Ok()
                     .header(REQUEST_HEADER, driver.id().to_string())
                     .json(&shape.whole(&text, &reason, &used));
             }
-            Ok(Out::Head(..) | Out::Kept(_)) => {
-                // A key's kept answer is held for plain services only.
+            Ok(AnswerPart::Head(..) | AnswerPart::Kept(_)) => {
+                // Answers are kept for repeated keys of plain services only.
                 let why = "the request ran; its answer is not kept";
                 let refusal = Refusal::new(ErrorKind::AnswerGone, Ran::Yes, why);
                 return callers::answer_refused(entry, &refusal);
@@ -235,8 +236,9 @@
     Bytes::from(format!("data: {value}\n\n"))
 }
 
-/// Streams the answer. A refusal before the first piece is an HTTP error; after it, an error event,
-/// and the connection is broken off, so that no client takes the stream for complete.
+/// Streams the answer. A refusal before the first piece is returned as an HTTP error. A later
+/// refusal is sent as an error event, and the connection is aborted so that no client takes the
+/// stream for complete.
 async fn stream(entry: Arc<Entry>, mut driver: Driver, shape: Shape) -> HttpResponse {
     let first = match driver.next().await {
         Ok(out) => out,
@@ -263,10 +265,10 @@
 
 type Sender = ntex::channel::mpsc::Sender<Result<Bytes, std::io::Error>>;
 
-/// Passes the answer on. `Err(None)`: the caller left.
+/// Passes the answer on to the caller. Returns `Err(None)` if the caller disconnected.
 async fn relay(
     driver: &mut Driver,
-    first: Out,
+    first: AnswerPart,
     shape: &Shape,
     sender: &Sender,
 ) -> Result<(), Option<Refusal>> {
@@ -275,12 +277,12 @@
     let mut is_first = true;
     loop {
         match out {
-            Out::Piece(data) => {
+            AnswerPart::Piece(data) => {
                 let text = String::from_utf8_lossy(&data);
                 send(event(&shape.delta(&text, is_first)))?;
                 is_first = false;
             }
-            Out::End(reason, used) => {
+            AnswerPart::End(reason, used) => {
                 send(event(&shape.last(&reason)))?;
                 if shape.usage {
                     let mut chunk = shape.chunk(json!([]));
@@ -289,13 +291,13 @@
                 }
                 return send(Bytes::from_static(b"data: [DONE]\n\n"));
             }
-            Out::Head(..) | Out::Kept(_) => {
+            AnswerPart::Head(..) | AnswerPart::Kept(_) => {
                 let why = "the request ran; its answer is not kept";
                 return Err(Some(Refusal::new(ErrorKind::AnswerGone, Ran::Yes, why)));
             }
         }
-        // A caller that reads slowly holds the pieces up at the agent, not here; one that has left
-        // is noticed while the next piece is waited for.
+        // The pieces for a caller that reads slowly are held back at the agent, not here. A caller
+        // that disconnects is detected during the wait for the next piece.
         out = tokio::select! {
             next = driver.next() => next.map_err(Some)?,
             () = closed(sender) => return Err(None),
@@ -303,12 +305,12 @@
     }
 }
 
-/// Ends when the caller has left.
+/// Waits until the caller has disconnected.
 async fn closed(sender: &Sender) {
     while !sender.is_closed() {
-        ntex::time::sleep(ntex::time::Millis(CLOSED_LOOK_MS)).await;
+        ntex::time::sleep(ntex::time::Millis(DISCONNECT_CHECK_MS)).await;
     }
 }
 
-/// How often a stream looks whether its caller is still there, in milliseconds.
-const CLOSED_LOOK_MS: u32 = 100;
+/// Time between two checks whether the caller of a stream has disconnected, in milliseconds.
+const DISCONNECT_CHECK_MS: u32 = 100;
--- a/crates/oliveworks-entry/src/decide.rs
+++ b/crates/oliveworks-entry/src/decide.rs
@@ -1,4 +1,5 @@
-//! Carries the deciding role: reads the platform's list, plans, appends.
+//! Deciding role of an entry: reads the platform's list of hosts, plans changes, and appends the
+//! resulting records to the log.
 
 use std::sync::Arc;
 
@@ -12,20 +13,21 @@
 
 use crate::process::Entry;
 
-/// Between two looks, in milliseconds.
-const LOOK_MS: u32 = 100;
-/// Between two looks at whether a snapshot is due, in milliseconds.
-const SNAPSHOT_MS: u64 = 3_000;
-/// Entries beyond this rank do not read the list: one of these three will act.
-const READERS: u64 = 3;
+/// Time between two runs of the decider, in milliseconds.
+const DECIDE_INTERVAL_MS: u32 = 100;
+/// Time between two checks whether a snapshot is due, in milliseconds.
+const SNAPSHOT_CHECK_MS: u64 = 3_000;
+/// Number of entries, by rank, that read the platform's list of hosts. One of these three is
+/// expected to act, so entries of higher rank do not read the list.
+const LIST_READERS: u64 = 3;
 
-/// Runs for as long as the process does.
+/// Runs the decider. Never returns.
 pub async fn decide(entry: Arc<Entry>, platform: Platform, key: SigningKey) {
     ntex::rt::spawn(read_list(entry.clone(), platform.clone()));
-    let mut snapshot_looked = Millis(0);
+    let mut snapshot_checked_at = Millis(0);
     let mut snapshot_at = Offset(0);
     loop {
-        sleep(Wait(LOOK_MS)).await;
+        sleep(Wait(DECIDE_INTERVAL_MS)).await;
         let now = entry.clock.now();
         let records = entry.store.with_pool(|pool| {
             let mut rng = rand::rng();
@@ -36,36 +38,37 @@
             let text = match key.sign(&record) {
                 Ok(text) => text,
                 Err(e) => {
-                    log::error!("A record cannot be signed: {e:#}.");
+                    log::error!("Signing a record of kind {kind} failed: {e:#}.");
                     continue;
                 }
             };
             match platform.append(RECORDS, &text).await {
                 Ok(offset) => {
-                    log::info!("Record {offset} is appended: {kind}.");
+                    log::info!("Appended record {offset} of kind {kind}.");
                     let event = Event::new("decider", kind);
-                    entry.note(event.text(format!("record {offset}")));
+                    entry.record_event(event.text(format!("record {offset}")));
                 }
-                // Its fate is seen by reading on, or it is planned anew.
+                // If the record was appended, it is seen when the log is read. Otherwise the
+                // decider plans it again.
                 Err(e) => {
-                    log::warn!("The append of {kind} has no answer: {e:#}.");
+                    log::warn!("Appending a record of kind {kind} failed: {e:#}.");
                     break;
                 }
             }
         }
-        if now.since(snapshot_looked) >= SNAPSHOT_MS {
-            snapshot_looked = now;
-            let kept =
+        if now.since(snapshot_checked_at) >= SNAPSHOT_CHECK_MS {
+            snapshot_checked_at = now;
+            let result =
                 keep_snapshot(&entry.store, &platform, &key, entry.rank, &mut snapshot_at).await;
-            if let Err(e) = kept {
-                log::warn!("No snapshot is kept: {e:#}.");
+            if let Err(e) = result {
+                log::warn!("Writing a snapshot failed: {e:#}.");
             }
         }
     }
 }
 
 async fn read_list(entry: Arc<Entry>, platform: Platform) {
-    if entry.rank >= READERS {
+    if entry.rank >= LIST_READERS {
         return;
     }
     loop {
@@ -74,7 +77,7 @@
                 let now = entry.clock.now();
                 entry.core().decider.update_list(now, &listed);
             }
-            Err(e) => log::debug!("The list of hosts is not to be had: {e:#}."),
+            Err(e) => log::debug!("Reading the platform's list of hosts failed: {e:#}."),
         }
         sleep(Wait(entry.settings.list_ms)).await;
     }
