--- a/crates/oliveworks-runtime/src/fleet.rs
+++ b/crates/oliveworks-runtime/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Other processes, as settings name them.
+//! Other processes of the fleet, as listed in the settings.
 
 use std::net::SocketAddr;
 
@@ -6,20 +6,20 @@
 use oliveworks_core::id::EntryId;
 use serde::{Deserialize, Serialize};
 
-/// An entry as other processes know it.
+/// An entry and its address for other processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntryPeer {
-    /// The entry.
+    /// Id of the entry.
     pub entry: EntryId,
-    /// Its region.
+    /// Region of the entry.
     pub region: String,
-    /// Where it is reached by other processes.
+    /// Address of the entry for other processes.
     pub peer: SocketAddr,
 }
 
 impl EntryPeer {
-    /// The entry's place among all.
+    /// Returns the id of the entry and its region.
     pub fn at(&self) -> EntryLocation {
         EntryLocation { entry: self.entry, region: self.region.clone() }
     }
--- a/crates/oliveworks-runtime/src/keys.rs
+++ b/crates/oliveworks-runtime/src/keys.rs
@@ -1,28 +1,28 @@
-//! Public keys in settings.
+//! Public keys in the settings.
 
 use std::collections::BTreeMap;
 
 use oliveworks_core::id::Name;
 use serde::{Deserialize, Serialize};
 
-/// The public keys with which every process checks records, in hexadecimal.
+/// Public keys with which every process verifies the signatures of records, in hexadecimal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RecordKeys {
-    /// Each partner's operators.
+    /// Key of the operators of each partner.
     pub partners: BTreeMap<Name, String>,
-    /// The system's own processes.
+    /// Key of the processes of the system itself.
     pub system: String,
 }
 
 impl RecordKeys {
-    /// Checks what the types do not carry.
+    /// Checks the rules that the types do not express.
     ///
     /// # Errors
-    /// Names the key at fault.
+    /// Returns an error that names the invalid settings key.
     pub fn check(&self) -> Result<(), String> {
         if self.partners.is_empty() {
-            return Err("record_keys.partners: names no partner".into());
+            return Err("record_keys.partners: at least one partner is required".into());
         }
         Ok(())
     }
--- a/crates/oliveworks-runtime/src/latencies.rs
+++ b/crates/oliveworks-runtime/src/latencies.rs
@@ -1,31 +1,33 @@
-//! Latencies by what they are of, told as summaries in the text format that monitoring systems scrape.
+//! Latency histograms by kind, exported as summaries in the Prometheus text format.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
 use hdrhistogram::Histogram;
 
-/// The longest latency told apart, in microseconds: ten minutes.
+/// Upper bound of the histograms, in microseconds: ten minutes. Longer latencies count as this.
 const LATENCY_MAX_US: u64 = 600_000_000;
-/// Significant digits: latencies of 100 and 101 ms are told apart. Each histogram takes some 25 KB.
-const DIGITS: u8 = 2;
-/// Quantiles that are shown.
+/// Significant decimal digits of the histograms. With 2, latencies of 100 and 101 ms fall into
+/// different buckets, and each histogram takes about 25 KB.
+const SIGNIFICANT_DIGITS: u8 = 2;
+/// Exported quantiles.
 const QUANTILES: [f64; 3] = [0.5, 0.95, 0.99];
 
-/// Latencies since the process's start.
+/// Latency histograms since the start of the process, by kind.
 #[derive(Debug, Default)]
 pub struct Latencies(BTreeMap<&'static str, Histogram<u64>>);
 
 impl Latencies {
-    /// Notes a latency in microseconds.
+    /// Records a latency, in microseconds, of the kind `what`.
     pub fn note(&mut self, what: &'static str, micros: u64) {
         let histogram = self.0.entry(what).or_insert_with(|| {
-            Histogram::new_with_bounds(1, LATENCY_MAX_US, DIGITS).expect("constant bounds")
+            Histogram::new_with_bounds(1, LATENCY_MAX_US, SIGNIFICANT_DIGITS)
+                .expect("constant bounds")
         });
         histogram.saturating_record(micros.max(1));
     }
 
-    /// All of them as text, in seconds, under names that begin with `prefix`.
+    /// Returns all summaries as text. Values are in seconds; metric names start with `prefix`.
     pub fn text(&self, prefix: &str) -> String {
         let mut out = String::new();
         for (what, histogram) in &self.0 {
--- a/crates/oliveworks-runtime/src/lib.rs
+++ b/crates/oliveworks-runtime/src/lib.rs
@@ -1,4 +1,4 @@
-//! What every oliveworks process has: settings, logs, metrics, the time line, clocks.
+//! Shared parts of all oliveworks processes: settings, logs, metrics, the timeline and clocks.
 //!
 //! ```
 //! use oliveworks_runtime::timeline::{Event, Timeline};
@@ -8,8 +8,9 @@
 //! assert_eq!(timeline.events(|e| e.kind == "admitted").len(), 1);
 //! ```
 //!
-//! The time line keeps a bounded number of events in memory; a process that dies takes its own
-//! along. Settings are read from files that operators write; a wrong key is an error that names it.
+//! The timeline keeps a bounded number of events in memory; the events of a process are lost when
+//! it exits. Settings are read from files that operators write; an unknown or invalid key causes an
+//! error that names the key.
 
 pub mod clock;
 pub mod fleet;
--- a/crates/oliveworks-runtime/src/logs.rs
+++ b/crates/oliveworks-runtime/src/logs.rs
@@ -1,7 +1,7 @@
-//! Logs: short sentences, each with the prefix of the part that speaks, or one JSON object a line.
+//! Logging as plain text, each line with the name of its component, or as one JSON object per line.
 //!
-//! Lines are handed to a thread that writes them. If it cannot keep up, or there are more than a
-//! second may hold, lines are left out and counted; whoever logs never waits.
+//! A separate thread writes the lines. Lines are dropped and counted if this thread cannot keep up
+//! or if the limit of lines per second is exceeded; the thread that logs never blocks.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -12,18 +12,18 @@
 
 use crate::clock::wall_ms;
 
-/// How log lines look.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Format {
-    /// Lines for people.
+    /// Plain text for people.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Where log lines go.
+/// Destination of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Destination {
@@ -38,13 +38,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogConfig {
-    /// `off`, `error`, `warn`, `info`, `debug` or `trace`.
+    /// Lowest severity that is logged: `off`, `error`, `warn`, `info`, `debug` or `trace`.
     pub level: LevelFilter,
-    /// How lines look.
+    /// Format of the lines.
     pub format: Format,
-    /// Where they go.
+    /// Destination of the lines.
     pub to: Destination,
-    /// The most lines of a second; more are left out and counted.
+    /// Maximum number of lines per second. Further lines are dropped and counted.
     pub lines_per_s: u64,
 }
 
@@ -59,17 +59,18 @@
     }
 }
 
-/// The target of lines whose message is a JSON object of its own.
+/// Log target of lines whose message is itself a JSON object.
 pub const EVENT_TARGET: &str = "oliveworks_event";
-/// Lines that may wait to be written.
-const WAITING_MAX: usize = 4_096;
+/// Maximum number of lines that wait to be written.
+const QUEUE_CAPACITY: usize = 4_096;
 
-/// The fixed prefix of the part that a module belongs to.
+/// Returns the component name of a log target: the crate name without `oliveworks_`.
 fn part(target: &str) -> &str {
     target.strip_prefix("oliveworks_").unwrap_or(target).split("::").next().unwrap_or(target)
 }
 
-/// One JSON line. An event's own object stands under `event`.
+/// Formats a JSON line. The object of an event is placed under the key `event`, a text under
+/// `message`.
 fn json_line(process: &str, target: &str, level: log::Level, message: &str) -> String {
     let text = serde_json::Value::String(message.to_owned()).to_string();
     let (key, value) = match target == EVENT_TARGET {
@@ -84,8 +85,8 @@
     )
 }
 
-/// Hands lines on, within bounds.
-struct Bounded {
+/// Queue to the writer thread, with a limit of lines per second.
+struct LineQueue {
     sender: SyncSender<String>,
     lines_per_s: u64,
     second: AtomicU64,
@@ -93,9 +94,11 @@
     left_out: AtomicU64,
 }
 
-impl Bounded {
-    /// Takes a line, or counts it as left out.
-    fn take(&self, line: String, now_ms: u64) {
+impl LineQueue {
+    /// Enqueues a line, or drops and counts it if the queue is full or the limit is reached.
+    ///
+    /// The first line of a new second is preceded by a line with the number of dropped lines.
+    fn push(&self, line: String, now_ms: u64) {
         let second = now_ms / 1_000;
         if self.second.swap(second, Ordering::Relaxed) != second {
             self.lines.store(0, Ordering::Relaxed);
@@ -116,7 +119,7 @@
 fn write_lines(lines: &Receiver<String>, to: Destination) {
     while let Ok(first) = lines.recv() {
         let mut block = first + "\n";
-        // What waits already is written in one go.
+        // All lines that are already waiting are written in one call.
         while let Ok(line) = lines.try_recv() {
             block += &line;
             block.push('\n');
@@ -128,16 +131,16 @@
     }
 }
 
-/// Begins to write the process's logs. `process` names it in each line.
+/// Sets up logging. `process` is the name of the process in each line.
 ///
 /// # Errors
-/// If logs were set up before, or no thread can be started.
+/// Returns an error if logging is already set up or the writer thread cannot be started.
 pub fn init(process: &str, config: &LogConfig) -> anyhow::Result<()> {
     let process = process.to_owned();
     let (format, to) = (config.format, config.to);
-    let (sender, receiver) = sync_channel(WAITING_MAX);
+    let (sender, receiver) = sync_channel(QUEUE_CAPACITY);
     std::thread::Builder::new().name("logs".into()).spawn(move || write_lines(&receiver, to))?;
-    let bounded = Bounded {
+    let queue = LineQueue {
         sender,
         lines_per_s: config.lines_per_s,
         second: AtomicU64::new(0),
@@ -169,7 +172,7 @@
             }
         })
         .chain(fern::Output::call(move |record| {
-            bounded.take(record.args().to_string(), wall_ms());
+            queue.push(record.args().to_string(), wall_ms());
         }))
         .apply()?;
     Ok(())
--- a/crates/oliveworks-runtime/src/metrics.rs
+++ b/crates/oliveworks-runtime/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics, in the text format that monitoring systems scrape.
+//! Metrics of a process, in the Prometheus text format.
 
 use std::fmt::Write;
 use std::sync::Mutex;
@@ -11,29 +11,29 @@
 
 use crate::latencies::Latencies;
 
-/// Labels of a count of messages.
+/// Labels of the message counters.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct MessageLabels {
     direction: &'static str,
     kind: &'static str,
 }
 
-/// A label of its own.
+/// Label set with the single label `kind`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct KindLabel {
     kind: String,
 }
 
-/// Which way a message went.
+/// Direction of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// To this process.
+    /// Received by this process.
     In,
-    /// From this process.
+    /// Sent by this process.
     Out,
 }
 
-/// The metrics of one process.
+/// Metrics of one process.
 pub struct Metrics {
     registry: Registry,
     messages: Family<MessageLabels, Counter>,
@@ -44,7 +44,7 @@
 }
 
 impl Metrics {
-    /// Metrics at zero.
+    /// Creates the metrics, all at zero.
     #[expect(clippy::new_without_default, reason = "a registry is started, not defaulted")]
     pub fn new() -> Metrics {
         let mut registry = Registry::with_prefix("oliveworks");
@@ -60,7 +60,7 @@
         Metrics { registry, messages, bytes, requests, gauges, latencies: Mutex::default() }
     }
 
-    /// Counts a message.
+    /// Counts a message of `bytes` bytes.
     pub fn message(&self, direction: Direction, kind: &'static str, bytes: usize) {
         let direction = match direction {
             Direction::In => "in",
@@ -71,23 +71,23 @@
         self.bytes.get_or_create(&labels).inc_by(bytes as u64);
     }
 
-    /// Counts a request's outcome.
+    /// Counts a request by its outcome.
     pub fn request(&self, outcome: &str) {
         self.requests.get_or_create(&KindLabel { kind: outcome.to_owned() }).inc();
     }
 
-    /// Sets a size or state.
+    /// Sets the gauge of a size or state.
     pub fn set(&self, kind: &str, value: i64) {
         self.gauges.get_or_create(&KindLabel { kind: kind.to_owned() }).set(value);
     }
 
-    /// Notes a latency in microseconds.
+    /// Records a latency, in microseconds, of the kind `what`.
     pub fn latency(&self, what: &'static str, micros: u64) {
         let Ok(mut latencies) = self.latencies.lock() else { return };
         latencies.note(what, micros);
     }
 
-    /// All metrics as text.
+    /// Returns all metrics as text, together with the CPU time and resident memory of the process.
     pub fn text(&self) -> String {
         let mut out = String::new();
         let (cpu_seconds, resident) = process_usage();
@@ -106,19 +106,20 @@
     }
 }
 
-/// Kernel ticks in a second, as the process files count them.
+/// Kernel clock ticks per second, the unit of CPU time in `/proc/self/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Bytes in a page, as the process files count them.
-const PAGE: u64 = 4096;
+/// Size of a memory page in bytes, the unit of resident memory in `/proc/self/stat`.
+const PAGE_BYTES: u64 = 4096;
 
-/// This process's processor time in seconds and resident memory in bytes.
+/// Returns the CPU time of this process in seconds and its resident memory in bytes.
 pub fn process_usage() -> (f64, u64) {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let after_name = stat.rsplit(')').next().unwrap_or_default();
     let field = |n: usize| {
         after_name.split_whitespace().nth(n).and_then(|f| f.parse::<u64>().ok()).unwrap_or(0)
     };
-    // User and system time are the 14th and 15th fields of the file, resident pages the 24th.
+    // User and system time are fields 14 and 15 of the file, the number of resident pages is field
+    // 24. Index 0 is field 3, the first field after the process name.
     let ticks = field(11) + field(12);
-    (ticks as f64 / TICKS_PER_SECOND, field(21) * PAGE)
+    (ticks as f64 / TICKS_PER_SECOND, field(21) * PAGE_BYTES)
 }
--- a/crates/oliveworks-runtime/src/process.rs
+++ b/crates/oliveworks-runtime/src/process.rs
@@ -1,13 +1,14 @@
-//! The process's end.
+//! Shutdown of a process.
 
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Ends when the process is asked to stop: SIGTERM or SIGINT. Without signal handlers, it never ends.
+/// Completes when the process receives SIGTERM or SIGINT. Never completes if the signal handlers
+/// cannot be installed.
 pub async fn stop_asked() {
     let terminate = signal(SignalKind::terminate());
     let interrupt = signal(SignalKind::interrupt());
     let (Ok(mut terminate), Ok(mut interrupt)) = (terminate, interrupt) else {
-        log::error!("The process cannot be asked to stop.");
+        log::error!("Signal handlers cannot be installed; a graceful stop is not possible.");
         return std::future::pending().await;
     };
     tokio::select! {
--- a/crates/oliveworks-runtime/src/timeline.rs
+++ b/crates/oliveworks-runtime/src/timeline.rs
@@ -1,5 +1,5 @@
-//! The time line: what a process did, kept in memory and merged over all processes by the
-//! operators' command line.
+//! Timeline: recent events of a process, kept in memory. The operators' command line merges the
+//! timelines of all processes.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -9,38 +9,38 @@
 
 use crate::clock::wall_ms;
 
-/// How many events a process keeps. At some 300 bytes each, a little over a megabyte.
-const KEPT: usize = 4096;
+/// Number of events that a process keeps. At about 300 bytes each, they take a little over 1 MB.
+const MAX_EVENTS: usize = 4096;
 
-/// Something that happened.
+/// An event in the timeline of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// When, by the process's wall clock, in milliseconds since 1970.
+    /// Time of the event by the wall clock of the process, in milliseconds since 1970.
     pub time_ms: u64,
-    /// The process.
+    /// Name of the process.
     pub process: String,
-    /// Its number within the process; orders events of the same time.
+    /// Sequence number within the process; orders events with equal times.
     pub number: u64,
-    /// The part of the process.
+    /// Component of the process.
     pub part: String,
-    /// What happened, in one word.
+    /// Kind of the event, in one word.
     pub kind: String,
-    /// The request, if it is about one.
+    /// Request that the event concerns, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<String>,
-    /// The group, if it is about one.
+    /// Group that the event concerns, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub group: Option<String>,
-    /// The host, if it is about one.
+    /// Host that the event concerns, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub host: Option<String>,
-    /// More, for people.
+    /// Additional text for people.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub text: String,
 }
 
 impl Event {
-    /// An event of now.
+    /// Creates an event with the current wall-clock time.
     pub fn new(part: &str, kind: &str) -> Event {
         Event {
             time_ms: wall_ms(),
@@ -55,53 +55,55 @@
         }
     }
 
-    /// It is about a request.
+    /// Sets the request that the event concerns.
     pub fn request(mut self, request: impl ToString) -> Event {
         self.request = Some(request.to_string());
         self
     }
 
-    /// It is about a group.
+    /// Sets the group that the event concerns.
     pub fn group(mut self, group: Epoch) -> Event {
         self.group = Some(group.to_string());
         self
     }
 
-    /// It is about a host.
+    /// Sets the host that the event concerns.
     pub fn host(mut self, host: HostId) -> Event {
         self.host = Some(host.to_string());
         self
     }
 
-    /// More, for people.
+    /// Sets the additional text for people.
     pub fn text(mut self, text: impl Into<String>) -> Event {
         self.text = text.into();
         self
     }
 }
 
-/// Which events are wanted. An empty filter wants all.
+/// Filter of events. An empty filter matches all events.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Filter {
-    /// Of this request.
+    /// Request that an event must concern.
     pub request: Option<String>,
-    /// Of this group.
+    /// Group that an event must concern.
     pub group: Option<String>,
-    /// Of this host.
+    /// Host that an event must concern.
     pub host: Option<String>,
 }
 
 impl Filter {
-    /// Whether an event is wanted.
+    /// Returns whether an event matches the filter.
     pub fn wants(&self, event: &Event) -> bool {
-        let fits = |want: &Option<String>, have: &Option<String>| want.is_none() || want == have;
+        let fits = |expected: &Option<String>, actual: &Option<String>| {
+            expected.is_none() || expected == actual
+        };
         fits(&self.request, &event.request)
             && fits(&self.group, &event.group)
             && fits(&self.host, &event.host)
     }
 }
 
-/// One process's events, the latest ones.
+/// Most recent events of one process.
 #[derive(Debug)]
 pub struct Timeline {
     process: String,
@@ -109,25 +111,25 @@
 }
 
 impl Timeline {
-    /// An empty time line.
+    /// Creates an empty timeline.
     pub fn new(process: &str) -> Timeline {
         Timeline { process: process.to_owned(), events: Mutex::new((0, VecDeque::new())) }
     }
 
-    /// Adds an event.
+    /// Adds an event, and drops the oldest event if the timeline is full.
     pub fn note(&self, mut event: Event) {
         let Ok(mut guard) = self.events.lock() else { return };
         let (number, events) = &mut *guard;
         *number += 1;
         event.number = *number;
         event.process.clone_from(&self.process);
-        if events.len() == KEPT {
+        if events.len() == MAX_EVENTS {
             events.pop_front();
         }
         events.push_back(event);
     }
 
-    /// The events that are wanted, oldest first.
+    /// Returns the events that match the predicate, oldest first.
     pub fn events(&self, wants: impl Fn(&Event) -> bool) -> Vec<Event> {
         let Ok(guard) = self.events.lock() else { return Vec::new() };
         guard.1.iter().filter(|e| wants(e)).cloned().collect()
--- a/crates/oliveworks-runtime/tests/latencies.rs
+++ b/crates/oliveworks-runtime/tests/latencies.rs
@@ -1,4 +1,4 @@
-//! Latencies are told by quantiles.
+//! Quantiles of latencies in the exported text.
 
 use oliveworks_runtime::latencies::Latencies;
 
--- a/crates/oliveworks-runtime/tests/settings.rs
+++ b/crates/oliveworks-runtime/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: what is refused, and that the error names the key.
+//! Settings: invalid files are rejected, and the error names the key.
 
 use oliveworks_core::lease::LeaseConfig;
 use oliveworks_runtime::settings::{Check, parse};
