--- a/crates/oliveworks-platform/src/client.rs
+++ b/crates/oliveworks-platform/src/client.rs
@@ -1,4 +1,5 @@
-//! The platform as this project sees it: an append-only log and a lagging list of hosts, over HTTP.
+//! HTTP client of the platform, which provides an append-only log and an eventually consistent list
+//! of hosts.
 
 use anyhow::{Context, anyhow, bail};
 use ntex::client::{Client, ClientResponse, Connector};
@@ -8,55 +9,55 @@
 use oliveworks_core::id::Offset;
 use serde::{Deserialize, Serialize};
 
-/// The stream of all records.
+/// Stream of all records.
 pub const RECORDS: &str = "records";
-/// The stream of our own snapshots.
+/// Stream of the snapshots that the system writes.
 pub const SNAPSHOTS: &str = "snapshots";
 
-/// An append is given up after this long; its record may have been written all the same.
+/// Timeout of an append, in ms. The record may have been written even if the append times out.
 const APPEND_MS: u32 = 3_000;
-/// Time beyond the platform's own waiting.
+/// Timeout of a read beyond the time that the platform may wait for records, in ms.
 const READ_MARGIN_MS: u32 = 2_000;
-/// The largest answer that is read, in bytes.
+/// Maximum size of an answer, in bytes.
 const ANSWER_MAX: usize = 16 << 20;
 
-/// What an append answers.
+/// Answer to an append.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Appended {
-    /// The record's offset.
+    /// Offset of the appended record.
     pub offset: Offset,
 }
 
-/// A record as the log keeps it.
+/// A record as stored in the log.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LogRecord {
-    /// Its offset.
+    /// Offset of the record.
     pub offset: Offset,
-    /// What was appended.
+    /// Appended text.
     pub data: String,
 }
 
-/// What a read answers.
+/// Answer to a read.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LogPage {
-    /// The first offset still kept.
+    /// First offset that is still retained.
     pub start: Offset,
-    /// The offset after the last record of the whole stream.
+    /// Offset after the last record of the whole stream.
     pub next: Offset,
-    /// Records from the offset asked for on.
+    /// Records from the requested offset on.
     pub records: Vec<LogRecord>,
 }
 
-/// What a read found.
+/// Result of a read.
 #[derive(Clone, Debug)]
 pub enum Read {
-    /// Records, perhaps none.
+    /// Page of records, possibly empty.
     Page(LogPage),
-    /// The offset asked for is no longer kept; reading can go on at this one.
+    /// The requested offset is no longer retained. Reading can resume at the given offset.
     Expired(Offset),
 }
 
-/// A client of the platform. Belongs to the thread that made it.
+/// HTTP client of the platform. Must stay on the thread that created it.
 #[derive(Clone)]
 pub struct Platform {
     base: String,
@@ -64,16 +65,16 @@
 }
 
 impl Platform {
-    /// A client of the platform at `base`, such as `http://127.0.0.1:9000`.
+    /// Creates a client of the platform at the URL `base`, such as `http://127.0.0.1:9000`.
     pub async fn new(base: &str) -> Platform {
         Platform { base: base.trim_end_matches('/').to_owned(), http: http_client().await }
     }
 
-    /// Appends to a stream.
+    /// Appends a record to a stream and returns its offset.
     ///
     /// # Errors
-    /// If no answer came. The record may have been appended nevertheless: it is found by reading
-    /// on, under its id.
+    /// Returns an error if the platform rejects the append or does not answer. In the second case
+    /// the record may have been appended; a reader then finds it by its id.
     pub async fn append(&self, stream: &str, data: &str) -> anyhow::Result<Offset> {
         let request = self.http.post(format!("{}/log/{stream}", self.base));
         let mut response = request
@@ -87,10 +88,11 @@
         Ok(appended.offset)
     }
 
-    /// Reads a stream from an offset on, at most `max` records; waits up to `wait_ms` for the first.
+    /// Reads at most `max` records of a stream from an offset on. Waits up to `wait_ms`
+    /// milliseconds for the first record.
     ///
     /// # Errors
-    /// If the log does not answer.
+    /// Returns an error if the log rejects the read or does not answer.
     pub async fn read(
         &self,
         stream: &str,
@@ -118,10 +120,10 @@
         }
     }
 
-    /// The latest record of a stream.
+    /// Returns the last record of a stream.
     ///
     /// # Errors
-    /// If the log does not answer.
+    /// Returns an error if the log rejects a read or does not answer.
     pub async fn last(&self, stream: &str) -> anyhow::Result<Option<LogRecord>> {
         let mut from = Offset(u64::MAX);
         for _ in 0..2 {
@@ -136,10 +138,10 @@
         Ok(None)
     }
 
-    /// The list of hosts.
+    /// Returns the list of hosts.
     ///
     /// # Errors
-    /// If the platform does not answer.
+    /// Returns an error if the platform rejects the request or does not answer.
     pub async fn hosts(&self) -> anyhow::Result<Vec<ListedHost>> {
         let mut response = self
             .http
@@ -154,13 +156,13 @@
     }
 }
 
-/// Connections to one address at once. Templates' own limits bind before it.
+/// Maximum number of simultaneous connections to one address. The limits of templates are lower.
 const CONNECTIONS_MAX: usize = 4_096;
 
-/// An HTTP client for long answers: whole answers have their own times.
+/// Creates an HTTP client for long answers. Each request sets its own timeout.
 pub async fn http_client() -> Client {
-    // The library's own bound is 8 connections to one address: an agent would hand its engine no
-    // more requests than that at once, whatever the template allows.
+    // The default of the library is 8 connections per address, which would limit an agent to 8
+    // simultaneous requests to its engine, regardless of the limit of the template.
     let connector = Connector::default().limit(CONNECTIONS_MAX);
     Client::builder()
         .connector::<()>(connector)
--- a/crates/oliveworks-platform/src/engine.rs
+++ b/crates/oliveworks-platform/src/engine.rs
@@ -1,4 +1,4 @@
-//! A backend server as its agent sees it: health, orders, calls.
+//! HTTP client of a backend server, used by its agent: health, orders and calls.
 
 use anyhow::{Context, anyhow, bail};
 use futures_util::StreamExt;
@@ -11,67 +11,67 @@
 
 use crate::client::http_client;
 
-/// Health and load, as a backend server answers them.
+/// Health and load reported by a backend server.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Health {
-    /// Drawn at random when the server starts.
+    /// Random number that the server draws when it starts.
     pub instance: u64,
-    /// The highest fence that it has seen; zero if it checks none.
+    /// Highest fence that the server has received; zero if the server does not check fences.
     #[serde(default)]
     pub fence: Fence,
-    /// The digest of the weights that it holds.
+    /// Digest of the loaded weights.
     #[serde(default)]
     pub weights: Option<u64>,
-    /// Its load, some time ago.
+    /// Load of the server; may be out of date.
     #[serde(default)]
     pub load: Load,
 }
 
-/// A page of cache events. Numbers may be missing.
+/// A page of cache events. Events are numbered, and some numbers may be missing.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// The next number.
+    /// Number from which the next page starts.
     pub next: u64,
-    /// Blocks stored.
+    /// Blocks that were stored.
     pub stored: Vec<u64>,
-    /// Blocks evicted.
+    /// Blocks that were evicted.
     pub evicted: Vec<u64>,
 }
 
 /// One event of a completion.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Delta {
-    /// A token's text.
+    /// Text of a token.
     Token(String),
-    /// The end: why, and tokens of prompt, completion and cache.
+    /// End of the completion, with its reason and token counts.
     End {
-        /// Why it stopped.
+        /// Reason for the end.
         finish_reason: String,
-        /// Tokens of the prompt.
+        /// Number of tokens of the prompt.
         prompt: u32,
-        /// Tokens made.
+        /// Number of generated tokens.
         completion: u32,
-        /// Tokens of the prompt that the cache held.
+        /// Number of tokens of the prompt that were found in the cache.
         cached: u32,
     },
 }
 
-/// A client of one backend server. Belongs to the thread that made it.
+/// HTTP client of one backend server. Must stay on the thread that created it.
 #[derive(Clone)]
 pub struct Engine {
     base: String,
     http: Client,
 }
 
-/// Health must be told within this time, in milliseconds.
+/// Timeout of requests for health and cache events, in ms.
 const HEALTH_MS: u32 = 800;
-/// An order must be carried out within this time, in milliseconds: loading weights takes long.
+/// Timeout of an order, in ms. Loading weights takes long.
 const ORDER_MS: u32 = 120_000;
-/// The longest line of an event stream, in bytes.
+/// Maximum length of a line of an event stream, in bytes.
 const LINE_MAX: usize = 1 << 20;
 
 impl Engine {
-    /// A client of the server at `base`.
+    /// Creates a client of the server at the URL `base`.
     pub async fn new(base: &str) -> Engine {
         Engine { base: base.trim_end_matches('/').to_owned(), http: http_client().await }
     }
@@ -86,26 +86,26 @@
         Ok(serde_json::from_slice(&body)?)
     }
 
-    /// Asks for health and load.
+    /// Requests health and load.
     ///
     /// # Errors
-    /// If the server does not answer well in time.
+    /// Returns an error if the server answers with an error or not in time.
     pub async fn health(&self) -> anyhow::Result<Health> {
         self.get("/health").await
     }
 
-    /// Asks for cache events from a number on.
+    /// Requests the cache events from the number `from` on.
     ///
     /// # Errors
-    /// If the server does not answer well in time.
+    /// Returns an error if the server answers with an error or not in time.
     pub async fn cache_events(&self, from: u64) -> anyhow::Result<CacheEvents> {
         self.get(&format!("/cache-events?from={from}")).await
     }
 
-    /// Gives an order and waits until it is carried out.
+    /// Sends an order and waits until the server has carried it out.
     ///
     /// # Errors
-    /// If the server refuses it or does not answer.
+    /// Returns an error if the server rejects the order or does not answer in time.
     pub async fn order(&self, order: &EngineOrder) -> anyhow::Result<()> {
         let request = self.http.post(format!("{}/orders", self.base)).timeout(Millis(ORDER_MS));
         let response = request.send_json(order).await.map_err(|e| anyhow!("order: {e}"))?;
@@ -115,10 +115,11 @@
         }
     }
 
-    /// Starts a completion. Dropping the answer cancels it.
+    /// Starts a completion. Dropping the returned stream cancels it.
     ///
     /// # Errors
-    /// If the server does not take it.
+    /// Returns an error if the server rejects the completion or does not answer. A rejection is an
+    /// [`EngineStatus`].
     pub async fn complete(&self, call: &Completion<'_>) -> anyhow::Result<Deltas> {
         let path = if call.chat { "/v1/chat/completions" } else { "/v1/completions" };
         let request = self
@@ -143,10 +144,10 @@
         Ok(Deltas { response, buffer: Vec::new(), chat: call.chat })
     }
 
-    /// Calls a plain service. The body is sent as it comes; the answer is read as it comes.
+    /// Calls a plain service. The bodies of the request and of the answer are streamed.
     ///
     /// # Errors
-    /// If the server does not take it.
+    /// Returns an error if the method or a header is invalid, or if the server does not answer.
     pub async fn call<S>(&self, call: &ServiceCall<'_>, body: S) -> anyhow::Result<ClientResponse>
     where
         S: futures_util::Stream<Item = Result<ntex::util::Bytes, std::io::Error>> + Unpin + 'static,
@@ -173,48 +174,48 @@
     }
 }
 
-/// A completion for an engine.
+/// Completion request to an engine.
 pub struct Completion<'a> {
-    /// The request, for the engine's own logs and counts.
+    /// Id of the request, for the logs and counters of the engine.
     pub request: String,
-    /// The fence of the group.
+    /// Fence of the group.
     pub fence: Fence,
-    /// Chat rather than a plain prompt.
+    /// Whether the request is a chat; otherwise the body holds a plain prompt.
     pub chat: bool,
-    /// The first token wanted.
+    /// Index of the first requested token.
     pub from: u64,
-    /// The request's priority.
+    /// Priority of the request.
     pub priority: u8,
-    /// The time left, in milliseconds.
+    /// Time left until the deadline, in ms.
     pub left_ms: u32,
-    /// The request's body as JSON.
+    /// Body of the request as JSON.
     pub body: &'a [u8],
 }
 
-/// A call of a plain service.
+/// Call of a plain service.
 pub struct ServiceCall<'a> {
-    /// The request, for the service's own logs and counts.
+    /// Id of the request, for the logs and counters of the service.
     pub request: String,
-    /// The fence of the group.
+    /// Fence of the group.
     pub fence: Fence,
-    /// The HTTP method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Path and query.
+    /// Path and query of the URL.
     pub path: &'a str,
-    /// Headers.
+    /// Headers that are passed on.
     pub headers: &'a [(String, Vec<u8>)],
     /// Whether a body follows.
     pub has_body: bool,
-    /// The time left, in milliseconds.
+    /// Time left until the deadline, in ms.
     pub left_ms: u32,
 }
 
-/// An engine's refusal.
+/// Error status with which an engine rejected a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineStatus {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
-    /// The body.
+    /// Body of the answer.
     pub body: String,
 }
 
@@ -226,7 +227,7 @@
 
 impl std::error::Error for EngineStatus {}
 
-/// The events of a completion, as they come.
+/// Stream of the events of a completion.
 pub struct Deltas {
     response: ClientResponse,
     buffer: Vec<u8>,
@@ -234,13 +235,13 @@
 }
 
 impl Deltas {
-    /// The next event; `None` after the end.
+    /// Returns the next event, or `None` after the end of the stream.
     ///
     /// # Errors
-    /// If the stream breaks or says what it should not.
+    /// Returns an error if the connection fails, a line is too long, or an event is malformed.
     pub async fn next(&mut self) -> anyhow::Result<Option<Delta>> {
         loop {
-            while let Some(line) = self.line() {
+            while let Some(line) = self.next_line() {
                 if let Some(delta) = parse_line(&line, self.chat)? {
                     return Ok(Some(delta));
                 }
@@ -253,7 +254,8 @@
         }
     }
 
-    fn line(&mut self) -> Option<Vec<u8>> {
+    /// Removes the first complete line from the buffer.
+    fn next_line(&mut self) -> Option<Vec<u8>> {
         let at = self.buffer.iter().position(|b| *b == b'\n')?;
         let rest = self.buffer.split_off(at + 1);
         Some(std::mem::replace(&mut self.buffer, rest))
@@ -295,7 +297,7 @@
     cached_tokens: u32,
 }
 
-/// Reads one line of an event stream; `None` for lines that say nothing of the answer.
+/// Parses a line of an event stream. Returns `None` for lines that contain no part of the answer.
 fn parse_line(line: &[u8], chat: bool) -> anyhow::Result<Option<Delta>> {
     let text = std::str::from_utf8(line).context("engine: not text")?.trim();
     let Some(data) = text.strip_prefix("data:").map(str::trim) else { return Ok(None) };
--- a/crates/oliveworks-platform/src/lib.rs
+++ b/crates/oliveworks-platform/src/lib.rs
@@ -1,7 +1,7 @@
-//! Adapters to the platform and to backend servers, and the signatures of records.
+//! Clients of the platform and of backend servers, and signatures of records.
 //!
-//! The users' own platform and engines will take the place of the stand-ins; these modules are all
-//! that has to change then.
+//! Only these modules have to change when the users' own platform and engines replace the
+//! stand-ins.
 //!
 //! ```
 //! use oliveworks_core::record::{Author, Body, Record};
@@ -20,8 +20,8 @@
 //! assert_eq!(ring.open(&signed).unwrap(), record);
 //! ```
 //!
-//! Checking a signature costs some tens of microseconds. What the log, the list or an engine says
-//! is read without trust; their sizes are bounded.
+//! Verifying a signature takes some tens of microseconds. Answers of the log, of the host list and
+//! of engines are untrusted input, and their sizes are limited.
 
 pub mod client;
 pub mod engine;
--- a/crates/oliveworks-platform/src/sign.rs
+++ b/crates/oliveworks-platform/src/sign.rs
@@ -1,4 +1,5 @@
-//! Signed records: what goes into the log, and what every reader checks.
+//! Signatures of records and snapshots. The log holds signed records, and every reader verifies
+//! them.
 
 use std::collections::BTreeMap;
 
@@ -9,31 +10,31 @@
 use ring::signature::{ED25519, Ed25519KeyPair, KeyPair, UnparsedPublicKey};
 use serde::{Deserialize, Serialize};
 
-/// A signed text.
+/// A record with its signature, as written to the log.
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Envelope {
-    /// The record as JSON, byte for byte as it was signed.
+    /// Record as JSON, byte for byte as it was signed.
     record: String,
-    /// The signature, in hexadecimal.
+    /// Signature, in hexadecimal.
     sig: String,
 }
 
-/// A private key for records.
+/// Private key that signs records and snapshots.
 pub struct SigningKey {
     pair: Ed25519KeyPair,
     document: Vec<u8>,
 }
 
-/// Writes bytes in hexadecimal.
+/// Encodes bytes in hexadecimal.
 pub fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// Reads hexadecimal.
+/// Decodes hexadecimal text.
 ///
 /// # Errors
-/// If the text is none.
+/// Returns an error if the text is not hexadecimal.
 pub fn from_hex(text: &str) -> anyhow::Result<Vec<u8>> {
     if !text.is_ascii() || !text.len().is_multiple_of(2) {
         bail!("not hexadecimal");
@@ -42,59 +43,60 @@
     pairs.collect::<Result<_, _>>().map_err(|_| anyhow!("not hexadecimal"))
 }
 
-/// The digest under which a caller's token is published.
+/// Returns the SHA-256 digest under which a caller's token is published.
 pub fn token_digest(token: &str) -> String {
     to_hex(ring::digest::digest(&ring::digest::SHA256, token.as_bytes()).as_ref())
 }
 
 impl SigningKey {
-    /// Makes a new key.
+    /// Generates a new key.
     ///
     /// # Errors
-    /// If the system gives no random bytes.
+    /// Returns an error if the operating system provides no random bytes.
     pub fn generate() -> anyhow::Result<SigningKey> {
         let document = Ed25519KeyPair::generate_pkcs8(&SystemRandom::new())
-            .map_err(|_| anyhow!("no random bytes"))?;
+            .map_err(|_| anyhow!("the operating system provides no random bytes"))?;
         SigningKey::from_document(document.as_ref().to_vec())
     }
 
     fn from_document(document: Vec<u8>) -> anyhow::Result<SigningKey> {
-        let pair = Ed25519KeyPair::from_pkcs8(&document).map_err(|e| anyhow!("key: {e}"))?;
+        let pair = Ed25519KeyPair::from_pkcs8(&document)
+            .map_err(|e| anyhow!("private key is invalid: {e}"))?;
         Ok(SigningKey { pair, document })
     }
 
-    /// Reads a key as [`SigningKey::to_hex`] writes it.
+    /// Decodes a key from the format of [`SigningKey::to_hex`].
     ///
     /// # Errors
-    /// If the text is no key.
+    /// Returns an error if the text is not a private key.
     pub fn from_hex(text: &str) -> anyhow::Result<SigningKey> {
         SigningKey::from_document(from_hex(text.trim())?)
     }
 
-    /// The private key as text.
+    /// Returns the private key in hexadecimal.
     pub fn to_hex(&self) -> String {
         to_hex(&self.document)
     }
 
-    /// The public key as text.
+    /// Returns the public key in hexadecimal.
     pub fn public_hex(&self) -> String {
         to_hex(self.pair.public_key().as_ref())
     }
 
-    /// Signs a record.
+    /// Signs a record and returns the text for the log.
     ///
     /// # Errors
-    /// If the record cannot be written as JSON.
+    /// Returns an error if the record cannot be serialized.
     pub fn sign(&self, record: &Record) -> anyhow::Result<String> {
         let record = serde_json::to_string(record)?;
         let sig = to_hex(self.pair.sign(record.as_bytes()).as_ref());
         Ok(serde_json::to_string(&Envelope { record, sig })?)
     }
 
-    /// Signs a snapshot.
+    /// Signs a snapshot and returns its bytes followed by the signature.
     ///
     /// # Errors
-    /// If the snapshot cannot be written.
+    /// Never returns an error at present.
     pub fn sign_snapshot(&self, snapshot: &Snapshot) -> anyhow::Result<Vec<u8>> {
         let mut bytes = snapshot.to_bytes();
         let sig = self.pair.sign(&bytes);
@@ -103,10 +105,10 @@
     }
 }
 
-/// The length of a signature.
+/// Length of a signature, in bytes.
 const SIG_LEN: usize = 64;
 
-/// The public keys of all authors.
+/// Public keys of all authors of records.
 #[derive(Clone, Debug, Default)]
 pub struct KeyRing {
     keys: BTreeMap<String, Vec<u8>>,
@@ -120,17 +122,17 @@
 }
 
 impl KeyRing {
-    /// A ring of these authors' keys, as [`SigningKey::public_hex`] writes them.
+    /// Creates a key ring from authors and their keys in the format of [`SigningKey::public_hex`].
     ///
     /// # Errors
-    /// Names the author whose key is none.
+    /// Returns an error that names the author of an invalid key.
     pub fn new(keys: impl IntoIterator<Item = (Author, String)>) -> anyhow::Result<KeyRing> {
         let mut ring = KeyRing::default();
         for (author, hex) in keys {
             let name = author_name(&author);
-            let key = from_hex(&hex).with_context(|| format!("key of {name}"))?;
+            let key = from_hex(&hex).with_context(|| format!("public key of {name}"))?;
             if key.len() != ED25519_PUBLIC_LEN {
-                bail!("key of {name}: {ED25519_PUBLIC_LEN} bytes are expected");
+                bail!("public key of {name}: expected {ED25519_PUBLIC_LEN} bytes");
             }
             ring.keys.insert(name, key);
         }
@@ -139,44 +141,54 @@
 
     fn verify(&self, author: &Author, message: &[u8], sig: &[u8]) -> anyhow::Result<()> {
         let name = author_name(author);
-        let key = self.keys.get(&name).with_context(|| format!("no key of {name}"))?;
+        let key = self
+            .keys
+            .get(&name)
+            .with_context(|| format!("no public key of {name} is configured"))?;
         UnparsedPublicKey::new(&ED25519, key)
             .verify(message, sig)
-            .map_err(|_| anyhow!("the signature is not that of {name}"))
+            .map_err(|_| anyhow!("the signature does not match the public key of {name}"))
     }
 
-    /// Opens a signed record.
+    /// Parses a signed record and verifies its signature.
     ///
     /// # Errors
-    /// If it is no signed record, or the signature is not its author's.
+    /// Returns an error if the text is not a signed record or the signature is not that of its
+    /// author.
     pub fn open(&self, text: &str) -> anyhow::Result<Record> {
-        let envelope: Envelope = serde_json::from_str(text).context("no signed record")?;
-        let record: Record = serde_json::from_str(&envelope.record).context("no record")?;
+        let envelope: Envelope =
+            serde_json::from_str(text).context("the text is not a signed record")?;
+        let record: Record =
+            serde_json::from_str(&envelope.record).context("the signed text is not a record")?;
         let sig = from_hex(&envelope.sig)?;
         self.verify(&record.author, envelope.record.as_bytes(), &sig)?;
         Ok(record)
     }
 
-    /// Opens a signed snapshot.
+    /// Parses a signed snapshot and verifies its signature.
     ///
     /// # Errors
-    /// If it is none, or the signature is not the system's, or its digest does not match.
+    /// Returns an error if the bytes are not a signed snapshot or the signature is not that of the
+    /// system. [`Snapshot::into_verified_pool`] checks the digest.
     pub fn open_snapshot(&self, bytes: &[u8]) -> anyhow::Result<Snapshot> {
-        let at = bytes.len().checked_sub(SIG_LEN).context("no signed snapshot")?;
+        let at = bytes
+            .len()
+            .checked_sub(SIG_LEN)
+            .context("signed snapshot is shorter than a signature")?;
         let (text, sig) = bytes.split_at(at);
         self.verify(&Author::System, text, sig)?;
         Snapshot::from_bytes(text).map_err(|e| anyhow!("{e}"))
     }
 }
 
-/// The length of a public key.
+/// Length of a public key, in bytes.
 const ED25519_PUBLIC_LEN: usize = 32;
 
 impl KeyRing {
-    /// The ring of a fleet: its partners' and the system's keys.
+    /// Creates the key ring of a fleet from the keys of its partners and of the system.
     ///
     /// # Errors
-    /// Names the author whose key is none.
+    /// Returns an error that names the author of an invalid key.
     pub fn of_fleet<'a>(
         partners: impl IntoIterator<Item = (&'a oliveworks_core::id::Name, &'a String)>,
         system: &str,
--- a/crates/oliveworks-platform/tests/sign.rs
+++ b/crates/oliveworks-platform/tests/sign.rs
@@ -1,4 +1,4 @@
-//! Signatures: whose records and snapshots are believed.
+//! Signatures: records and snapshots are accepted only under the keys of their authors.
 
 use oliveworks_core::id::{HostId, Name, RecordId};
 use oliveworks_core::pool::{Pool, Snapshot};
@@ -26,7 +26,8 @@
     let (saffah, system, ring) = fleet();
     let own = record(partner("saffah"));
     assert_eq!(ring.open(&saffah.sign(&own).unwrap()).unwrap(), own);
-    // The system's key does not make a partner's record, nor a partner's key the system's.
+    // The system cannot sign records of a partner, and a partner cannot sign records of the system
+    // or of another partner.
     assert!(ring.open(&system.sign(&own).unwrap()).is_err());
     assert!(ring.open(&saffah.sign(&record(Author::System)).unwrap()).is_err());
     assert!(ring.open(&saffah.sign(&record(partner("sahel"))).unwrap()).is_err());
