--- a/crates/oliveworksctl/src/client.rs
+++ b/crates/oliveworksctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Asks entries.
+//! HTTP queries to entries.
 
 use anyhow::{Context as _, anyhow, bail};
 use ntex::client::Client;
@@ -7,17 +7,18 @@
 
 use crate::context::Context;
 
-/// An entry must answer within this time, in milliseconds.
-const ANSWER_MS: u32 = 4_000;
+/// Timeout of a query to an entry, in ms.
+const QUERY_TIMEOUT_MS: u32 = 4_000;
 
-/// Asks one entry.
+/// Queries one entry.
 ///
 /// # Errors
-/// If it does not answer well.
-pub async fn ask(context: &Context, entry: &str, path: &str) -> anyhow::Result<Value> {
+/// Returns an error if the entry does not answer, or answers with an error status or invalid JSON.
+pub async fn query(context: &Context, entry: &str, path: &str) -> anyhow::Result<Value> {
     let http = Client::new().await;
     let url = format!("{}{path}", entry.trim_end_matches('/'));
-    let request = http.get(&url).bearer_auth(&context.operator_token).timeout(Millis(ANSWER_MS));
+    let request =
+        http.get(&url).bearer_auth(&context.operator_token).timeout(Millis(QUERY_TIMEOUT_MS));
     let response = request.send().await.map_err(|e| anyhow!("{entry}: {e}"))?;
     let status = response.status();
     let body = response.body().limit(64 << 20).await.map_err(|e| anyhow!("{entry}: {e}"))?;
@@ -27,17 +28,17 @@
     serde_json::from_slice(&body).with_context(|| entry.to_owned())
 }
 
-/// Asks the entries one after the other until one answers.
+/// Queries the entries one after another until one of them answers.
 ///
 /// # Errors
-/// The last entry's error, if none does.
-pub async fn ask_any(context: &Context, path: &str) -> anyhow::Result<Value> {
-    let mut last = anyhow!("no entry is named");
+/// Returns the error of the last entry if no entry answers.
+pub async fn query_any(context: &Context, path: &str) -> anyhow::Result<Value> {
+    let mut last_error = anyhow!("the context file names no entry");
     for entry in &context.entries {
-        match ask(context, entry, path).await {
+        match query(context, entry, path).await {
             Ok(value) => return Ok(value),
-            Err(e) => last = e,
+            Err(e) => last_error = e,
         }
     }
-    Err(last)
+    Err(last_error)
 }
--- a/crates/oliveworksctl/src/context.rs
+++ b/crates/oliveworksctl/src/context.rs
@@ -1,4 +1,4 @@
-//! Whom the command line talks to, and as whom.
+//! Context file: the processes that the command line contacts, and its credentials.
 
 use std::path::{Path, PathBuf};
 
@@ -8,26 +8,26 @@
 use oliveworks_runtime::settings::{self, Check};
 use serde::Deserialize;
 
-/// The context file.
+/// Content of the context file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Context {
-    /// The platform.
+    /// URL of the platform.
     pub platform: String,
-    /// The entries' pages for operators.
+    /// URLs of the operator interfaces of the entries.
     pub entries: Vec<String>,
-    /// The operators' token, or the file that holds it.
+    /// Bearer token of the operators.
     pub operator_token: String,
-    /// The partner.
+    /// Partner that publishes the records.
     pub partner: Name,
-    /// The file with the partner's private key for records.
+    /// File with the private key that signs the partner's records.
     pub partner_key: PathBuf,
 }
 
 impl Check for Context {
     fn check(&self) -> Result<(), String> {
         if self.entries.is_empty() {
-            return Err("entries: names no entry".into());
+            return Err("entries: at least one entry is required".into());
         }
         Ok(())
     }
@@ -37,16 +37,16 @@
     /// Reads the context file.
     ///
     /// # Errors
-    /// If none is named, or it is wrong.
+    /// Returns an error if `path` is `None`, or the file cannot be read or is invalid.
     pub fn load(path: Option<&Path>) -> anyhow::Result<Context> {
         let path = path.context("--context or OLIVEWORKS_CONTEXT must name a context file")?;
         settings::load(path)
     }
 
-    /// The partner's key.
+    /// Reads the private key of the partner.
     ///
     /// # Errors
-    /// If it cannot be read.
+    /// Returns an error if the file cannot be read or is not a private key.
     pub fn key(&self) -> anyhow::Result<SigningKey> {
         let path = &self.partner_key;
         let text = std::fs::read_to_string(path)
--- a/crates/oliveworksctl/src/document.rs
+++ b/crates/oliveworksctl/src/document.rs
@@ -1,4 +1,4 @@
-//! The files that operators publish.
+//! Files that operators publish.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -12,15 +12,16 @@
 
 use crate::Output;
 
-/// A file of templates, workspaces and shares.
+/// Content of a file of templates, workspaces and shares.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Document {
-    /// Workspaces; published first, so that their templates find callers.
+    /// Workspaces. Published before the templates, because the callers of a template are those of
+    /// its workspace.
     pub workspaces: Vec<Workspace>,
     /// Templates.
     pub templates: Vec<Template>,
-    /// Shares of the pool, in hundredths.
+    /// Shares of the pool by partner, in percent.
     pub shares: Option<BTreeMap<Name, u8>>,
 }
 
@@ -28,7 +29,7 @@
     /// Reads and checks a file.
     ///
     /// # Errors
-    /// Names the key, and where it is known the line, at fault.
+    /// Returns an error that names the invalid key and, if known, its line.
     pub fn load(path: &Path) -> anyhow::Result<Document> {
         let text = std::fs::read_to_string(path).with_context(|| format!("{}", path.display()))?;
         Document::parse(&text).with_context(|| format!("{}", path.display()))
@@ -52,15 +53,16 @@
             && shares.values().map(|s| u32::from(*s)).sum::<u32>() != 100
         {
             let line = 1 + text.lines().position(|l| l.starts_with("shares:")).unwrap_or(0);
-            bail!("line {line}: shares: they add up to 100");
+            bail!("line {line}: shares: the sum must be 100");
         }
         if document.bodies(None).is_empty() {
-            bail!("the file holds no workspaces, templates or shares");
+            bail!("the file contains no workspaces, templates or shares");
         }
         Ok(document)
     }
 
-    /// What is to be published, in order.
+    /// Returns the bodies of the records to publish, in order. `edits` is the offset of the
+    /// template version that was edited.
     pub fn bodies(&self, edits: Option<Offset>) -> Vec<Body> {
         let workspaces = self.workspaces.iter().cloned();
         let templates = self.templates.iter().cloned();
@@ -73,34 +75,35 @@
     }
 }
 
-/// The line of a key of the `nth` item of a list, or of the item, as near as it can be found.
+/// Returns the line number of a key of the `nth` item of a list. Returns the first line of the item
+/// if the key is not found, and 1 if the item is not found.
 fn line_of(text: &str, list: &str, nth: usize, key: &str) -> usize {
     let key = key.rsplit('.').next().unwrap_or(key);
     let mut item = None;
-    let mut within = false;
-    let mut start = 1;
+    let mut in_list = false;
+    let mut item_line = 1;
     for (number, line) in text.lines().enumerate() {
         if !line.starts_with(' ') && !line.starts_with('-') && line.contains(':') {
-            within = line.starts_with(list);
+            in_list = line.starts_with(list);
         }
-        if !within {
+        if !in_list {
             continue;
         }
         if line.trim_start().starts_with("- ") && line.contains(':') {
             item = Some(item.map_or(0, |i: usize| i + 1));
             if item == Some(nth) {
-                start = number + 1;
+                item_line = number + 1;
             }
         }
-        let named = line.trim_start().trim_start_matches("- ").starts_with(&format!("{key}:"));
-        if item == Some(nth) && named {
+        let is_key = line.trim_start().trim_start_matches("- ").starts_with(&format!("{key}:"));
+        if item == Some(nth) && is_key {
             return number + 1;
         }
     }
-    start
+    item_line
 }
 
-/// `oliveworksctl check`
+/// Runs `oliveworksctl check`.
 pub fn check(path: &Path, output: Output) -> anyhow::Result<()> {
     let document = Document::load(path)?;
     let counts = json!({
--- a/crates/oliveworksctl/src/explain.rs
+++ b/crates/oliveworksctl/src/explain.rs
@@ -1,8 +1,8 @@
-//! Explains from logs what became of a request, and shows what happened around it.
+//! Explains the outcome of a request from logs, and shows related events.
 //!
-//! The request's own line says what was decided and why. What a reader needs besides is what the system
-//! knew then: how many groups served, what callers asked for, and what happened to the hosts that it went
-//! to. No process need run.
+//! The line of the request contains the decisions and their reasons. The output adds the state of
+//! the system at that time: the number of serving groups, the requested models, and the events of
+//! the hosts to which the request was sent. No process has to be running.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
@@ -13,70 +13,72 @@
 use crate::Output;
 use crate::logs::{LeftOut, Line, Logs};
 
-/// How long before a request's end lines about its hosts are shown, in ms: longer than any request lasts
-/// that was sent twice.
+/// Lines about the hosts of a request are shown from this time before its end on, in ms. Longer
+/// than the duration of any request that was sent twice.
 const BEFORE_MS: u64 = 10_000;
-/// The same after its end, in ms: the repair of a group that failed it has begun by then.
+/// Lines about the hosts of a request are shown up to this time after its end, in ms. The repair of
+/// a failed group has started by then.
 const AFTER_MS: u64 = 2_000;
-/// Kinds of lines of which the newest before the request was received is shown, whomever they name.
+/// Event kinds whose newest line before the arrival of the request is shown, regardless of the
+/// hosts that the line names. The newest line per model is shown.
 const STATE_KINDS: [&str; 3] = ["groups_serve", "model", "leads"];
 
-/// Which lines are wanted. An empty filter wants all.
+/// Filter of log lines. An empty filter matches all lines.
 #[derive(Clone, Debug, Default)]
 pub struct Filter {
-    /// About this request.
+    /// Request that a line must name.
     pub request: Option<String>,
-    /// About this group, by its epoch or name.
+    /// Group that a line must name, by epoch or name.
     pub group: Option<String>,
-    /// About this host.
+    /// Host that a line must name.
     pub host: Option<String>,
-    /// About this domain.
+    /// Failure domain that a line must name.
     pub domain: Option<String>,
-    /// Not before this time, in ms since 1970.
+    /// Earliest time of a line, in ms since 1970.
     pub from_ms: Option<u64>,
-    /// Not after this time, in ms since 1970.
+    /// Latest time of a line, in ms since 1970.
     pub to_ms: Option<u64>,
 }
 
 impl Filter {
-    fn wants(&self, line: &Line) -> bool {
+    fn matches(&self, line: &Line) -> bool {
         let named = [&self.request, &self.group, &self.host, &self.domain];
         let mut named = named.into_iter().flatten();
-        named.all(|what| line.event.names(what))
+        named.all(|what| line.event.mentions(what))
             && self.from_ms.is_none_or(|from| line.time_ms >= from)
             && self.to_ms.is_none_or(|to| line.time_ms <= to)
     }
 }
 
-/// What logs tell of a request.
+/// Explanation of a request from logs.
 #[derive(Serialize)]
-struct Explained {
-    /// Its own lines.
+struct Explanation {
+    /// Lines that name the request.
     lines: Vec<Line>,
-    /// What became of it, in a sentence.
+    /// Outcome and its cause, as a sentence.
     cause: String,
-    /// What the system knew when it came.
+    /// State of the system when the request arrived.
     known: Vec<Line>,
-    /// What happened to the hosts that it was sent to.
+    /// Events of the hosts to which the request was sent.
     hosts: Vec<Line>,
     left_out: LeftOut,
 }
 
-/// `oliveworksctl explain REQUEST --logs`
+/// Runs `oliveworksctl explain REQUEST --logs`.
 ///
 /// # Errors
-/// If a log cannot be read, or holds nothing about the request.
+/// Returns an error if a log cannot be read or contains no final line of the request.
 pub fn explain(request: &str, paths: &[PathBuf], output: Output) -> anyhow::Result<()> {
     let logs = Logs::find(paths)?;
     let filter = Filter { request: Some(request.to_owned()), ..Filter::default() };
     let (lines, left_out) = collect(&logs, &filter)?;
-    let Some(own) = lines.iter().find(|line| line.event.kind == "request") else {
-        tell_left_out(left_out);
-        anyhow::bail!("no line of these logs tells how request {request} ended");
+    let Some(request_line) = lines.iter().find(|line| line.event.kind == "request") else {
+        print_left_out(left_out);
+        anyhow::bail!("the logs contain no line with the outcome of request {request}");
     };
-    let (known, hosts) = around(&logs, own)?;
-    let cause = cause(own);
-    let explained = Explained { cause, known, hosts, lines, left_out };
+    let (known, hosts) = related_lines(&logs, request_line)?;
+    let cause = cause(request_line);
+    let explained = Explanation { cause, known, hosts, lines, left_out };
     match output {
         Output::Json => println!("{}", serde_json::to_string(&explained)?),
         Output::Text => print(&explained),
@@ -84,10 +86,10 @@
     Ok(())
 }
 
-/// `oliveworksctl timeline --logs`
+/// Runs `oliveworksctl timeline --logs`.
 ///
 /// # Errors
-/// If a log cannot be read.
+/// Returns an error if a log cannot be read.
 pub fn timeline(filter: &Filter, paths: &[PathBuf], output: Output) -> anyhow::Result<()> {
     let (lines, left_out) = collect(&Logs::find(paths)?, filter)?;
     if output == Output::Json {
@@ -97,15 +99,15 @@
     }
     let start = lines.first().map_or(0, |line| line.time_ms);
     lines.iter().for_each(|line| print_line(line, start));
-    tell_left_out(left_out);
+    print_left_out(left_out);
     Ok(())
 }
 
-/// The lines that are wanted, by time.
+/// Returns the lines that match the filter, sorted by time, and the numbers of skipped lines.
 fn collect(logs: &Logs, filter: &Filter) -> anyhow::Result<(Vec<Line>, LeftOut)> {
     let mut lines = Vec::new();
-    let left_out = logs.each(|line| {
-        if filter.wants(&line) {
+    let left_out = logs.for_each(|line| {
+        if filter.matches(&line) {
             lines.push(line);
         }
     })?;
@@ -113,13 +115,15 @@
     Ok((lines, left_out))
 }
 
-/// What the system knew when a request came, and what happened to the hosts that it was sent to.
-fn around(logs: &Logs, own: &Line) -> anyhow::Result<(Vec<Line>, Vec<Line>)> {
-    let received_ms = own.time_ms.saturating_sub(own.event.number("took_ms").unwrap_or(0));
-    let hosts = hosts(own);
+/// Returns the state of the system when a request arrived, and the events of the hosts to which the
+/// request was sent.
+fn related_lines(logs: &Logs, request_line: &Line) -> anyhow::Result<(Vec<Line>, Vec<Line>)> {
+    let received_ms =
+        request_line.time_ms.saturating_sub(request_line.event.number("took_ms").unwrap_or(0));
+    let hosts = hosts(request_line);
     let mut known: BTreeMap<(String, String), Line> = BTreeMap::new();
-    let mut about = Vec::new();
-    logs.each(|line| {
+    let mut host_lines = Vec::new();
+    logs.for_each(|line| {
         if STATE_KINDS.contains(&line.event.kind.as_str()) && line.time_ms <= received_ms {
             let model = line.event.text("model").unwrap_or_default().to_owned();
             let key = (line.event.kind.clone(), model);
@@ -127,34 +131,35 @@
                 known.insert(key, line.clone());
             }
         }
-        let span = own.time_ms.saturating_sub(BEFORE_MS)..=own.time_ms + AFTER_MS;
-        let near = span.contains(&line.time_ms) && line.event.kind != "request";
-        if near && hosts.iter().any(|host| line.event.names(host)) {
-            about.push(line);
+        let span = request_line.time_ms.saturating_sub(BEFORE_MS)..=request_line.time_ms + AFTER_MS;
+        let in_span = span.contains(&line.time_ms) && line.event.kind != "request";
+        if in_span && hosts.iter().any(|host| line.event.mentions(host)) {
+            host_lines.push(line);
         }
     })?;
-    about.sort_by_key(|line| line.time_ms);
-    Ok((known.into_values().collect(), about))
+    host_lines.sort_by_key(|line| line.time_ms);
+    Ok((known.into_values().collect(), host_lines))
 }
 
-fn steps(own: &Line) -> impl Iterator<Item = &str> {
-    let steps = own.event.fields.get("steps").and_then(Value::as_array);
+/// Returns the steps of a request, from its line.
+fn steps(request_line: &Line) -> impl Iterator<Item = &str> {
+    let steps = request_line.event.fields.get("steps").and_then(Value::as_array);
     steps.into_iter().flatten().filter_map(Value::as_str)
 }
 
-/// The hosts that a request was sent to.
-fn hosts(own: &Line) -> BTreeSet<String> {
-    let sent = steps(own).filter_map(|step| step.strip_prefix("to "));
+/// Returns the hosts to which a request was sent.
+fn hosts(request_line: &Line) -> BTreeSet<String> {
+    let sent = steps(request_line).filter_map(|step| step.strip_prefix("to "));
     sent.filter_map(|step| step.split_whitespace().next()).map(str::to_owned).collect()
 }
 
-/// What became of a request, in a sentence.
-fn cause(own: &Line) -> String {
-    let outcome = own.event.text("outcome").unwrap_or("unknown");
-    let took_ms = own.event.number("took_ms").unwrap_or(0);
-    let decided = steps(own).filter(|step| !step.starts_with("to ")).last();
-    let sent = own.event.number("sent").unwrap_or(0);
-    let why = match decided {
+/// Describes the outcome of a request and its cause in a sentence.
+fn cause(request_line: &Line) -> String {
+    let outcome = request_line.event.text("outcome").unwrap_or("unknown");
+    let took_ms = request_line.event.number("took_ms").unwrap_or(0);
+    let last_decision = steps(request_line).filter(|step| !step.starts_with("to ")).last();
+    let sent = request_line.event.number("sent").unwrap_or(0);
+    let why = match last_decision {
         Some("no place: Full") => "every group that may serve it was full",
         Some("no place: Cold") => {
             "every host that may serve it is cold, and was sent this gateway's part"
@@ -184,7 +189,7 @@
     format!("{outcome} after {took_ms} ms, sent {sent} times: {why}")
 }
 
-fn print(explained: &Explained) {
+fn print(explained: &Explanation) {
     let received_ms = explained.lines.first().map_or(0, |line| line.time_ms);
     let end = explained.lines.iter().find(|line| line.event.kind == "request");
     println!("{}", explained.cause);
@@ -197,7 +202,7 @@
     explained.known.iter().for_each(|line| print_line(line, received_ms));
     println!("the hosts that it was sent to:");
     explained.hosts.iter().for_each(|line| print_line(line, received_ms));
-    tell_left_out(explained.left_out);
+    print_left_out(explained.left_out);
 }
 
 fn print_line(line: &Line, start_ms: u64) {
@@ -208,7 +213,7 @@
     println!("{after_s:+9.3}s {:<16} {:<20} {fields}", line.process, line.event.kind);
 }
 
-fn tell_left_out(left_out: LeftOut) {
+fn print_left_out(left_out: LeftOut) {
     if left_out != LeftOut::default() {
         println!(
             "left out: {} torn lines, {} that are no gateway's",
--- a/crates/oliveworksctl/src/keys.rs
+++ b/crates/oliveworksctl/src/keys.rs
@@ -1,4 +1,4 @@
-//! Making keys and tokens.
+//! Generation of keys, certificates and tokens.
 
 use std::path::{Path, PathBuf};
 
@@ -11,39 +11,41 @@
 
 use crate::Output;
 
-/// What to make.
+/// What to generate
 #[derive(Subcommand)]
 pub enum Command {
-    /// A token for callers or operators, with the digest that is published.
+    /// Generate a token for callers or operators, and the digest to publish
     Token,
-    /// A key for records, of a partner or of the system: NAME.key and NAME.pub.
+    /// Generate a key pair that signs records of a partner or of the system: NAME.key and NAME.pub
     Record {
-        /// The key's name.
+        /// Name of the key
         name: String,
-        /// The folder.
+        /// Directory of the generated files
         #[arg(long, default_value = ".")]
         dir: PathBuf,
     },
-    /// The fleet's authority: ca.pem, and ca.key, which belongs on no host.
+    /// Generate the certificate authority of the fleet: ca.pem and ca.key; keep ca.key off the
+    /// hosts
     Authority {
-        /// The folder.
+        /// Directory of the generated files
         #[arg(long, default_value = ".")]
         dir: PathBuf,
     },
-    /// Certificates of processes, such as entry-1 or host-7: NAME.pem and NAME.key.
+    /// Issue certificates of processes: NAME.pem and NAME.key
     Issue {
-        /// The processes.
+        /// Names of the processes, such as entry-1 or host-7
         names: Vec<String>,
-        /// The folder with the authority.
+        /// Directory with ca.pem and ca.key; the certificates are written there too
         #[arg(long, default_value = ".")]
         dir: PathBuf,
     },
 }
 
-/// The length of a token in bytes.
+/// Number of random bytes in a token.
 const TOKEN_LEN: usize = 24;
 
-fn write(dir: &Path, name: &str, text: &str, secret: bool) -> anyhow::Result<()> {
+/// Writes a file. Secret files are readable only by their owner.
+fn write_file(dir: &Path, name: &str, text: &str, secret: bool) -> anyhow::Result<()> {
     use std::io::Write;
     use std::os::unix::fs::OpenOptionsExt;
     let path = dir.join(name);
@@ -58,7 +60,7 @@
     file.write_all(text.as_bytes()).with_context(|| format!("{}", path.display()))
 }
 
-/// `oliveworksctl keys`
+/// Runs `oliveworksctl keys`.
 pub fn run(command: Command, output: Output) -> anyhow::Result<()> {
     let made = match command {
         Command::Token => {
@@ -69,14 +71,14 @@
         }
         Command::Record { name, dir } => {
             let key = SigningKey::generate()?;
-            write(&dir, &format!("{name}.key"), &key.to_hex(), true)?;
-            write(&dir, &format!("{name}.pub"), &key.public_hex(), false)?;
+            write_file(&dir, &format!("{name}.key"), &key.to_hex(), true)?;
+            write_file(&dir, &format!("{name}.pub"), &key.public_hex(), false)?;
             json!({"name": name, "public": key.public_hex()})
         }
         Command::Authority { dir } => {
             let authority = Authority::generate()?;
-            write(&dir, "ca.pem", &authority.issued.cert, false)?;
-            write(&dir, "ca.key", &authority.issued.key, true)?;
+            write_file(&dir, "ca.pem", &authority.issued.cert, false)?;
+            write_file(&dir, "ca.key", &authority.issued.key, true)?;
             json!({"authority": "ca.pem"})
         }
         Command::Issue { names, dir } => {
@@ -88,8 +90,8 @@
                 Authority::open(Issued { cert: read("ca.pem")?, key: read("ca.key")? })?;
             for name in &names {
                 let issued = authority.issue(name)?;
-                write(&dir, &format!("{name}.pem"), &issued.cert, false)?;
-                write(&dir, &format!("{name}.key"), &issued.key, true)?;
+                write_file(&dir, &format!("{name}.pem"), &issued.cert, false)?;
+                write_file(&dir, &format!("{name}.key"), &issued.key, true)?;
             }
             json!({"issued": names})
         }
--- a/crates/oliveworksctl/src/logs.rs
+++ b/crates/oliveworksctl/src/logs.rs
@@ -1,8 +1,8 @@
-//! Reads the gateways' logs: files of one JSON object a line, as gateways write them.
+//! Reader of gateway logs, which are files with one JSON object per line.
 //!
-//! Logs of a day are larger than memory, so lines are handed on one by one. A file may have been cut while
-//! it was written, and a collector may have put words of its own before each line or between them: what
-//! cannot be read is counted and left out, never an error.
+//! The logs of a day can be larger than memory, so lines are processed one by one. A file may have
+//! been truncated during a write, and a log collector may have added text before or between the
+//! lines. Lines that cannot be parsed are therefore counted and skipped; they are not an error.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -13,45 +13,46 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// One line about a decision.
+/// Log line with an event.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// When it was written, by the process's wall clock, in ms since 1970.
+    /// Time of the line by the wall clock of its process, in ms since 1970.
     pub time_ms: u64,
-    /// Who wrote it; empty where a line counts those that were left out.
+    /// Process that wrote the line; empty for lines that report the number of dropped lines.
     #[serde(default)]
     pub process: String,
-    /// What it says.
+    /// Logged event.
     pub event: Event,
 }
 
-/// What a line says: its kind, and fields that differ from kind to kind.
+/// Logged event: its kind, and fields that depend on the kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Event {
-    /// Its kind.
+    /// Kind of the event.
     pub kind: String,
-    /// The other fields, by name.
+    /// Other fields, by name.
     #[serde(flatten)]
     pub fields: BTreeMap<String, Value>,
 }
 
-/// Lines that were left out.
+/// Numbers of skipped lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct LeftOut {
-    /// Lines that begin as a gateway's do and cannot be read to their end.
+    /// Lines that start like a gateway's line but cannot be parsed.
     pub torn: u64,
-    /// Lines that are no gateway's.
+    /// Lines that no gateway wrote.
     pub foreign: u64,
 }
 
-/// The files that logs were asked for in: files themselves, and all files in folders and below.
+/// Log files: the given files, and all files below the given directories.
 pub struct Logs {
     files: Vec<PathBuf>,
 }
 
-/// What every line of a gateway begins with.
-const BEGINNING: &str = "{\"time_ms\":";
+/// Start of each line that a gateway writes.
+const LINE_PREFIX: &str = "{\"time_ms\":";
 
+/// Adds a file, or all files below a directory, to `files`.
 fn files_below(path: &Path, files: &mut Vec<PathBuf>) -> anyhow::Result<()> {
     if !path.is_dir() {
         files.push(path.to_owned());
@@ -66,10 +67,10 @@
 }
 
 impl Logs {
-    /// Finds the files.
+    /// Finds the log files.
     ///
     /// # Errors
-    /// If a folder cannot be read.
+    /// Returns an error if a directory cannot be read.
     pub fn find(paths: &[PathBuf]) -> anyhow::Result<Logs> {
         let mut files = Vec::new();
         for path in paths {
@@ -79,22 +80,23 @@
         Ok(Logs { files })
     }
 
-    /// Hands on every line about a decision, file by file; tells what was left out.
+    /// Calls `handle` for each line with an event, file by file. Returns the numbers of skipped
+    /// lines.
     ///
     /// # Errors
-    /// If a file cannot be read.
-    pub fn each(&self, mut take: impl FnMut(Line)) -> anyhow::Result<LeftOut> {
+    /// Returns an error if a file cannot be read.
+    pub fn for_each(&self, mut handle: impl FnMut(Line)) -> anyhow::Result<LeftOut> {
         let mut left_out = LeftOut::default();
         for path in &self.files {
             let name = || path.display().to_string();
             let mut reader = BufReader::new(File::open(path).with_context(name)?);
             let mut bytes = Vec::new();
             while reader.read_until(b'\n', &mut bytes).with_context(name)? > 0 {
-                match read(&String::from_utf8_lossy(&bytes)) {
-                    Read::Line(line) => take(*line),
-                    Read::Message => {}
-                    Read::Torn => left_out.torn += 1,
-                    Read::Foreign => left_out.foreign += 1,
+                match parse_line(&String::from_utf8_lossy(&bytes)) {
+                    ParsedLine::Line(line) => handle(*line),
+                    ParsedLine::Message => {}
+                    ParsedLine::Torn => left_out.torn += 1,
+                    ParsedLine::Foreign => left_out.foreign += 1,
                 }
                 bytes.clear();
             }
@@ -103,57 +105,60 @@
     }
 }
 
-/// What a line of a file is.
-enum Read {
-    /// A line about a decision.
+/// Result of parsing a line.
+enum ParsedLine {
+    /// Line with an event.
     Line(Box<Line>),
-    /// A gateway's line in plain words.
+    /// Line of a gateway with a text message, not an event.
     Message,
-    /// The beginning of a gateway's line.
+    /// Line that starts like a gateway's line but cannot be parsed.
     Torn,
-    /// No gateway's line.
+    /// Line that no gateway wrote.
     Foreign,
 }
 
-fn read(text: &str) -> Read {
-    let Some(at) = text.find(BEGINNING) else { return Read::Foreign };
-    let Ok(value) = serde_json::from_str::<Value>(text[at..].trim_end()) else { return Read::Torn };
+fn parse_line(text: &str) -> ParsedLine {
+    let Some(at) = text.find(LINE_PREFIX) else { return ParsedLine::Foreign };
+    let Ok(value) = serde_json::from_str::<Value>(text[at..].trim_end()) else {
+        return ParsedLine::Torn;
+    };
     if value.get("event").is_none() {
-        return Read::Message;
+        return ParsedLine::Message;
     }
-    serde_json::from_value(value).map_or(Read::Torn, |line| Read::Line(Box::new(line)))
+    serde_json::from_value(value).map_or(ParsedLine::Torn, |line| ParsedLine::Line(Box::new(line)))
 }
 
 impl Event {
-    /// A field's text.
+    /// Returns the value of a text field.
     pub fn text(&self, field: &str) -> Option<&str> {
         self.fields.get(field)?.as_str()
     }
 
-    /// A field's number.
+    /// Returns the value of a field that is an unsigned integer.
     pub fn number(&self, field: &str) -> Option<u64> {
         self.fields.get(field)?.as_u64()
     }
 
-    /// Whether any field, or a text in it, names something.
-    pub fn names(&self, what: &str) -> bool {
-        self.fields.values().any(|value| names(value, what))
+    /// Returns whether any field contains the name `what` as a word, number or key.
+    pub fn mentions(&self, what: &str) -> bool {
+        self.fields.values().any(|value| mentions(value, what))
     }
 }
 
-fn names(value: &Value, what: &str) -> bool {
+/// Returns whether a value contains the name `what` as a word, number or key.
+fn mentions(value: &Value, what: &str) -> bool {
     match value {
-        Value::String(text) => text.split(|c: char| !is_of_name(c)).any(|word| word == what),
+        Value::String(text) => text.split(|c: char| !is_name_char(c)).any(|word| word == what),
         Value::Number(number) => number.to_string() == what,
-        Value::Array(items) => items.iter().any(|item| names(item, what)),
+        Value::Array(items) => items.iter().any(|item| mentions(item, what)),
         Value::Object(fields) => {
-            fields.iter().any(|(key, value)| key == what || names(value, what))
+            fields.iter().any(|(key, value)| key == what || mentions(value, what))
         }
         Value::Null | Value::Bool(_) => false,
     }
 }
 
-/// Whether a character may stand in the name of a host, group, domain or request.
-fn is_of_name(character: char) -> bool {
+/// Returns whether a character can be part of the name of a host, group, domain or request.
+fn is_name_char(character: char) -> bool {
     character.is_alphanumeric() || matches!(character, '-' | '_' | '.')
 }
--- a/crates/oliveworksctl/src/main.rs
+++ b/crates/oliveworksctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `oliveworksctl`: the operators' command line.
+//! `oliveworksctl`: command line for operators.
 
 mod client;
 mod context;
@@ -17,12 +17,12 @@
 
 use crate::context::Context;
 
-/// How results are printed.
+/// Output format of results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Output {
-    /// For people.
+    /// Text for people
     Text,
-    /// For programs.
+    /// JSON for programs
     Json,
 }
 
@@ -38,12 +38,12 @@
   oliveworksctl keys token";
 
 #[derive(Parser)]
-#[command(version, about = "Operates oliveworks: publishes templates, shows state.", after_help = EXAMPLES)]
+#[command(version, about = "Operate oliveworks: publish templates and show state", after_help = EXAMPLES)]
 struct Cli {
-    /// The file that names the platform, the entries and the partner's key.
+    /// Context file with the platform, the entries and the partner's key
     #[arg(long, env = "OLIVEWORKS_CONTEXT", global = true)]
     context: Option<PathBuf>,
-    /// How results are printed.
+    /// Output format
     #[arg(long, value_enum, default_value = "text", global = true)]
     output: Output,
     #[command(subcommand)]
@@ -52,84 +52,86 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Check a file of templates, workspaces and shares; publishes nothing.
+    /// Check a file of templates, workspaces and shares without publishing it
     Check {
-        /// The file.
+        /// File to check
         file: PathBuf,
     },
-    /// Publish a file; prints the offset of each record. Safe to repeat.
+    /// Publish a file and print the offset of each record; can be repeated safely
     Publish {
-        /// The file.
+        /// File to publish
         file: PathBuf,
-        /// Wait until everything is in force everywhere, and name the processes where it is not.
+        /// Wait until the records are in force at all processes, and list the processes where they
+        /// are not
         #[arg(long)]
         wait: bool,
-        /// How long to wait, in seconds.
+        /// Maximum time to wait, in seconds
         #[arg(long, default_value_t = 15)]
         wait_s: u64,
-        /// Only if this is still the offset of the version that was edited (one template).
+        /// Publish only if the current version of the template has this offset; the file must
+        /// contain one template
         #[arg(long)]
         edits: Option<u64>,
     },
-    /// Withdraw a template; its groups finish and are freed.
+    /// Withdraw a template; its groups finish their requests and are freed
     Withdraw {
-        /// The workspace.
+        /// Name of the workspace
         workspace: String,
-        /// The template.
+        /// Name of the template
         template: String,
     },
-    /// Show groups and hosts, and why hosts are idle or replicas missing.
+    /// Show groups and hosts, and why hosts are idle or replicas are missing
     Status,
-    /// Show events, merged over all processes.
+    /// Show the events of all processes, sorted by time
     Timeline {
-        /// Only of this request.
+        /// Show only events of this request
         #[arg(long)]
         request: Option<String>,
-        /// Only of this group, such as group-12.
+        /// Show only events of this group, such as group-12
         #[arg(long)]
         group: Option<String>,
-        /// Only of this host, such as host-7.
+        /// Show only events of this host, such as host-7
         #[arg(long)]
         host: Option<String>,
-        /// Only of this domain; with --logs.
+        /// Show only events of this failure domain; requires --logs
         #[arg(long, requires = "logs")]
         domain: Option<String>,
-        /// Only from this time on, in ms since 1970; with --logs.
+        /// Show only events from this time on, in ms since 1970; requires --logs
         #[arg(long, requires = "logs")]
         from_ms: Option<u64>,
-        /// Only up to this time, in ms since 1970; with --logs.
+        /// Show only events up to this time, in ms since 1970; requires --logs
         #[arg(long, requires = "logs")]
         to_ms: Option<u64>,
-        /// Gateways' logs, files or folders, to read in place of asking entries.
+        /// Read these gateway log files or directories instead of querying the entries
         #[arg(long, num_args = 1..)]
         logs: Vec<PathBuf>,
     },
-    /// Take a host out of use; what runs there is finished first.
+    /// Drain a host: finish its running requests and take the host out of use
     Drain {
-        /// The host.
+        /// Host, such as host-7
         host: HostId,
     },
-    /// Give a host back to use.
+    /// Put a drained host back into use
     Restore {
-        /// The host.
+        /// Host, such as host-7
         host: HostId,
     },
-    /// Tell what became of a request, step by step.
+    /// Show the steps and the outcome of a request
     Explain {
-        /// The request's id, as in the answer's `id` after the dash.
+        /// Id of the request: the part after the dash in the `id` of the answer
         request: String,
-        /// Gateways' logs, files or folders, to read in place of asking entries.
+        /// Read these gateway log files or directories instead of querying the entries
         #[arg(long, num_args = 1..)]
         logs: Vec<PathBuf>,
     },
-    /// Make keys and tokens.
+    /// Generate keys, certificates and tokens
     Keys {
         #[command(subcommand)]
         command: keys::Command,
     },
-    /// Print a shell's completions.
+    /// Print the completion script of a shell
     Completions {
-        /// The shell.
+        /// Shell
         shell: clap_complete::Shell,
     },
 }
--- a/crates/oliveworksctl/src/publish.rs
+++ b/crates/oliveworksctl/src/publish.rs
@@ -1,4 +1,4 @@
-//! Publishing: appends signed records, and sees what becomes of them.
+//! Publishing: appends signed records to the log, and queries their outcomes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -14,33 +14,37 @@
 use serde_json::{Value, json};
 
 use crate::Output;
-use crate::client::{ask, ask_any};
+use crate::client::{query, query_any};
 use crate::context::Context;
 use crate::document::Document;
 
-/// How often an append without an answer is tried.
-const TRIES: u32 = 5;
-/// Between two tries, in milliseconds.
-const TRY_MS: u32 = 700;
-/// Between two looks at what is in force, in milliseconds.
-const LOOK_MS: u32 = 200;
-/// How long to wait for a record's outcome.
-const OUTCOME: Duration = Duration::from_secs(8);
+/// Maximum number of attempts to append a record if no answer arrives.
+const APPEND_ATTEMPTS: u32 = 5;
+/// Time between two attempts to append, in ms.
+const RETRY_INTERVAL_MS: u32 = 700;
+/// Time between two queries of an outcome or of the positions of the processes, in ms.
+const POLL_INTERVAL_MS: u32 = 200;
+/// Maximum time to wait for the outcome of a record.
+const OUTCOME_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// What became of one record.
+/// Published record and its outcome.
 struct Published {
     kind: &'static str,
     offset: Offset,
     outcome: Outcome,
 }
 
+/// Outcome of a record.
 enum Outcome {
+    /// Applied by the readers.
     Applied,
+    /// Ignored by every reader, for the given reason.
     Ignored(String),
+    /// No entry reported the outcome in time.
     Unknown,
 }
 
-/// `oliveworksctl publish`
+/// Runs `oliveworksctl publish`.
 pub async fn publish(
     context: &Context,
     file: &Path,
@@ -50,13 +54,13 @@
 ) -> anyhow::Result<()> {
     let document = Document::load(file)?;
     if edits.is_some() && document.templates.len() != 1 {
-        bail!("--edits: goes with a file of exactly one template");
+        bail!("--edits: the file must contain exactly one template");
     }
     let bodies = document.bodies(edits.map(Offset));
     publish_all(context, bodies, wait_s, output).await
 }
 
-/// `oliveworksctl withdraw`
+/// Runs `oliveworksctl withdraw`.
 pub async fn withdraw(
     context: &Context,
     workspace: &str,
@@ -71,7 +75,7 @@
     publish_all(context, vec![Body::WithdrawTemplate { key }], None, output).await
 }
 
-/// `oliveworksctl drain` and `restore`
+/// Runs `oliveworksctl drain` if `drain` is set, else `oliveworksctl restore`.
 pub async fn drain(
     context: &Context,
     host: HostId,
@@ -82,6 +86,8 @@
     publish_all(context, vec![body], None, output).await
 }
 
+/// Appends the records one by one, waits for their outcomes, and prints them. With `wait_s`, also
+/// waits until all processes hold the records.
 async fn publish_all(
     context: &Context,
     bodies: Vec<Body>,
@@ -98,57 +104,64 @@
             body,
         };
         let text = key.sign(&record)?;
-        let offset = append(&platform, &text).await.context("nothing more was published")?;
-        let outcome = outcome(context, offset).await;
+        let offset = append(&platform, &text)
+            .await
+            .context("publishing stopped; no further records were appended")?;
+        let outcome = wait_for_outcome(context, offset).await;
         published.push(Published { kind: record.body.kind(), offset, outcome });
     }
     let last = published.iter().map(|p| p.offset).max().unwrap_or_default();
     let behind = match wait_s {
-        Some(s) => Some(wait_in_force(context, last, Duration::from_secs(s)).await),
+        Some(s) => Some(wait_until_in_force(context, last, Duration::from_secs(s)).await),
         None => None,
     };
     print(&published, behind.as_ref(), output);
     if published.iter().any(|p| matches!(p.outcome, Outcome::Ignored(_))) {
-        bail!("a record was ignored");
+        bail!("at least one record was ignored");
     }
     match behind {
-        Some(behind) if !behind.is_empty() => bail!("not in force everywhere"),
+        Some(behind) if !behind.is_empty() => {
+            bail!("the records are not in force at all processes")
+        }
         _ => Ok(()),
     }
 }
 
-/// Appends; an append whose answer was lost is looked for before it is tried again. Should it be
-/// written twice all the same, readers ignore the second by its id.
+/// Appends a record and returns its offset. If no answer arrives, the log is searched for the
+/// record before the next attempt. A record that is nevertheless written twice has the same id, and
+/// readers ignore the second copy.
 async fn append(platform: &Platform, text: &str) -> anyhow::Result<Offset> {
-    let from = next(platform).await.unwrap_or_default();
+    let from = next_offset(platform).await.unwrap_or_default();
     let mut last = None;
-    for _ in 0..TRIES {
+    for _ in 0..APPEND_ATTEMPTS {
         match platform.append(RECORDS, text).await {
             Ok(offset) => return Ok(offset),
             Err(e) => last = Some(e),
         }
-        sleep(Millis(TRY_MS)).await;
+        sleep(Millis(RETRY_INTERVAL_MS)).await;
         if let Ok(Read::Page(page)) = platform.read(RECORDS, from, 1000, 0).await
             && let Some(found) = page.records.iter().find(|r| r.data == text)
         {
             return Ok(found.offset);
         }
     }
-    let error = last.unwrap_or_else(|| anyhow::anyhow!("the log does not answer"));
-    Err(error.context("the record may or may not be in the log; repeat the command"))
+    let error = last.unwrap_or_else(|| anyhow::anyhow!("the log did not answer"));
+    Err(error.context("it is unknown whether the record is in the log; repeat the command"))
 }
 
-async fn next(platform: &Platform) -> Option<Offset> {
+/// Returns the offset of the next record in the log.
+async fn next_offset(platform: &Platform) -> Option<Offset> {
     match platform.read(RECORDS, Offset(u64::MAX), 1, 0).await {
         Ok(Read::Page(page)) => Some(page.next),
         _ => None,
     }
 }
 
-async fn outcome(context: &Context, offset: Offset) -> Outcome {
-    let until = Instant::now() + OUTCOME;
-    while Instant::now() < until {
-        if let Ok(answer) = ask_any(context, &format!("/admin/outcome/{offset}")).await
+/// Queries the entries until one of them reports the outcome of a record, or until the timeout.
+async fn wait_for_outcome(context: &Context, offset: Offset) -> Outcome {
+    let deadline = Instant::now() + OUTCOME_TIMEOUT;
+    while Instant::now() < deadline {
+        if let Ok(answer) = query_any(context, &format!("/admin/outcome/{offset}")).await
             && answer["known"] == json!(true)
         {
             return match answer["why"].as_str() {
@@ -156,32 +169,35 @@
                 None => Outcome::Applied,
             };
         }
-        sleep(Millis(LOOK_MS)).await;
+        sleep(Millis(POLL_INTERVAL_MS)).await;
     }
     Outcome::Unknown
 }
 
-/// Waits until every process holds the record; returns those that do not, with what they hold.
-async fn wait_in_force(
+/// Waits until every process holds the record. Returns the processes that do not hold it, each with
+/// its next offset if known.
+async fn wait_until_in_force(
     context: &Context,
     offset: Offset,
-    within: Duration,
+    timeout: Duration,
 ) -> BTreeMap<String, Option<u64>> {
-    let until = Instant::now() + within;
+    let deadline = Instant::now() + timeout;
     loop {
-        let behind = behind(context, offset).await;
-        if behind.is_empty() || Instant::now() > until {
+        let behind = processes_behind(context, offset).await;
+        if behind.is_empty() || Instant::now() > deadline {
             return behind;
         }
-        sleep(Millis(LOOK_MS)).await;
+        sleep(Millis(POLL_INTERVAL_MS)).await;
     }
 }
 
-async fn behind(context: &Context, offset: Offset) -> BTreeMap<String, Option<u64>> {
+/// Returns the processes that do not hold the record, each with its next offset if known. Covers
+/// the processes that the entries report, the entries that do not answer, and the live hosts.
+async fn processes_behind(context: &Context, offset: Offset) -> BTreeMap<String, Option<u64>> {
     let mut held: BTreeMap<String, Option<u64>> = BTreeMap::new();
     let mut expected: BTreeSet<String> = BTreeSet::new();
     for entry in &context.entries {
-        match ask(context, entry, "/admin/heads").await {
+        match query(context, entry, "/admin/heads").await {
             Err(_) => {
                 held.insert(entry.clone(), None);
             }
@@ -194,7 +210,7 @@
             }
         }
     }
-    if let Ok(status) = ask_any(context, "/admin/status").await {
+    if let Ok(status) = query_any(context, "/admin/status").await {
         for host in status["hosts"].as_array().into_iter().flatten() {
             if host["state"] == json!("live") {
                 expected.extend(host["host"].as_str().map(str::to_owned));
--- a/crates/oliveworksctl/src/show.rs
+++ b/crates/oliveworksctl/src/show.rs
@@ -1,24 +1,26 @@
-//! Showing state.
+//! Commands that show the state of the system.
 
 use oliveworks_runtime::timeline::{Event, Filter};
 use serde_json::Value;
 
 use crate::Output;
-use crate::client::ask_any;
+use crate::client::query_any;
 use crate::context::Context;
 
+/// Returns the text under a key, or `-`.
 fn text<'a>(value: &'a Value, key: &str) -> &'a str {
     value[key].as_str().unwrap_or("-")
 }
 
-fn list(value: &Value) -> String {
+/// Formats an array of host numbers as a comma-separated list.
+fn host_list(value: &Value) -> String {
     let items = value.as_array().into_iter().flatten();
     items.map(|v| format!("host-{v}")).collect::<Vec<_>>().join(",")
 }
 
-/// `oliveworksctl status`
+/// Runs `oliveworksctl status`.
 pub async fn status(context: &Context, output: Output) -> anyhow::Result<()> {
-    let status = ask_any(context, "/admin/status").await?;
+    let status = query_any(context, "/admin/status").await?;
     if output == Output::Json {
         println!("{status}");
         return Ok(());
@@ -42,8 +44,8 @@
             text(group, "replica"),
             state,
             text(group, "domain"),
-            list(&group["members"]),
-            list(&group["spares"]),
+            host_list(&group["members"]),
+            host_list(&group["spares"]),
         );
     }
     for host in status["hosts"].as_array().into_iter().flatten() {
@@ -62,6 +64,7 @@
     Ok(())
 }
 
+/// Queries the events that match the filter, and the processes that did not answer.
 async fn events(context: &Context, filter: &Filter) -> anyhow::Result<(Vec<Event>, Value)> {
     let mut query = Vec::new();
     for (name, value) in
@@ -69,15 +72,15 @@
     {
         query.extend(value.as_ref().map(|v| format!("{name}={v}")));
     }
-    let answer = ask_any(context, &format!("/admin/timeline?{}", query.join("&"))).await?;
+    let answer = query_any(context, &format!("/admin/timeline?{}", query.join("&"))).await?;
     Ok((serde_json::from_value(answer["events"].clone())?, answer["silent"].clone()))
 }
 
 fn print_event(event: &Event, start: u64) {
-    let mut about = String::new();
+    let mut subject = String::new();
     for part in [&event.request, &event.group, &event.host].into_iter().flatten() {
-        about.push_str(part);
-        about.push(' ');
+        subject.push_str(part);
+        subject.push(' ');
     }
     println!(
         "+{:>8.3}s {:<10} {:<8} {:<16} {}{}",
@@ -85,12 +88,12 @@
         event.process,
         event.part,
         event.kind,
-        about,
+        subject,
         event.text
     );
 }
 
-/// `oliveworksctl timeline`
+/// Runs `oliveworksctl timeline` without logs.
 pub async fn timeline(context: &Context, filter: &Filter, output: Output) -> anyhow::Result<()> {
     let (events, silent) = events(context, filter).await?;
     if output == Output::Json {
@@ -107,9 +110,9 @@
     Ok(())
 }
 
-/// `oliveworksctl explain`
+/// Runs `oliveworksctl explain` without logs.
 pub async fn explain(context: &Context, request: &str, output: Output) -> anyhow::Result<()> {
-    // Answers name a request with a prefix.
+    // The id in an answer is the id of the request after a prefix and a dash.
     let request = request.rsplit('-').next().unwrap_or(request).to_owned();
     let filter = Filter { request: Some(request.clone()), ..Filter::default() };
     let (events, silent) = events(context, &filter).await?;
--- a/crates/oliveworksctl/tests/command_line.rs
+++ b/crates/oliveworksctl/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line as an operator meets it.
+//! Command line, run as a separate process.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
--- a/crates/oliveworksctl/tests/logs.rs
+++ b/crates/oliveworksctl/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Requests explained from gateways' logs alone.
+//! Explanation of requests from gateway logs alone.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -19,7 +19,8 @@
     )
 }
 
-/// Two gateways' logs in a folder of their own, with words of a collector, a torn line and a foreign one.
+/// Creates a directory with the logs of two gateways. One line has a prefix of a log collector, one
+/// line is truncated, and one line was not written by a gateway.
 fn folder(name: &str) -> PathBuf {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&folder).unwrap();
