--- a/crates/oliveworks-standin/src/engine.rs
+++ b/crates/oliveworks-standin/src/engine.rs
@@ -1,4 +1,5 @@
-//! A model engine whose answers anyone can check: word i is word (i mod n) of the last message.
+//! Stand-in for a model engine with verifiable answers: word i of an answer is word (i mod n) of
+//! the last user message, which has n words.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::net::{SocketAddr, TcpListener};
@@ -23,49 +24,49 @@
 
 #[derive(Args)]
 pub struct Options {
-    /// Where to listen.
+    /// Address to listen on
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
     #[command(flatten)]
     host: HostOptions,
-    /// One step, which makes a token for every request that runs.
+    /// Duration of one step, in ms; each running request gets one token per step
     #[arg(long, default_value_t = 8)]
     step_ms: u32,
-    /// Requests that run at once.
+    /// Maximum number of requests that run simultaneously
     #[arg(long, default_value_t = 32)]
     capacity: usize,
-    /// Prompt tokens prefilled in a millisecond.
+    /// Number of prompt tokens that are prefilled per millisecond
     #[arg(long, default_value_t = 8)]
     prefill: u32,
-    /// Blocks that the prefix cache holds.
+    /// Capacity of the prefix cache, in blocks
     #[arg(long, default_value_t = 4096)]
     blocks: usize,
-    /// Refuse orders and requests with an old fence.
+    /// Reject orders and requests with an outdated fence
     #[arg(long)]
     checks_fences: bool,
-    /// Report load this late.
+    /// Delay of the reported load, in ms
     #[arg(long, default_value_t = 300)]
     load_lag_ms: u64,
 }
 
-/// Prompt tokens in a block of the prefix cache.
-const BLOCK: usize = 16;
-/// Tokens of an answer whose request names no number.
+/// Number of prompt tokens per block of the prefix cache.
+const BLOCK_TOKENS: usize = 16;
+/// Number of tokens of an answer if the request sets no maximum.
 const DEFAULT_TOKENS: u64 = 16;
-/// Cache events kept.
-const EVENTS_KEPT: usize = 1024;
-/// One cache event in this many is lost.
-const EVENT_GAP: u64 = 50;
+/// Number of cache events that are retained.
+const MAX_EVENTS: usize = 1024;
+/// Every cache event with a number divisible by this value is lost.
+const EVENT_LOSS_INTERVAL: u64 = 50;
 
-/// The engine's faults.
+/// Injected faults of the engine.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct Faults {
-    /// Steps take this much longer.
+    /// Additional duration of each step, in ms.
     slow_ms: u32,
-    /// Health checks fail.
+    /// Whether health checks fail.
     unhealthy: bool,
-    /// Streams break after this many tokens.
+    /// Number of tokens after which streams break.
     break_after: Option<u64>,
 }
 
@@ -98,6 +99,7 @@
         self.inner.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
+    /// Returns the current load.
     fn load(&self) -> Load {
         Load {
             running: (self.options.capacity - self.slots.available_permits()) as u32,
@@ -107,8 +109,8 @@
         }
     }
 
-    /// The load as it was some time ago.
-    fn late_load(&self) -> Load {
+    /// Returns the load with the configured delay.
+    fn delayed_load(&self) -> Load {
         let now = self.load();
         let lag = Duration::from_millis(self.options.load_lag_ms);
         let mut inner = self.lock();
@@ -121,37 +123,39 @@
 }
 
 impl Inner {
-    /// Puts a prompt's blocks into the cache; returns how many were there.
-    fn cache(&mut self, blocks: &[u64], most: usize) -> usize {
+    /// Adds the blocks of a prompt to the cache and evicts the oldest blocks beyond `capacity`.
+    /// Returns the number of leading blocks that were already cached.
+    fn cache_blocks(&mut self, blocks: &[u64], capacity: usize) -> usize {
         let covered = blocks.iter().take_while(|b| self.cache.contains(b)).count();
         for block in &blocks[covered..] {
             if self.cache.insert(*block) {
                 self.cache_order.push_back(*block);
-                self.event(true, *block);
+                self.record_event(true, *block);
             }
         }
-        while self.cache_order.len() > most {
+        while self.cache_order.len() > capacity {
             let Some(old) = self.cache_order.pop_front() else { break };
             self.cache.remove(&old);
-            self.event(false, old);
+            self.record_event(false, old);
         }
         covered
     }
 
-    fn event(&mut self, stored: bool, block: u64) {
+    /// Records a cache event, or loses it on purpose.
+    fn record_event(&mut self, stored: bool, block: u64) {
         self.next_event += 1;
-        if self.next_event.is_multiple_of(EVENT_GAP) {
+        if self.next_event.is_multiple_of(EVENT_LOSS_INTERVAL) {
             return;
         }
         self.events.push_back((self.next_event, stored, block));
-        if self.events.len() > EVENTS_KEPT {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
 }
 
 async fn health(engine: Shared) -> HttpResponse {
-    let load = engine.late_load();
+    let load = engine.delayed_load();
     let inner = engine.lock();
     if inner.faults.unhealthy {
         return HttpResponse::ServiceUnavailable().finish();
@@ -193,8 +197,8 @@
 
 async fn cache_events(engine: Shared, query: Query<EventQuery>) -> HttpResponse {
     let inner = engine.lock();
-    let wanted = inner.events.iter().filter(|(n, ..)| *n >= query.from);
-    let (stored, evicted): (Vec<_>, Vec<_>) = wanted.partition(|(_, stored, _)| *stored);
+    let selected = inner.events.iter().filter(|(n, ..)| *n >= query.from);
+    let (stored, evicted): (Vec<_>, Vec<_>) = selected.partition(|(_, stored, _)| *stored);
     let blocks = |events: Vec<&(u64, bool, u64)>| events.into_iter().map(|(.., b)| *b).collect();
     let next = inner.next_event + 1;
     HttpResponse::Ok().json(&CacheEvents { next, stored: blocks(stored), evicted: blocks(evicted) })
@@ -219,7 +223,7 @@
     Some(Fence { epoch: epoch.parse().ok()?, view: view.parse().ok()? })
 }
 
-/// The text of the last user message, or of the prompt.
+/// Returns the text of the last user message, or of the prompt.
 fn prompt(body: &Value) -> Option<String> {
     if let Some(messages) = body.get("messages").and_then(Value::as_array) {
         let user = |m: &&Value| m.get("role") == Some(&json!("user"));
@@ -228,7 +232,7 @@
     body.get("prompt")?.as_str().map(str::to_owned)
 }
 
-/// All text of the prompt, for the prefix cache.
+/// Returns the text of all messages, or of the prompt, for the prefix cache.
 fn all_text(body: &Value) -> String {
     let messages = body.get("messages").and_then(Value::as_array);
     let texts = messages.into_iter().flatten().filter_map(|m| m.get("content")?.as_str());
@@ -239,13 +243,14 @@
     }
 }
 
+/// Completion request to be processed.
 struct Job {
     words: Vec<String>,
     blocks: Vec<u64>,
     tokens: u32,
     from: u64,
     total: u64,
-    given: bool,
+    has_limit: bool,
     chat: bool,
 }
 
@@ -264,20 +269,20 @@
     }
     let all = all_text(&body);
     let tokens: Vec<&str> = all.split_whitespace().collect();
-    let given =
+    let limit =
         body.get("max_tokens").or(body.get("max_completion_tokens")).and_then(Value::as_u64);
     let job = Job {
         words: text.split_whitespace().map(str::to_owned).collect(),
-        blocks: prefix_blocks(&tokens, BLOCK),
+        blocks: prefix_blocks(&tokens, BLOCK_TOKENS),
         tokens: tokens.len() as u32,
         from: header(&request, "x-resume-from").and_then(|v| v.parse().ok()).unwrap_or(0),
-        total: given.unwrap_or(DEFAULT_TOKENS),
-        given: given.is_some(),
+        total: limit.unwrap_or(DEFAULT_TOKENS),
+        has_limit: limit.is_some(),
         chat: request.path().contains("chat"),
     };
     let (sender, receiver) = ntex::channel::mpsc::channel();
     ntex::rt::spawn(async move {
-        work(&engine, job, sender).await;
+        generate(&engine, job, sender).await;
     });
     HttpResponse::Ok().content_type("text/event-stream").streaming(receiver)
 }
@@ -288,25 +293,27 @@
     sender.send(Ok(Bytes::from(format!("data: {value}\n\n")))).is_ok()
 }
 
-/// Waits for so many milliseconds, to the millisecond: the web library's own timers are coarser.
-async fn step(ms: u32) {
+/// Sleeps for `ms` milliseconds. Uses the timers of tokio, which have a resolution of 1 ms; the
+/// timers of the web library are coarser.
+async fn sleep_ms(ms: u32) {
     tokio::time::sleep(Duration::from_millis(u64::from(ms))).await;
 }
 
-/// Waits for a place, prefills, and makes a token a step until the end or until nobody listens.
-async fn work(engine: &Engine, job: Job, sender: Sender) {
+/// Waits for a slot, prefills the prompt, and generates one token per step until the answer is
+/// complete or the receiver is closed.
+async fn generate(engine: &Engine, job: Job, sender: Sender) {
     engine.waiting.fetch_add(1, Ordering::Relaxed);
     let permit = engine.slots.acquire().await;
     engine.waiting.fetch_sub(1, Ordering::Relaxed);
     let Ok(_permit) = permit else { return };
-    let covered = engine.lock().cache(&job.blocks, engine.options.blocks) * BLOCK;
-    let cold = job.tokens.saturating_sub(covered as u32);
-    engine.prefill.fetch_add(cold, Ordering::Relaxed);
-    step(cold / engine.options.prefill.max(1)).await;
-    engine.prefill.fetch_sub(cold, Ordering::Relaxed);
+    let covered = engine.lock().cache_blocks(&job.blocks, engine.options.blocks) * BLOCK_TOKENS;
+    let uncached = job.tokens.saturating_sub(covered as u32);
+    engine.prefill.fetch_add(uncached, Ordering::Relaxed);
+    sleep_ms(uncached / engine.options.prefill.max(1)).await;
+    engine.prefill.fetch_sub(uncached, Ordering::Relaxed);
     for number in job.from..job.total {
         let faults = engine.lock().faults.clone();
-        step(engine.options.step_ms + faults.slow_ms).await;
+        sleep_ms(engine.options.step_ms + faults.slow_ms).await;
         if faults.break_after.is_some_and(|n| number >= n) {
             let broken = std::io::Error::other("broken on purpose");
             let _ = sender.send(Err(broken));
@@ -325,7 +332,7 @@
             return;
         }
     }
-    let reason = if job.given { "length" } else { "stop" };
+    let reason = if job.has_limit { "length" } else { "stop" };
     let choice = json!({"index": 0, "delta": {}, "text": "", "finish_reason": reason});
     let usage = json!({
         "prompt_tokens": job.tokens,
@@ -337,7 +344,7 @@
     let _ = sender.send(Ok(Bytes::from_static(b"data: [DONE]\n\n")));
 }
 
-/// Runs until it is ended.
+/// Runs the engine until the process is stopped.
 pub async fn run(options: Options) -> anyhow::Result<()> {
     let listener = TcpListener::bind(options.listen)?;
     super::announce(listener.local_addr()?);
--- a/crates/oliveworks-standin/src/main.rs
+++ b/crates/oliveworks-standin/src/main.rs
@@ -1,7 +1,7 @@
-//! `oliveworks-standin`: small stand-ins for the outside systems, for demonstrations and tests.
+//! `oliveworks-standin`: small stand-ins for the external systems, for demonstrations and tests.
 //!
-//! Not part of the product. Faults are switched on by `POST /faults` with a JSON body; `GET /faults`
-//! shows them.
+//! Not part of the product. `POST /faults` with a JSON body injects faults. `GET /faults` of the
+//! platform returns the injected faults.
 
 mod engine;
 mod platform;
@@ -15,7 +15,7 @@
 use oliveworks_runtime::logs::{self, LogConfig};
 
 #[derive(Parser)]
-#[command(version, about = "Stand-ins for the platform and for backend servers.")]
+#[command(version, about = "Run a stand-in for the platform or for a backend server")]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -23,33 +23,33 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// The log, the list of hosts and the weight store.
+    /// Platform: log, list of hosts and weight store
     Platform(platform::Options),
-    /// A model engine.
+    /// Model engine
     Engine(engine::Options),
-    /// A plain service.
+    /// Plain service
     Service(service::Options),
 }
 
-/// The host that a backend server stands on, for the platform's list.
+/// Host of a backend server, as registered in the host list of the platform.
 #[derive(Args, Clone)]
 pub struct HostOptions {
-    /// The host.
+    /// Host id
     #[arg(long)]
     host: HostId,
-    /// Its fabric domain.
+    /// Fabric domain of the host
     #[arg(long)]
     domain: DomainId,
-    /// Where its agent is reached.
+    /// Address of the agent of the host
     #[arg(long)]
     agent: SocketAddr,
-    /// The platform that lists the host.
+    /// URL of the platform that lists the host
     #[arg(long)]
     platform: String,
 }
 
 impl HostOptions {
-    /// Tells the platform once a second that the host is there.
+    /// Spawns a task that sends a heartbeat of the host to the platform once per second.
     fn keep_listed(&self, service: Option<String>) {
         let listed = ListedHost {
             host: self.host,
@@ -63,7 +63,7 @@
         ntex::rt::spawn(async move {
             let http = ntex::client::Client::new().await;
             loop {
-                // A lost beat is made up by the next.
+                // Errors are ignored, since the next heartbeat replaces a lost one.
                 let _ = http.post(&url).send_json(&listed).await;
                 ntex::time::sleep(ntex::time::Millis(1000)).await;
             }
@@ -81,7 +81,7 @@
     }
 }
 
-/// Prints where a server listens, for whoever started it.
+/// Prints the listening address for the process that started the server.
 fn announce(at: SocketAddr) {
     println!("listening {at}");
 }
--- a/crates/oliveworks-standin/src/platform.rs
+++ b/crates/oliveworks-standin/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform: an append-only log with offsets and limited retention, a lagging list of hosts, and
-//! a weight store with a limited rate.
+//! Stand-in for the platform: an append-only log with offsets and limited retention, an eventually
+//! consistent list of hosts, and a weight store with limited concurrency.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{SocketAddr, TcpListener};
@@ -18,43 +18,43 @@
 
 #[derive(Args)]
 pub struct Options {
-    /// Where to listen.
+    /// Address to listen on
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// Records kept in each stream.
+    /// Number of records retained in each stream
     #[arg(long, default_value_t = 100_000)]
     retention: usize,
-    /// Appends taken in a second.
+    /// Maximum number of appends per second
     #[arg(long, default_value_t = 300)]
     appends: u32,
-    /// How long the weights of one host take to fetch.
+    /// Duration of a fetch of the weights of one host, in ms
     #[arg(long, default_value_t = 300)]
     weights_ms: u32,
-    /// Hosts that may fetch weights at once.
+    /// Maximum number of simultaneous fetches of weights
     #[arg(long, default_value_t = 8)]
     fetches: usize,
-    /// How long a host that is gone stays in the list.
+    /// Time that a host stays in the list after its last heartbeat, in ms
     #[arg(long, default_value_t = 3_000)]
     lag_ms: u64,
 }
 
-/// The platform's faults.
+/// Injected faults of the platform.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct Faults {
-    /// The log answers nothing.
+    /// Whether the log is unavailable.
     down: bool,
-    /// The log appends, but its answers are lost.
+    /// Whether the answers to appends are lost although the records are appended.
     lose_answers: bool,
-    /// The log answers this much later.
+    /// Additional delay of the answers of the log, in ms.
     slow_ms: u32,
-    /// The list does not change any more.
+    /// Whether the list of hosts no longer changes.
     list_stuck: bool,
-    /// Hosts shown as leaving.
+    /// Hosts that are listed as leaving.
     leaving: BTreeSet<HostId>,
-    /// Hosts left out.
+    /// Hosts that are omitted from the list.
     hidden: BTreeSet<HostId>,
-    /// Records before this offset are dropped.
+    /// Records before this offset are dropped when the faults are set the next time.
     expire_before: u64,
 }
 
@@ -69,6 +69,7 @@
         self.start + self.records.len() as u64
     }
 
+    /// Drops the records before an offset.
     fn drop_before(&mut self, start: u64) {
         while self.start < start && self.records.pop_front().is_some() {
             self.start += 1;
@@ -112,12 +113,13 @@
     1000
 }
 
-/// The longest that a read waits, in milliseconds.
+/// Maximum time that a read waits for records, in ms.
 const WAIT_MAX_MS: u32 = 5_000;
-/// How often a waiting read looks, in milliseconds.
-const LOOK_MS: u32 = 20;
+/// Time between two checks of a waiting read for new records, in ms.
+const POLL_INTERVAL_MS: u32 = 20;
 
-async fn trouble(platform: &Platform) -> bool {
+/// Waits for the injected delay. Returns whether the log is unavailable.
+async fn inject_faults(platform: &Platform) -> bool {
     let (down, slow) = {
         let inner = platform.lock();
         (inner.faults.down, inner.faults.slow_ms)
@@ -133,7 +135,7 @@
 }
 
 async fn append(platform: Shared, stream: Path<String>, data: String) -> HttpResponse {
-    if trouble(&platform).await {
+    if inject_faults(&platform).await {
         return unavailable();
     }
     let (offset, lost) = {
@@ -162,9 +164,9 @@
 
 async fn read(platform: Shared, stream: Path<String>, query: Query<ReadQuery>) -> HttpResponse {
     let name = stream.into_inner();
-    let mut left = query.wait_ms.min(WAIT_MAX_MS);
+    let mut remaining_ms = query.wait_ms.min(WAIT_MAX_MS);
     loop {
-        if trouble(&platform).await {
+        if inject_faults(&platform).await {
             return unavailable();
         }
         let page = page(&mut platform.lock(), &name, &query);
@@ -172,11 +174,11 @@
         if query.from < page.start.0 {
             return HttpResponse::Gone().json(&page);
         }
-        if !empty || left == 0 {
+        if !empty || remaining_ms == 0 {
             return HttpResponse::Ok().json(&page);
         }
-        sleep(Millis(LOOK_MS.min(left))).await;
-        left = left.saturating_sub(LOOK_MS);
+        sleep(Millis(POLL_INTERVAL_MS.min(remaining_ms))).await;
+        remaining_ms = remaining_ms.saturating_sub(POLL_INTERVAL_MS);
     }
 }
 
@@ -189,26 +191,29 @@
     LogPage { start: Offset(stream.start), next: Offset(stream.next()), records: records.collect() }
 }
 
+/// Records a heartbeat of a host.
 async fn beat(platform: Shared, listed: Json<ListedHost>) -> HttpResponse {
     let listed = listed.into_inner();
     platform.lock().hosts.insert(listed.host, (listed, Instant::now()));
     HttpResponse::NoContent().finish()
 }
 
+/// Returns the list of hosts, with the injected faults.
 async fn hosts(platform: Shared) -> HttpResponse {
     let lag = Duration::from_millis(platform.options.lag_ms);
     let mut inner = platform.lock();
     if !inner.faults.list_stuck {
         let Inner { hosts, faults, .. } = &*inner;
-        let there =
+        let present =
             hosts.values().filter(|(l, at)| at.elapsed() < lag && !faults.hidden.contains(&l.host));
-        let shown = there
+        let shown = present
             .map(|(l, _)| ListedHost { leaving: faults.leaving.contains(&l.host), ..l.clone() });
         inner.shown = shown.collect();
     }
     HttpResponse::Ok().json(&inner.shown)
 }
 
+/// Simulates a fetch of weights.
 async fn weights(platform: Shared) -> HttpResponse {
     let Ok(_permit) = platform.fetches.acquire().await else { return unavailable() };
     sleep(Millis(platform.options.weights_ms)).await;
@@ -222,7 +227,7 @@
         stream.drop_before(before);
     }
     inner.faults = faults.into_inner();
-    log::info!("Faults are now {:?}.", inner.faults);
+    log::info!("Injected faults changed to {:?}.", inner.faults);
     HttpResponse::Ok().json(&inner.faults)
 }
 
@@ -230,7 +235,7 @@
     HttpResponse::Ok().json(&platform.lock().faults)
 }
 
-/// Runs until it is ended.
+/// Runs the platform until the process is stopped.
 pub async fn run(options: Options) -> anyhow::Result<()> {
     let listener = TcpListener::bind(options.listen)?;
     super::announce(listener.local_addr()?);
--- a/crates/oliveworks-standin/src/service.rs
+++ b/crates/oliveworks-standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts what it ran.
+//! Stand-in for a plain service. Counts the bookings that it ran, by id.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -16,15 +16,15 @@
 
 #[derive(Args)]
 pub struct Options {
-    /// Where to listen.
+    /// Address to listen on
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// The service's name.
+    /// Name of the service
     #[arg(long)]
     name: String,
     #[command(flatten)]
     host: HostOptions,
-    /// How long a booking takes.
+    /// Duration of a booking, in ms
     #[arg(long, default_value_t = 5)]
     book_ms: u32,
 }
@@ -46,6 +46,7 @@
     ran: bool,
 }
 
+/// Counts a booking and answers after the configured duration.
 async fn book(service: State<Arc<Service>>, booking: Json<Booking>) -> HttpResponse {
     let id = booking.into_inner().id;
     let name = id.as_str().map_or_else(|| id.to_string(), str::to_owned);
@@ -63,7 +64,7 @@
     }
 }
 
-/// Gives the request back: method, path, query, headers and body.
+/// Returns the method, path, query, `x-test-` headers and body of the request.
 async fn echo(request: HttpRequest, body: web::types::Payload) -> HttpResponse {
     let mut response = HttpResponse::Ok();
     response.header("x-echo-method", request.method().as_str());
@@ -85,7 +86,7 @@
     HttpResponse::NoContent().finish()
 }
 
-/// Runs until it is ended.
+/// Runs the service until the process is stopped.
 pub async fn run(options: Options) -> anyhow::Result<()> {
     let listener = TcpListener::bind(options.listen)?;
     super::announce(listener.local_addr()?);
--- a/crates/oliveworks/src/lib.rs
+++ b/crates/oliveworks/src/lib.rs
@@ -1,20 +1,20 @@
 //! oliveworks serves models whose replicas span several hosts, for partners who share one pool.
 //!
-//! This crate is the small front of the workspace: the types that a program embedding oliveworks, or
-//! a tool beside it, is likely to need. The daemons are binaries of their own (`oliveworks-entry`,
-//! `oliveworks-agent`, `oliveworksctl`); every part can also be used alone.
+//! This crate is a facade: it re-exports the types that are usually needed by programs that embed
+//! oliveworks and by separate tools. The executables `oliveworks-entry`, `oliveworks-agent` and
+//! `oliveworksctl` are separate crates, and each library crate can also be used alone.
 //!
-//! | part | crate |
+//! | contents | crate |
 //! |---|---|
 //! | decisions without I/O | [`core`] |
 //! | signed records, platform, backend servers | [`platform`] |
 //! | messages between processes | [`net`] |
-//! | keeping the pool current | [`feed`] |
-//! | settings, logs, metrics, time line | [`runtime`] |
+//! | updates of the pool from the log | [`feed`] |
+//! | settings, logs, metrics, timeline | [`runtime`] |
 //!
 //! # Example
-//! Following a log from one's own code: records are applied in order, and one that does not fit is
-//! ignored by every reader alike.
+//! Replay of a log in a program: records are applied in order, and all readers ignore the same
+//! invalid records.
 //!
 //! ```
 //! use oliveworks::{Author, Body, HostId, Ignored, Name, Offset, Pool, Record, RecordId};
@@ -31,9 +31,9 @@
 //! ```
 //!
 //! # Cost and untrusted input
-//! The pool of 4,100 hosts takes about a megabyte; `docs/CAPACITY.md` has the measured figures.
-//! Records must be opened with [`platform::sign::KeyRing`] before they are applied: the pool checks
-//! what a record says, not who wrote it.
+//! The pool of 4,100 hosts takes about 1 MB; `docs/CAPACITY.md` contains the measured figures.
+//! Records must be opened with [`platform::sign::KeyRing`] before they are applied, because the
+//! pool checks the content of a record but not its signature.
 
 pub use oliveworks_core as core;
 pub use oliveworks_feed as feed;
