--- a/crates/oliveworksctl/src/explain.rs
+++ b/crates/oliveworksctl/src/explain.rs
@@ -1,8 +1,8 @@
 //! Explains the outcome of a request from logs, and shows related events.
 //!
 //! The line of the request contains the decisions and their reasons. The output adds the state of
-//! the system at that time: the number of serving groups, the requested models, and the events of
-//! the hosts to which the request was sent. No process has to be running.
+//! the system at that time: the number of serving groups, the demand of the callers, and the
+//! events of the hosts to which the request was sent. No process has to be running.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
