--- a/crates/oliveworks-runtime/src/logs.rs
+++ b/crates/oliveworks-runtime/src/logs.rs
@@ -97,8 +97,8 @@
 impl LineQueue {
     /// Enqueues a line, or drops and counts it if the queue is full or the limit is reached.
     ///
-    /// If lines were dropped, a line with their number precedes the first line of the next second in
-    /// which a line is logged.
+    /// If lines were dropped, a line with their number precedes the first line of the next second
+    /// in which a line is logged.
     fn push(&self, line: String, now_ms: u64) {
         let second = now_ms / 1_000;
         if self.second.swap(second, Ordering::Relaxed) != second {
