--- a/crates/oliveworks-gateway-core/tests/planner/drain.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/drain.rs
@@ -1,5 +1,5 @@
-//! Drained failure domains: what is there stays and serves nothing, what is wanted moves, and all of it
-//! serves again once the drain ends.
+//! Tests of drained failure domains: their groups remain but do not serve, their quotas move to
+//! other domains, and the groups serve again once the drain ends.
 
 use std::collections::BTreeSet;
 
@@ -12,17 +12,23 @@
     leader.planner.set_drained(&names);
 }
 
-/// Epochs of the groups that serve in a domain.
+/// Returns the epochs of the groups that serve in a domain.
 fn epochs(world: &World, leader: &Leader, domain: &str) -> BTreeSet<u64> {
     let serving = leader.planner.serving(world.now).into_iter();
     let here = serving.filter(|group| world.hosts[&group.members[0]].server.domain == domain);
     here.map(|group| group.epoch).collect()
 }
 
-/// Runs on in traffic; returns the orders to hosts of a domain that make them load or join something.
-fn run_and_note(world: &mut World, leader: &mut Leader, domain: &str, time_ms: u64) -> Vec<String> {
+/// Continues the run with traffic. Returns the orders to hosts of a domain to load a model or to
+/// join a group.
+fn run_and_collect_orders(
+    world: &mut World,
+    leader: &mut Leader,
+    domain: &str,
+    time_ms: u64,
+) -> Vec<String> {
     let until = world.now + time_ms;
-    let mut given = Vec::new();
+    let mut orders = Vec::new();
     while world.now < until {
         world.step();
         leader.planner.set_traffic(true);
@@ -31,9 +37,9 @@
                 Command::Order { server, order, expects, .. } => {
                     let here = world.hosts[&server].server.domain == domain;
                     if here && matches!(order, Order::Join { .. } | Order::Stage { .. }) {
-                        given.push(format!("{server}: {order:?}"));
+                        orders.push(format!("{server}: {order:?}"));
                     }
-                    leader.give(world, server, order, expects);
+                    leader.send_order(world, server, order, expects);
                 }
                 Command::Probe { server, .. } => match world.holding(&server) {
                     Some(holding) => leader.planner.handle_report(world.now, &server, &holding),
@@ -42,11 +48,11 @@
             }
         }
     }
-    given
+    orders
 }
 
-/// Groups there are not published from the next look on, get no orders, and serve with the first look
-/// after the drain.
+/// Groups of a drained domain are not published from the next tick on, get no orders, and serve
+/// with the first tick after the drain.
 #[test]
 fn groups_of_a_drained_domain_stay_and_serve_again_at_once() {
     let (mut world, mut leader) = formed(FEW);
@@ -55,14 +61,14 @@
     assert!(!before.is_empty());
     drain(&mut leader, &DOMAINS[..1]);
     assert_eq!(epochs(&world, &leader, DOMAINS[0]), BTreeSet::new());
-    let given = run_and_note(&mut world, &mut leader, DOMAINS[0], 60_000);
-    assert_eq!(given, Vec::<String>::new());
+    let orders = run_and_collect_orders(&mut world, &mut leader, DOMAINS[0], 60_000);
+    assert_eq!(orders, Vec::<String>::new());
     drain(&mut leader, &[]);
     run_for(&mut world, &mut leader, TICK_MS, true);
     assert_eq!(epochs(&world, &leader, DOMAINS[0]), before);
 }
 
-/// The only domain with groups of the small model is drained: another one forms some.
+/// All domains but one are drained. The remaining domain forms groups of both models.
 #[test]
 fn what_is_wanted_moves_to_other_domains() {
     let (mut world, mut leader) = formed(FEW);
@@ -73,14 +79,14 @@
         let served = serving(&world, &leader, model, DOMAINS[0]);
         assert!(served > 0, "no {model}: {:?}", leader.planner.describe_domains());
     }
-    // Nothing is wanted where nothing may be formed.
+    // Quotas are empty in domains that may not form groups.
     let lines = leader.planner.describe_domains();
     let drained = lines.iter().filter(|line| !line.starts_with(DOMAINS[0]));
     drained.for_each(|line| assert!(line.ends_with("wanted {}"), "{line}"));
 }
 
-/// A member dies there: its head is told to leave, its hosts join nothing before the drain ends, and then
-/// form a group again.
+/// A member of a group of a drained domain dies. The head is ordered to leave, the hosts join no
+/// group before the drain ends, and form a group again afterwards.
 #[test]
 fn a_hurt_group_of_a_drained_domain_is_made_safe() {
     let (mut world, mut leader) = formed(FEW);
@@ -94,18 +100,19 @@
     let lost = group.members.last().expect("a member");
     world.hosts.get_mut(lost).expect("a host").alive = false;
     suspect(&world, std::slice::from_mut(&mut leader), lost);
-    let given = run_and_note(&mut world, &mut leader, DOMAINS[0], 20_000);
-    assert_eq!(given, Vec::<String>::new());
+    let orders = run_and_collect_orders(&mut world, &mut leader, DOMAINS[0], 20_000);
+    assert_eq!(orders, Vec::<String>::new());
     assert!(!world.head_serves(group.epoch, &group.members));
     drain(&mut leader, &[]);
     run_for(&mut world, &mut leader, 10_000, true);
     let after = epochs(&world, &leader, DOMAINS[0]);
     assert_eq!(after.len(), before.len(), "{:?}", leader.planner.describe_domains());
     assert!(!after.contains(&group.epoch));
-    assert!(world.breaches.is_empty(), "{:?}", world.breaches);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
 
-/// Every domain is drained: nothing serves, nothing breaks, and everything serves again.
+/// Every domain is drained: no group serves, no rule is violated, and all groups serve again after
+/// the drain.
 #[test]
 fn all_domains_are_drained() {
     let (mut world, mut leader) = formed(FEW);
@@ -120,7 +127,8 @@
     assert_eq!(before, after);
 }
 
-/// The next leader takes over in a drain: it keeps the groups there, and they serve after it.
+/// The next leader takes over during a drain. The groups of the drained domain are kept, and serve
+/// after the drain.
 #[test]
 fn the_next_leader_keeps_groups_of_a_drained_domain() {
     let (mut world, mut leader) = formed(FEW);
@@ -137,27 +145,27 @@
     assert_eq!(epochs(&world, &next, DOMAINS[0]), before);
 }
 
-/// A drain comes while hosts still wait for their turn to load: they load nothing more, and hosts
-/// elsewhere have the loads to themselves.
+/// A domain is drained while its hosts still wait for permission to load. The hosts load nothing
+/// more, and the loads are left to the hosts of other domains.
 #[test]
 fn a_group_that_is_being_formed_is_given_up() {
-    let mut world = World::new(1, Broken::default());
+    let mut world = World::new(1, HostFaults::default());
     for _ in 0..FEW {
         DOMAINS.iter().for_each(|domain| world.add_host(domain));
     }
     let mut leader = Leader::take_over(&world, 1, vec![]);
     run_for(&mut world, &mut leader, 2_000, true);
-    let waits = |domain: &str| {
+    let waiting_hosts = |domain: &str| {
         let here = world.hosts.values().filter(|host| host.server.domain == domain);
         here.filter(|host| host.last_model.is_none()).count()
     };
-    assert!(waits(DOMAINS[0]) > 0, "some wait");
+    assert!(waiting_hosts(DOMAINS[0]) > 0, "hosts of the domain should still wait");
     drain(&mut leader, &DOMAINS[..1]);
-    let given = run_and_note(&mut world, &mut leader, DOMAINS[0], 60_000);
-    assert_eq!(given, Vec::<String>::new());
+    let orders = run_and_collect_orders(&mut world, &mut leader, DOMAINS[0], 60_000);
+    assert_eq!(orders, Vec::<String>::new());
     assert!(serving_everywhere(&world, &leader, "large") > 0);
     drain(&mut leader, &[]);
     run_for(&mut world, &mut leader, 60_000, true);
     assert!(!epochs(&world, &leader, DOMAINS[0]).is_empty());
-    assert!(world.breaches.is_empty(), "{:?}", world.breaches);
+    assert!(world.violations.is_empty(), "{:?}", world.violations);
 }
--- a/crates/oliveworks-gateway-core/tests/planner/handover.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/handover.rs
@@ -1,4 +1,4 @@
-//! A change of leader leaves everything as it is.
+//! Tests that a change of leader changes neither groups nor spares nor running loads.
 
 use std::collections::BTreeSet;
 
@@ -7,9 +7,10 @@
 
 use crate::world::*;
 
-/// Orders that a leader gives in a second, but for those that only show its fence.
-fn orders_of_a_second(world: &mut World, leader: &mut Leader) -> Vec<String> {
-    let mut given = Vec::new();
+/// Returns the orders that a leader sends within a second, except orders that only make its fence
+/// known.
+fn orders_within_a_second(world: &mut World, leader: &mut Leader) -> Vec<String> {
+    let mut orders = Vec::new();
     for _ in 0..50 {
         world.step();
         leader.planner.set_traffic(true);
@@ -20,15 +21,15 @@
                 _ => false,
             };
             if !shows_fence {
-                given.push(format!("{server}: {order:?}"));
+                orders.push(format!("{server}: {order:?}"));
             }
-            leader.give(world, server, order, expects);
+            leader.send_order(world, server, order, expects);
         }
     }
-    given
+    orders
 }
 
-/// Groups serve and spares hold their models: the next leader has nothing to order.
+/// All groups serve and all spares hold their models. The next leader sends no orders.
 #[test_case(FEW; "few groups")]
 #[test_case(MANY; "many groups")]
 fn the_next_leader_keeps_groups_and_spares(hosts: usize) {
@@ -38,14 +39,15 @@
         leader.planner.serving(world.now).iter().map(|group| group.epoch).collect();
     let lines = leader.planner.describe_domains();
     let mut next = Leader::take_over(&world, 2, leader.planner.ended().collect());
-    let given = orders_of_a_second(&mut world, &mut next);
-    assert_eq!(given, Vec::<String>::new());
+    let orders = orders_within_a_second(&mut world, &mut next);
+    assert_eq!(orders, Vec::<String>::new());
     let after = next.planner.serving(world.now).iter().map(|group| group.epoch).collect();
     assert_eq!(before, after);
     assert_eq!(lines, next.planner.describe_domains());
 }
 
-/// A spare that still loads goes on, and serves as one once it is done.
+/// A spare that is loading continues its load under the next leader, and is a spare of the loaded
+/// model afterwards.
 #[test]
 fn the_next_leader_lets_a_spare_load_on() {
     let (mut world, mut leader) = formed(FEW);
@@ -54,26 +56,27 @@
     run_for(&mut world, &mut leader, 4_000, true);
     let loads = world.loads.len();
     let mut next = Leader::take_over(&world, 2, leader.planner.ended().collect());
-    let given = orders_of_a_second(&mut world, &mut next);
-    assert_eq!(given, Vec::<String>::new());
-    assert_eq!(world.loads.len(), loads, "no load begins anew");
+    let orders = orders_within_a_second(&mut world, &mut next);
+    assert_eq!(orders, Vec::<String>::new());
+    assert_eq!(world.loads.len(), loads, "no load may be restarted");
 }
 
-/// Loads to hosts' memory that the last leader began go on: no more begin than may run at once.
+/// Loads into hosts' memory that the previous leader began continue and are counted: the next
+/// leader does not begin more loads than the maximum number of concurrent loads.
 #[test]
 fn the_next_leader_counts_the_loads_that_run() {
     let (mut world, mut leader) = formed(MANY);
     run_for(&mut world, &mut leader, 3_000, true);
     let running = |world: &World| world.hosts.values().filter(|h| h.staged_at.is_some()).count();
     let before = running(&world);
-    assert!(before > 0, "loads run");
+    assert!(before > 0, "loads should be running");
     let loads = world.loads.len();
     let mut next = Leader::take_over(&world, 2, leader.planner.ended().collect());
     run_for(&mut world, &mut next, 3_000, true);
-    let most = engine().loads_at_once as usize;
-    assert!(before >= most, "as many run as may");
-    assert_eq!(world.loads.len(), loads, "none is begun beside them");
-    // They are counted no longer once they are done.
+    let max_loads = engine().loads_at_once as usize;
+    assert!(before >= max_loads, "the maximum number of loads runs");
+    assert_eq!(world.loads.len(), loads, "no further load may begin");
+    // Loads are no longer counted once they have ended.
     run_for(&mut world, &mut next, 20_000, true);
-    assert!(world.loads.len() > loads, "more are begun");
+    assert!(world.loads.len() > loads, "further loads begin afterwards");
 }
--- a/crates/oliveworks-gateway-core/tests/planner/heads.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/heads.rs
@@ -1,4 +1,4 @@
-//! Which member heads a new group.
+//! Tests of the choice of the head of a new group.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 
 use crate::world::engine;
 
-/// A host that holds the small model.
+/// Returns a host that holds the small model.
 fn host(id: &str, cold_ms: u64) -> BackendServer {
     BackendServer {
         id: id.into(),
@@ -24,10 +24,11 @@
     }
 }
 
-/// When hosts answer the first question.
+/// Time at which hosts answer the first probe, in ms.
 const ANSWERED_AT: u64 = 500;
 
-/// The members of the first group that hosts form which are listed at 0, answer, and are planned for at a time.
+/// Returns the members of the first group that is formed at `now` of hosts that are listed at 0 ms
+/// and have answered the first probe.
 fn members(hosts: &[BackendServer], now: u64) -> Vec<String> {
     let mut planner = Planner::new(PlannerConfig::default(), engine(), 1, 0);
     hosts.iter().for_each(|host| planner.handle_listed_host(0, host));
@@ -46,7 +47,7 @@
     assert_eq!(members(&[host("a", first), host("b", second)], 800), expected);
 }
 
-/// A newer record counts.
+/// The newest record of a host determines its cold start time.
 #[test]
 fn a_member_that_has_turned_cold_does_not_head() {
     let (warm, cold) = (host("a", 0), host("a", 2_000));
--- a/crates/oliveworks-gateway-core/tests/planner/leader.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/leader.rs
@@ -1,4 +1,4 @@
-//! A leader in the simulated pool: its planner, whose orders and questions the pool answers.
+//! A leader in the simulated pool: its planner, whose orders and probes the pool answers.
 
 use std::collections::BTreeSet;
 
@@ -10,13 +10,13 @@
 
 use crate::world::World;
 
-/// A leader with its planner, as a gateway runs it.
+/// Leader with its planner, as a gateway runs it.
 pub struct Leader {
     pub planner: Planner,
     pub fence: u64,
     pub paused_until: u64,
-    pub over: bool,
-    pub known: BTreeSet<BackendServerId>,
+    pub stepped_down: bool,
+    pub listed_hosts: BTreeSet<BackendServerId>,
 }
 
 impl Leader {
@@ -24,7 +24,8 @@
         Leader::with_config(world, fence, ended, PlannerConfig::default())
     }
 
-    /// The same by one that is so busy as it starts that a part of the answers comes too late.
+    /// Like [`Leader::take_over`], for a leader that is so busy at its start that a fraction `late`
+    /// of the hosts' answers arrives too late.
     pub fn take_over_busy(world: &mut World, fence: u64, ended: Vec<u64>, late: f64) -> Leader {
         let ids: Vec<BackendServerId> = world.hosts.keys().cloned().collect();
         let mut silent = Vec::new();
@@ -49,10 +50,10 @@
         config: PlannerConfig,
     ) -> Leader {
         let mut planner = Planner::new(config, world.engine.clone(), fence, world.now);
-        let mut known = BTreeSet::new();
+        let mut listed_hosts = BTreeSet::new();
         for server in world.listed() {
             planner.handle_listed_host(world.now, &server);
-            known.insert(server.id.clone());
+            listed_hosts.insert(server.id.clone());
             match world.holding(&server.id) {
                 Some(holding) => planner.handle_report(world.now, &server.id, &holding),
                 None => planner.handle_silence(world.now, &server.id, false),
@@ -60,24 +61,24 @@
         }
         planner.adopt_ended(ended);
         planner.adopt(world.now);
-        Leader { planner, fence, paused_until: 0, over: false, known }
+        Leader { planner, fence, paused_until: 0, stepped_down: false, listed_hosts }
     }
 
     pub fn read_list(&mut self, world: &World) {
         let listed = world.listed();
         for server in &listed {
             self.planner.handle_listed_host(world.now, server);
-            self.known.insert(server.id.clone());
+            self.listed_hosts.insert(server.id.clone());
         }
-        let gone = self.known.iter().filter(|id| !listed.iter().any(|w| w.id == **id));
+        let gone = self.listed_hosts.iter().filter(|id| !listed.iter().any(|w| w.id == **id));
         for id in gone.cloned().collect::<Vec<_>>() {
             self.planner.mark_unlisted(&id);
-            self.known.remove(&id);
+            self.listed_hosts.remove(&id);
         }
     }
 
     pub fn tick(&mut self, world: &mut World, traffic: bool) {
-        if self.over || world.now < self.paused_until {
+        if self.stepped_down || world.now < self.paused_until {
             return;
         }
         self.planner.set_traffic(traffic);
@@ -88,14 +89,14 @@
                     None => self.planner.handle_silence(world.now, &server, false),
                 },
                 Command::Order { server, order, expects, .. } => {
-                    self.give(world, server, order, expects);
+                    self.send_order(world, server, order, expects);
                 }
             }
         }
         assert!(self.planner.shared_hosts().is_empty(), "a host in two groups of one planner");
     }
 
-    /// Tells the planner how busy the groups of a model are that serve now.
+    /// Reports to the planner the load of the groups of a model that serve now.
     pub fn set_load(&mut self, world: &World, model: &str, load: ModelLoad) {
         let serving = self.planner.serving(world.now);
         let groups = serving.iter().filter(|group| group.model == model).count();
@@ -104,7 +105,7 @@
         }
     }
 
-    pub fn give(
+    pub fn send_order(
         &mut self,
         world: &mut World,
         server: BackendServerId,
@@ -123,7 +124,7 @@
         } else {
             world.carry_out(self.fence, &server, &order, expects)
         };
-        self.over |= outcome == Outcome::Fenced;
+        self.stepped_down |= outcome == Outcome::Fenced;
         self.planner.handle_order_outcome(world.now, &server, &order, outcome);
     }
 }
--- a/crates/oliveworks-gateway-core/tests/planner/main.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/main.rs
@@ -1,4 +1,4 @@
-//! The planner against a simulated pool of hosts.
+//! Tests of the planner against a simulated pool of hosts.
 
 mod domain_return;
 mod drain;
--- a/crates/oliveworks-gateway-core/tests/planner/policy.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/policy.rs
@@ -1,4 +1,4 @@
-//! Single repairs, and what a pool holds at its start.
+//! Tests of single repairs, and of the groups and spares of a pool before traffic.
 
 use std::collections::BTreeSet;
 
@@ -8,24 +8,24 @@
 
 use crate::world::*;
 
-/// Before traffic every domain gets groups of both models, and spares that may serve either.
+/// Before traffic every domain gets groups of both models, and spares that can serve either model.
 #[test]
 fn the_first_start_is_even() {
-    let mut world = World::new(1, Broken::default());
+    let mut world = World::new(1, HostFaults::default());
     for _ in 0..10 {
         DOMAINS.iter().for_each(|domain| world.add_host(domain));
     }
     let mut leader = Leader::take_over(&world, 1, vec![]);
     run_for(&mut world, &mut leader, 90_000, false);
     for domain in DOMAINS {
-        let held = |model: &str| {
+        let group_count = |model: &str| {
             let serving = leader.planner.serving(world.now);
             let here = serving.iter().filter(|group| {
                 group.model == model && world.hosts[&group.members[0]].server.domain == domain
             });
             here.count()
         };
-        assert_eq!((held("large"), held("small")), (1, 2), "{domain}");
+        assert_eq!((group_count("large"), group_count("small")), (1, 2), "{domain}");
         let hosts = world.hosts.values().filter(|host| host.server.domain == domain);
         let flexible = hosts.filter(|host| {
             host.last_model.as_deref() == Some("small") && host.staging == ["large"]
@@ -34,38 +34,38 @@
     }
 }
 
-/// Where a domain is hardly larger than one group, every model has a group all the same: spares do
-/// not take the last hosts.
+/// In domains that are hardly larger than one group, every model still has a group: the last hosts
+/// do not become spares.
 #[test_case(4; "domains of one large group")]
 #[test_case(5; "one host beside it")]
 #[test_case(6; "two hosts beside it")]
 fn every_model_is_served_in_small_domains(hosts: usize) {
     let (world, leader) = formed(hosts);
     for model in ["large", "small"] {
-        let held: usize =
+        let group_count: usize =
             DOMAINS.iter().map(|domain| serving(&world, &leader, model, domain)).sum();
-        assert!(held >= 1, "no {model} group: {:?}", leader.planner.describe_domains());
+        assert!(group_count >= 1, "no {model} group: {:?}", leader.planner.describe_domains());
     }
 }
 
-/// A domain was listed sooner than the others, and its group serves: its hosts stage nothing while
-/// hosts elsewhere have no model yet, which need the loads more.
+/// One domain is listed before the others, and its group serves. Its hosts stage nothing while
+/// hosts of other domains have no model yet, because those hosts need the loads more.
 #[test]
 fn nothing_is_staged_while_hosts_wait_for_their_first_model() {
-    let mut world = World::new(1, Broken::default());
+    let mut world = World::new(1, HostFaults::default());
     (0..4).for_each(|_| world.add_host(DOMAINS[0]));
     DOMAINS[1..].iter().for_each(|domain| (0..3).for_each(|_| world.add_host(domain)));
     let config = PlannerConfig { settle_ms: 60_000, ..PlannerConfig::default() };
     let mut leader = Leader::with_config(&world, 1, vec![], config);
     run_for(&mut world, &mut leader, 22_000, false);
     assert_eq!(serving(&world, &leader, "large", DOMAINS[0]), 1);
-    let waits = world.hosts.values().filter(|host| host.last_model.is_none()).count();
-    let stages = world.hosts.values().filter(|host| host.staged_at.is_some()).count();
-    assert_eq!((waits, stages), (6, 0), "{:?}", leader.planner.describe_domains());
+    let waiting = world.hosts.values().filter(|host| host.last_model.is_none()).count();
+    let staging_hosts = world.hosts.values().filter(|host| host.staged_at.is_some()).count();
+    assert_eq!((waiting, staging_hosts), (6, 0), "{:?}", leader.planner.describe_domains());
 }
 
-/// A domain lacks a group of the small model, and two of its hosts hold the large one without a use for
-/// it: they load the small one, while they stay spares.
+/// A domain lacks a group of the small model, and two of its hosts hold the large model without a
+/// use for it. Both hosts load the small model while they remain spares.
 #[test]
 fn idle_hosts_load_what_their_domain_lacks() {
     let (mut world, mut leader) = formed(FEW);
@@ -78,7 +78,7 @@
         host.alive = !small;
         host.staging = host.last_model.iter().cloned().collect();
         host.staged_at = None;
-        // The others serve, or hold the large model alone.
+        // The other hosts serve, or hold only the large model.
         host.alive |= small && serving_hosts[..2].contains(&host.server.id);
     }
     let rest = world.hosts.values_mut().filter(|host| host.server.domain != domain);
@@ -94,35 +94,39 @@
         host.staging = vec!["large".into()];
     }
     run_for(&mut world, &mut leader, 3_000, true);
-    let held = |world: &World| {
+    let group_count = |world: &World| {
         let here = world.hosts.values().filter(|host| host.alive && host.server.domain == domain);
         here.filter(|host| host.staging == ["small"] || host.last_model.as_deref() == Some("small"))
             .count()
     };
-    let before = held(&world);
+    let before = group_count(&world);
     run_for(&mut world, &mut leader, 14_000, true);
-    let lines = leader.planner.describe_domains();
-    assert!(held(&world) >= before + 2, "{before} to {}: {lines:?}", held(&world));
-    assert!(serving(&world, &leader, "small", domain) >= 1, "{lines:?}");
+    let descriptions = leader.planner.describe_domains();
+    assert!(
+        group_count(&world) >= before + 2,
+        "{before} to {}: {descriptions:?}",
+        group_count(&world)
+    );
+    assert!(serving(&world, &leader, "small", domain) >= 1, "{descriptions:?}");
 }
 
-/// A domain of two hosts is too small for a large group, and for spares beside a small one: both hosts
-/// serve the small model.
+/// A domain of two hosts is too small for a large group, and for spares in addition to a small
+/// group. Both hosts serve the small model.
 #[test]
 fn a_domain_of_one_small_group_serves() {
-    let mut world = World::new(1, Broken::default());
+    let mut world = World::new(1, HostFaults::default());
     for _ in 0..FEW {
         DOMAINS.iter().for_each(|domain| world.add_host(domain));
     }
     (0..2).for_each(|_| world.add_host("tiny"));
     let mut leader = Leader::take_over(&world, 1, vec![]);
     run_for(&mut world, &mut leader, 90_000, false);
-    let lines = leader.planner.describe_domains();
-    assert_eq!(serving(&world, &leader, "small", "tiny"), 1, "{lines:?}");
+    let descriptions = leader.planner.describe_domains();
+    assert_eq!(serving(&world, &leader, "small", "tiny"), 1, "{descriptions:?}");
 }
 
-/// Where there are many small groups, spares hold the large model and are not spent on small ones:
-/// two large groups in a row are repaired in the time of an order.
+/// In a domain with many small groups, spares hold the large model and are not used for small
+/// groups: two consecutive losses of large groups are each repaired within the time of an order.
 #[test]
 fn spares_are_kept_for_the_large_model() {
     let (mut world, mut leader) = formed(MANY);
@@ -133,14 +137,15 @@
     for _ in 0..2 {
         kill_member(&mut world, &mut leader, "large", domain);
         run_for(&mut world, &mut leader, HOT_REPAIR_MS, true);
-        let lines = leader.planner.describe_domains();
-        assert_eq!(serving(&world, &leader, "large", domain), before, "{lines:?}");
+        let descriptions = leader.planner.describe_domains();
+        assert_eq!(serving(&world, &leader, "large", domain), before, "{descriptions:?}");
     }
 }
 
-/// Where there are few, one spare of a domain holds the large model and one the small: the first loss
-/// of either is repaired in the time of an order, the next one by a spare that has the model staged,
-/// for the small model once it is crowded.
+/// In a domain with few groups, one spare holds the large model and one the small model. The first
+/// loss of either model is repaired within the time of an order. The next loss is repaired by a
+/// spare that has the model staged. A small group is repaired this way once the load of the small
+/// model is high.
 #[test_case("large"; "large")]
 #[test_case("small"; "small")]
 fn either_model_is_repaired_at_once_where_groups_are_few(model: &str) {
@@ -151,13 +156,14 @@
         kill_member(&mut world, &mut leader, model, domain);
         run_for(&mut world, &mut leader, within_ms, true);
         (0..60).for_each(|_| leader.set_load(&world, "small", load(0.9, 0.0)));
-        let lines = leader.planner.describe_domains();
-        assert_eq!(serving(&world, &leader, model, domain), before, "{lines:?}");
+        let descriptions = leader.planner.describe_domains();
+        assert_eq!(serving(&world, &leader, model, domain), before, "{descriptions:?}");
     }
 }
 
-/// No large group serves anywhere, and the one domain that could form one lacks a host: a small group
-/// gives it, though the domain then has fewer of them than wanted. A new host loads for 16 s.
+/// No large group serves in any domain, and the only domain that could form one lacks a host. A
+/// small group is preempted, although the domain then has fewer small groups than its quota. A new
+/// host would load for 16 s.
 #[test]
 fn a_small_group_ends_for_a_model_without_any() {
     let (mut world, mut leader) = formed(FEW);
@@ -179,8 +185,8 @@
     assert_eq!(large, 1, "{:?}", leader.planner.describe_domains());
 }
 
-/// Three hosts wait for a fourth to form a large group. While small groups are crowded, two of them
-/// serve the small model, and come back once the fourth host is there.
+/// Three hosts wait for a fourth host to form a large group. While the load of the small model is
+/// high, two of the three hosts serve the small model, and return once the fourth host is listed.
 #[test_case(0.9, 3; "crowded")]
 #[test_case(0.4, 2; "not crowded")]
 fn hosts_that_wait_serve_a_crowded_model(open: f64, expected: usize) {
@@ -197,16 +203,16 @@
     }
     kill_member(&mut world, &mut leader, "large", domain);
     run_for(&mut world, &mut leader, STAGED_REPAIR_MS, true);
-    let lines = leader.planner.describe_domains();
-    assert_eq!(serving(&world, &leader, "small", domain), expected, "{lines:?}");
+    let descriptions = leader.planner.describe_domains();
+    assert_eq!(serving(&world, &leader, "small", domain), expected, "{descriptions:?}");
     world.add_host(domain);
     run_for(&mut world, &mut leader, 25_000, true);
-    let lines = leader.planner.describe_domains();
-    assert_eq!(serving(&world, &leader, "large", domain), 1, "{lines:?}");
+    let descriptions = leader.planner.describe_domains();
+    assert_eq!(serving(&world, &leader, "large", domain), 1, "{descriptions:?}");
 }
 
-/// Without a spare, a small group whose hosts have the large model staged gives one of them; what
-/// is left over forms a small group with a host that had lost its own.
+/// Without a spare, a small group whose hosts have the large model staged is preempted for one of
+/// its hosts. The remaining host forms a small group with a host whose own group had ended.
 #[test]
 fn a_small_group_gives_a_host_and_comes_back() {
     let (mut world, mut leader) = formed(FEW);
@@ -217,7 +223,8 @@
     }
     kill_member(&mut world, &mut leader, "small", domain);
     run_for(&mut world, &mut leader, STAGED_REPAIR_MS, true);
-    // What survives keeps no large model, so that it cannot complete a large group by itself.
+    // The remaining hosts do not keep the large model, so that they cannot complete a large group
+    // by themselves.
     for host in world.hosts.values_mut().filter(|host| host.server.domain == domain) {
         if host.last_model.as_deref() == Some("small") && host.group.is_none() {
             host.staging = vec!["small".into()];
@@ -226,12 +233,12 @@
     run_for(&mut world, &mut leader, STAGED_REPAIR_MS, true);
     kill_member(&mut world, &mut leader, "large", domain);
     run_for(&mut world, &mut leader, 6_000, true);
-    let held = |model| serving(&world, &leader, model, domain);
-    assert_eq!((held("large"), held("small")), (1, 1));
+    let group_count = |model| serving(&world, &leader, model, domain);
+    assert_eq!((group_count("large"), group_count("small")), (1, 1));
 }
 
-/// A group with a slow member gives it up for a spare; the host comes back when it is as fast as
-/// usual. Where most hosts are slow, groups serve slowly and not at all.
+/// A slow member of a group is replaced by a spare, and its host is eligible again once its pace is
+/// normal.
 #[test]
 fn a_slow_member_is_replaced() {
     let (mut world, mut leader) = formed(FEW);
@@ -248,14 +255,15 @@
     let slow_domain = world.hosts[&slow].server.domain.clone();
     assert_eq!(serving(&world, &leader, "large", &slow_domain), 1, "{domain}");
     assert!(!leader.planner.serving(world.now).iter().any(|g| g.members.contains(&slow)));
-    let lines = leader.planner.describe_domains();
-    assert!(lines.iter().any(|line| line.contains("slow")), "{lines:?}");
+    let descriptions = leader.planner.describe_domains();
+    assert!(descriptions.iter().any(|line| line.contains("slow")), "{descriptions:?}");
     world.hosts.get_mut(&slow).expect("a host").pace = 1.0;
     run_for(&mut world, &mut leader, 3_000, true);
-    let lines = leader.planner.describe_domains();
-    assert!(!lines.iter().any(|line| line.contains("slow")), "{lines:?}");
+    let descriptions = leader.planner.describe_domains();
+    assert!(!descriptions.iter().any(|line| line.contains("slow")), "{descriptions:?}");
 }
 
+/// Where most hosts are slow, groups serve slowly instead of not at all.
 #[test]
 fn groups_serve_slowly_where_most_hosts_are_slow() {
     let (mut world, mut leader) = formed(FEW);
@@ -269,7 +277,7 @@
     assert!(leader.planner.serving(world.now).len() >= 5, "{:?}", leader.planner.describe());
 }
 
-/// Without another host for it, a group with a slow member serves on, and says how slowly.
+/// Without a replacement, a group with a slow member continues to serve and reports its pace.
 #[test]
 fn a_slow_group_serves_on_without_spares() {
     let (mut world, mut leader) = formed(FEW);
@@ -287,12 +295,15 @@
     leader.planner.probe_slow_group(world.now, group.epoch);
     run_for(&mut world, &mut leader, 500, true);
     let after = leader.planner.serving(world.now);
-    let same = after.iter().find(|other| other.epoch == group.epoch).expect("it serves on");
+    let same = after
+        .iter()
+        .find(|other| other.epoch == group.epoch)
+        .expect("the group continues to serve");
     assert!((same.pace - 5.0).abs() < f64::EPSILON, "{domain}: {}", same.pace);
 }
 
-/// A new leader knows from the one before that domains had more hosts: what is left serves, and is
-/// not kept back as spares.
+/// A new leader adopts the largest numbers of hosts of the domains from the previous leader. The
+/// hosts that remain after losses serve, and are not retained as spares.
 #[test]
 fn spares_shrink_with_losses_under_a_new_leader_too() {
     let (mut world, mut leader) = formed(FEW);
@@ -305,16 +316,16 @@
     let mut next = Leader::take_over(&world, 2, leader.planner.ended().collect());
     next.planner.adopt_most_hosts(leader.planner.most_hosts());
     run_for(&mut world, &mut next, 3_000, true);
-    let lines = next.planner.describe_domains();
-    let line = lines.iter().find(|line| line.starts_with(domain)).expect("a line");
+    let descriptions = next.planner.describe_domains();
+    let line = descriptions.iter().find(|line| line.starts_with(domain)).expect("a line");
     assert!(line.ends_with(r#"wanted {"large": 1, "small": 2}"#), "{line}, before: {before}");
 }
 
-/// While the hosts of one domain are still being listed, those of another wait for the groups that
-/// they should form, and do not become spares.
+/// While the hosts of one domain are still being listed, the hosts of another domain wait for the
+/// groups that they should form, and do not become spares.
 #[test]
 fn hosts_wait_for_a_domain_that_is_listed_late() {
-    let mut world = World::new(1, Broken::default());
+    let mut world = World::new(1, HostFaults::default());
     for _ in 0..2 * MANY {
         DOMAINS[..2].iter().for_each(|domain| world.add_host(domain));
     }
@@ -329,34 +340,35 @@
     assert!(small >= 6, "{small} small groups, {:?}", leader.planner.describe_domains());
 }
 
-/// A domain goes dark, one host after the other: no group elsewhere ends for what is wanted halfway.
+/// The hosts of a domain fail one after the other. No group of another domain is preempted because
+/// of quotas that are computed halfway through the outage.
 #[test]
 fn groups_elsewhere_serve_on_while_a_domain_goes_dark() {
     let (mut world, mut leader) = formed(MANY);
-    let dark: Vec<BackendServerId> = world
+    let lost_hosts: Vec<BackendServerId> = world
         .hosts
         .values()
         .filter(|host| host.server.domain == DOMAINS[0])
         .map(|host| host.server.id.clone())
         .collect();
-    let elsewhere = |world: &World, leader: &Leader| -> BTreeSet<u64> {
+    let other_epochs = |world: &World, leader: &Leader| -> BTreeSet<u64> {
         let serving = leader.planner.serving(world.now).into_iter();
         let others =
             serving.filter(|group| world.hosts[&group.members[0]].server.domain != DOMAINS[0]);
         others.map(|group| group.epoch).collect()
     };
-    let before = elsewhere(&world, &leader);
-    for id in dark {
+    let before = other_epochs(&world, &leader);
+    for id in lost_hosts {
         world.hosts.get_mut(&id).expect("a host").alive = false;
         suspect(&world, std::slice::from_mut(&mut leader), &id);
         run_for(&mut world, &mut leader, 60, true);
-        let after = elsewhere(&world, &leader);
+        let after = other_epochs(&world, &leader);
         assert!(before.is_subset(&after), "{:?}", leader.planner.describe_domains());
     }
 }
 
-/// The steps of a repair follow each other without a pause: beside the time to join and the time to
-/// form, the loss is seen, told and answered within five looks at the plans.
+/// The steps of a repair follow each other without a pause: in addition to the time to join and the
+/// time to form, the loss is observed, reported and repaired within five ticks of the planner.
 #[test]
 fn a_repair_takes_all_steps_that_it_can_at_once() {
     let (mut world, mut leader) = formed(FEW);
@@ -368,6 +380,6 @@
         run_for(&mut world, &mut leader, TICK_MS, true);
         assert!(world.now < lost_at + STAGED_REPAIR_MS, "{:?}", leader.planner.describe());
     }
-    let looks = (world.now - lost_at - HOT_JOIN_MS - FORM_MS) / TICK_MS;
-    assert!(looks <= 5, "{looks} looks");
+    let tick_count = (world.now - lost_at - HOT_JOIN_MS - FORM_MS) / TICK_MS;
+    assert!(tick_count <= 5, "{tick_count} ticks");
 }
--- a/crates/oliveworks-gateway-core/tests/planner/restart.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/restart.rs
@@ -1,13 +1,15 @@
-//! Hosts that start again under the id that they had.
+//! Tests of hosts that restart under the same id.
 //!
-//! The head of a group started again within a heartbeat. It answered every question and belonged to no group any more,
-//! while the leader counted its group as open, so that its domain served nobody until the end.
+//! The failure: the head of a group restarted within a heartbeat interval. The head answered every
+//! probe and belonged to no group any more, while the leader counted its group as open, so the
+//! domain served no requests until the end of the run.
 
 use test_case::test_case;
 
 use crate::world::*;
 
-/// The group of a host that starts again is hurt at once, and its domain serves again as after a loss.
+/// The group of a restarted host is recognized as damaged at once, and its domain serves again
+/// within the time of a repair after a loss.
 #[test_case("large", 0; "the head of a large group")]
 #[test_case("large", 2; "a member of a large group")]
 #[test_case("small", 0; "the head of a small group")]
@@ -22,10 +24,10 @@
     let after = leader.planner.serving(world.now);
     assert!(after.iter().all(|other| other.epoch != group.epoch), "the old group serves no more");
     assert_eq!(after.len(), before.len());
-    assert_eq!(world.breaches, Vec::<String>::new());
+    assert_eq!(world.violations, Vec::<String>::new());
 }
 
-/// What it said in an earlier life, told late, changes nothing.
+/// A delayed record of an earlier incarnation of a host changes nothing.
 #[test]
 fn a_record_of_an_earlier_life_is_left_out() {
     let (mut world, mut leader) = formed(FEW);
--- a/crates/oliveworks-gateway-core/tests/planner/safety.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/safety.rs
@@ -1,44 +1,53 @@
-//! Seeded runs of the planner against all that its hosts and an earlier leader may do. No rule is broken
-//! in any, and groups come back.
+//! Seeded runs of the planner against all faults that its hosts and an earlier leader may have. No
+//! run violates a safety rule, and groups serve again in the end.
 //!
-//! With old lists: two hosts joined a group while the head of their old one served, and one leader had given all
-//! the orders. Read from a store that is seconds behind, the record of a head can be older than its group. It says
-//! that the head is in no such group; the leader took the group for ended and its members for free, and told the
-//! head nothing. Seed 26: `TWO: h14 joins 4000022 while 4000019 serves`.
+//! With old lists: two hosts joined a group while the head of their previous group served, although
+//! a single leader had sent all orders. When it is read from a store that is seconds behind, the
+//! record of a head can be older than its group and then does not contain the membership in the
+//! group. The leader took the group as ended and its members as free, and sent the head no order.
+//! Seed 26: `TWO: h14 joins 4000022 while 4000019 serves`.
 
 use std::collections::BTreeSet;
 
 use rand::RngExt;
 use test_case::test_case;
 
-use crate::world::{Broken, DOMAINS, Leader, World, suspect};
+use crate::world::{DOMAINS, HostFaults, Leader, World, suspect};
 
-/// What happens beside crashes, silences, late orders and changes of leader.
+/// Disturbances in addition to crashes, silent hosts, late orders and changes of leader.
 #[derive(Clone, Copy, Debug, Default)]
-struct Beside {
-    /// Domains are drained.
+struct Disturbances {
+    /// Whether domains are drained.
     drains: bool,
-    /// The store's list is seconds old now and then, as one that lost its history and is read anew.
+    /// Whether the store's list is sometimes seconds old, as after a store lost its history and is
+    /// read again.
     old_lists: bool,
-    /// Hosts start again under their ids, most of them unseen.
+    /// Whether hosts restart under the same id, most of them unobserved.
     restarts: bool,
-    /// What hosts answer is as old as it is on the users' platform.
+    /// Whether the state that hosts report is as old as on the users' platform.
     lagging_reports: bool,
-    /// A new leader's first order comes some time after it asked the hosts, and the earlier leader goes on.
+    /// Whether some time passes between a new leader's probes and its first order, in which the
+    /// earlier leader continues.
     slow_handover: bool,
-    /// All processes are killed at once: the earlier leader gives no more orders, and the new one is busy.
+    /// Whether all processes are killed at once: the earlier leader sends no more orders, and the
+    /// new leader is busy.
     kills: bool,
 }
 
-/// Runs a seed: 10 s to form, 60 s of trouble, 40 s of quiet. Returns breaches and groups at the end.
-fn run(seed: u64, broken: Broken) -> (Vec<String>, usize, usize) {
-    run_with(seed, broken, Beside::default())
+/// Runs a seed: 10 s to form groups, 60 s with faults, 40 s without. Returns the violations, and
+/// the numbers of large and small groups at the end.
+fn run(seed: u64, host_faults: HostFaults) -> (Vec<String>, usize, usize) {
+    run_with(seed, host_faults, Disturbances::default())
 }
 
-/// The same with more trouble.
-fn run_with(seed: u64, broken: Broken, beside: Beside) -> (Vec<String>, usize, usize) {
-    let mut world = World::new(seed, broken);
-    world.report_lag_ms = if beside.lagging_reports { REPORT_LAG_MS } else { 0 };
+/// Like [`run`], with further disturbances.
+fn run_with(
+    seed: u64,
+    host_faults: HostFaults,
+    disturbances: Disturbances,
+) -> (Vec<String>, usize, usize) {
+    let mut world = World::new(seed, host_faults);
+    world.report_lag_ms = if disturbances.lagging_reports { REPORT_LAG_MS } else { 0 };
     world.engine.report_lag_ms = world.report_lag_ms;
     for _ in 0..10 {
         DOMAINS.iter().for_each(|domain| world.add_host(domain));
@@ -47,19 +56,20 @@
     let mut fence = 1;
     while world.now < 110_000 {
         world.step();
-        let troubled = (10_000..70_000).contains(&world.now);
-        world.late_share = if troubled { 0.15 } else { 0.0 };
-        if troubled {
-            trouble(&mut world, &mut leaders, &mut fence, beside);
+        let with_faults = (10_000..70_000).contains(&world.now);
+        world.late_share = if with_faults { 0.15 } else { 0.0 };
+        if with_faults {
+            inject_faults(&mut world, &mut leaders, &mut fence, disturbances);
         }
-        let old_list = beside.old_lists && troubled && world.now % OLD_LIST_EVERY_MS < OLD_LIST_MS;
+        let old_list =
+            disturbances.old_lists && with_faults && world.now % OLD_LIST_EVERY_MS < OLD_LIST_MS;
         world.list_lag_ms = if old_list { LIST_LAG_MS } else { 0 };
         let now = world.now;
         for leader in &mut leaders {
             if now.is_multiple_of(1_000) && now >= leader.paused_until {
                 leader.read_list(&world);
             }
-            if beside.drains {
+            if disturbances.drains {
                 leader.planner.set_drained(&drained(seed, now));
             }
             leader.tick(&mut world, now > 10_000);
@@ -70,21 +80,27 @@
     let serving = leader.planner.serving(world.now);
     let of = |model: &str| serving.iter().filter(|group| group.model == model).count();
     let (large, small) = (of("large"), of("small"));
-    (world.breaches, large, small)
+    (world.violations, large, small)
 }
 
-/// The list is so old, for so long, once in so long.
+/// Staleness of the list, duration of a stale phase and interval between stale phases, in ms.
 const LIST_LAG_MS: u64 = 6_000;
 const OLD_LIST_MS: u64 = 4_000;
 const OLD_LIST_EVERY_MS: u64 = 9_000;
-/// How much older what hosts answer is than their answers.
+/// Age of the state that hosts report when their answer arrives, in ms.
 const REPORT_LAG_MS: u64 = 200;
-/// The part of a new leader's questions whose answers come too late, right after all processes were killed.
+/// Fraction of a new leader's probes whose answers arrive too late, right after all processes were
+/// killed.
 const LATE_ANSWERS: f64 = 0.4;
-/// The longest that a new leader takes from its questions to its first order.
+/// Maximum time between a new leader's probes and its first order, in ms.
 const HANDOVER_MS: u64 = 700;
 
-fn trouble(world: &mut World, leaders: &mut Vec<Leader>, fence: &mut u64, beside: Beside) {
+fn inject_faults(
+    world: &mut World,
+    leaders: &mut Vec<Leader>,
+    fence: &mut u64,
+    disturbances: Disturbances,
+) {
     let now = world.now;
     if world.rng.random_bool(0.007)
         && let Some(id) = world.random_host()
@@ -110,7 +126,7 @@
     {
         host.server.draining = true;
     }
-    if beside.restarts
+    if disturbances.restarts
         && world.rng.random_bool(0.006)
         && let Some(id) = world.random_host()
     {
@@ -120,25 +136,26 @@
         world.restart(&id);
     }
     if world.rng.random_bool(0.003) {
-        // The leader stands still; another takes its place and knows little or nothing of it.
-        let told = world.rng.random_bool(0.5);
+        // The leader pauses. Another leader takes over and adopts the ended groups of the earlier
+        // leader or none.
+        let adopts_ended = world.rng.random_bool(0.5);
         let old = leaders.last_mut().expect("a leader");
         old.paused_until = now + world.rng.random_range(0..6_000);
-        let ended = if told { old.planner.ended().collect() } else { vec![] };
+        let ended = if adopts_ended { old.planner.ended().collect() } else { vec![] };
         *fence += 1;
-        old.over |= beside.kills;
-        let late = if beside.kills { LATE_ANSWERS } else { 0.0 };
+        old.stepped_down |= disturbances.kills;
+        let late = if disturbances.kills { LATE_ANSWERS } else { 0.0 };
         let mut new = Leader::take_over_busy(world, *fence, ended, late);
-        if beside.slow_handover {
+        if disturbances.slow_handover {
             new.paused_until = now + world.rng.random_range(0..HANDOVER_MS);
         }
         leaders.push(new);
     }
 }
 
-/// How many seeds are run; more by hand.
+/// Default number of seeds. More seeds can be run manually.
 const SEEDS: u64 = 60;
-/// Names another number of seeds.
+/// Environment variable that overrides the number of seeds.
 const SEEDS_VARIABLE: &str = "OLIVEWORKS_SEEDS";
 
 fn seeds() -> u64 {
@@ -152,39 +169,41 @@
         .and_then(|t| t.parse().ok())
         .map_or(0..seeds(), |s: u64| s..s + 1)
     {
-        let (breaches, large, small) = run(seed, Broken::default());
-        assert!(breaches.is_empty(), "seed {seed}: {:?}", &breaches[..breaches.len().min(3)]);
+        let (violations, large, small) = run(seed, HostFaults::default());
+        assert!(violations.is_empty(), "seed {seed}: {:?}", &violations[..violations.len().min(3)]);
         assert!(large >= 1 && small >= 2, "seed {seed}: {large} large, {small} small at the end");
     }
 }
 
-/// Domains that are drained, each for six seconds of seventeen, so that two are now and then; none once
-/// it is quiet.
+/// Returns the domains that are drained at `now`: each for 6 s of 17 s, so that two are drained at
+/// the same time now and then; none after 80 s, when the run is without faults.
 fn drained(seed: u64, now: u64) -> BTreeSet<String> {
     let drains = |index: u64| now < 80_000 && (now / 1_000 + seed * 3 + index * 5) % 17 < 6;
     let names = (0..).zip(DOMAINS).filter(|(index, _)| drains(*index));
     names.map(|(_, name)| name.to_owned()).collect()
 }
 
-#[test_case(Beside { drains: true, ..Beside::default() }; "while domains are drained")]
-#[test_case(Beside { old_lists: true, ..Beside::default() }; "while the list is old")]
-#[test_case(Beside { restarts: true, ..Beside::default() }; "while hosts start again")]
-#[test_case(Beside { lagging_reports: true, ..Beside::default() }; "while answers lag")]
-#[test_case(Beside { kills: true, ..Beside::default() }; "after all processes were killed")]
-#[test_case(Beside { kills: true, old_lists: true, ..Beside::default() }; "and the list is old")]
-#[test_case(Beside { restarts: true, old_lists: true, slow_handover: true, drains: true, kills: true, lagging_reports: true }; "with all of it")]
-#[test_case(Beside { slow_handover: true, ..Beside::default() }; "when a new leader begins late")]
-fn no_rule_is_broken(beside: Beside) {
+#[test_case(Disturbances { drains: true, ..Disturbances::default() }; "while domains are drained")]
+#[test_case(Disturbances { old_lists: true, ..Disturbances::default() }; "while the list is old")]
+#[test_case(Disturbances { restarts: true, ..Disturbances::default() }; "while hosts start again")]
+#[test_case(Disturbances { lagging_reports: true, ..Disturbances::default() }; "while answers lag")]
+#[test_case(Disturbances { kills: true, ..Disturbances::default() }; "after all processes were killed")]
+#[test_case(Disturbances { kills: true, old_lists: true, ..Disturbances::default() }; "and the list is old")]
+#[test_case(Disturbances { restarts: true, old_lists: true, slow_handover: true, drains: true, kills: true, lagging_reports: true }; "with all of it")]
+#[test_case(Disturbances { slow_handover: true, ..Disturbances::default() }; "when a new leader begins late")]
+fn no_rule_is_broken(disturbances: Disturbances) {
     for seed in 0..seeds() {
-        let (breaches, large, small) = run_with(seed, Broken::default(), beside);
-        assert!(breaches.is_empty(), "seed {seed}: {:?}", &breaches[..breaches.len().min(3)]);
+        let (violations, large, small) = run_with(seed, HostFaults::default(), disturbances);
+        assert!(violations.is_empty(), "seed {seed}: {:?}", &violations[..violations.len().min(3)]);
         assert!(large >= 1 && small >= 2, "seed {seed}: {large} large, {small} small at the end");
     }
 }
 
-/// Hosts that check nothing let an old leader's orders through: the run must see it.
-#[test_case(Broken { ignore_fences: true, ..Broken::default() }, "TWO"; "fences are ignored")]
-fn a_broken_host_is_seen(broken: Broken, rule: &str) {
-    let seen = (0..60).any(|seed| run(seed, broken).0.iter().any(|breach| breach.contains(rule)));
+/// Control run: hosts that ignore fences accept the orders of an old leader, and the run must
+/// detect the violation.
+#[test_case(HostFaults { ignore_fences: true, ..HostFaults::default() }, "TWO"; "fences are ignored")]
+fn a_broken_host_is_seen(host_faults: HostFaults, rule: &str) {
+    let seen = (0..60)
+        .any(|seed| run(seed, host_faults).0.iter().any(|violation| violation.contains(rule)));
     assert!(seen, "no seed of 60 shows {rule}");
 }
--- a/crates/oliveworks-gateway-core/tests/planner/spread.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/spread.rs
@@ -1,26 +1,27 @@
-//! Groups of each model stand in more failure domains than may be lost, before callers come.
+//! Tests that each model has groups in more failure domains than may be lost, before traffic.
 
 use oliveworks_gateway_core::configuration::Engine;
 
 use crate::world::*;
 
-/// A pool formed before traffic whose larger model has little of the work.
+/// Returns a pool that formed its groups before traffic, and whose larger model has a small share
+/// of the work.
 fn formed_over(tolerance: usize) -> (World, Leader) {
-    let mut world = World::new(1, Broken::default());
+    let mut world = World::new(1, HostFaults::default());
     for _ in 0..FEW {
         DOMAINS.iter().for_each(|domain| world.add_host(domain));
     }
-    let mut rare: Engine = engine();
-    rare.models[0].share = 0.05;
-    rare.models[1].share = 0.95;
+    let mut small_share: Engine = engine();
+    small_share.models[0].share = 0.05;
+    small_share.models[1].share = 0.95;
     let mut leader = Leader::take_over(&world, 1, vec![]);
-    leader.planner.set_engine(&rare);
+    leader.planner.set_engine(&small_share);
     leader.planner.set_tolerance(tolerance);
     run_for(&mut world, &mut leader, 90_000, false);
     (world, leader)
 }
 
-/// Failure domains in which the larger model serves.
+/// Returns the failure domains in which the larger model serves.
 fn serving_large(world: &World, leader: &Leader) -> Vec<&'static str> {
     let serves = |domain: &&str| serving(world, leader, "large", domain) > 0;
     DOMAINS.into_iter().filter(serves).collect()
@@ -36,8 +37,8 @@
     }
 }
 
-/// It serves on at once where all hosts of one of its failure domains go dark, and is in two again after a
-/// load.
+/// The model continues to serve without interruption when all hosts of one of its failure domains
+/// are lost, and serves in two domains again after a load.
 #[test]
 fn a_model_serves_on_beside_a_lost_failure_domain() {
     let (mut world, mut leader) = formed_over(1);
@@ -51,7 +52,7 @@
     assert_eq!(serving_large(&world, &leader).len(), 2, "{:?}", leader.planner.describe_domains());
 }
 
-/// Where only one failure domain is left, that is told.
+/// The gap in the spread is reported when only one failure domain remains.
 #[test]
 fn a_model_that_cannot_be_spread_is_told() {
     let (mut world, mut leader) = formed_over(1);
@@ -60,6 +61,6 @@
     }
     run_for(&mut world, &mut leader, 60_000, true);
     let gaps = leader.planner.spread_gaps();
-    let told: Vec<_> = gaps.iter().map(|gap| (&*gap.model, gap.found, gap.wanted)).collect();
-    assert_eq!(told, [("large", 1, 2), ("small", 1, 2)]);
+    let reported: Vec<_> = gaps.iter().map(|gap| (&*gap.model, gap.found, gap.wanted)).collect();
+    assert_eq!(reported, [("large", 1, 2), ("small", 1, 2)]);
 }
--- a/crates/oliveworks-gateway-core/tests/planner/stale.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/stale.rs
@@ -1,21 +1,22 @@
-//! A leader that acts on what a host said before an order which it does not know of.
+//! Tests of leaders that act on reports from before an order that they do not know of.
 //!
-//! What happened: a new leader asked all hosts. Before it gave its first order, the earlier leader, which had not
-//! heard of it, formed a group of some of them and told its head to open. The new leader went by the answers that
-//! it had: the head was in an older group, a member of that had died, so the head was told to leave the older
-//! group and taken for free. It joined another group while it served the one that it was told to open: orders of
-//! the earlier leader taken at 8.65 s and 9.08 s, and the new one's join of the same head at 9.41 s.
+//! The failure: a new leader probed all hosts. Before its first order, the earlier leader, which
+//! did not know of the new one, formed a group of some of these hosts and ordered its head to open.
+//! The new leader used the reports that it had: the head was in an older group with a dead member,
+//! so the head was ordered to leave the older group and counted as free. The head joined another
+//! group while it served the group that it had been ordered to open. The earlier leader's orders
+//! were accepted at 8.65 s and 9.08 s, and the new leader's join of the same head at 9.41 s.
 
 use test_case::test_case;
 
 use crate::world::*;
 
-/// What hosts answer is as old as this, in ms.
+/// Age of the state that hosts report, in ms.
 const REPORT_LAG_MS: u64 = 200;
 
-/// The head of a group that has just opened says that it leaves. It is told to close, and what it answers right after
-/// that is from before it was open: it is ready. Two members joined another group while it still served, 1.36 s
-/// after it had said that it leaves.
+/// The head of a group that has just opened announces that it leaves, and is ordered to close. Its
+/// next report is still from before it opened and has the state ready. Two members joined another
+/// group while the head still served, 1.36 s after its announcement.
 #[test_case("large"; "a large group")]
 #[test_case("small"; "a small group")]
 fn an_answer_from_before_an_order_ends_no_group(model: &str) {
@@ -25,22 +26,23 @@
     world.engine.report_lag_ms = REPORT_LAG_MS;
     leader.planner.set_engine(&world.engine);
     kill_member(&mut world, &mut leader, model, DOMAINS[0]);
-    let forms = |world: &World| {
+    let forming_head = |world: &World| {
         let mut forming = world.hosts.iter().filter(|(_, host)| host.open_at.is_some());
         forming.next().map(|(id, _)| id.clone())
     };
-    while forms(&world).is_none() {
+    while forming_head(&world).is_none() {
         run_for(&mut world, &mut leader, TICK_MS, true);
     }
-    let head = forms(&world).expect("a head that forms");
+    let head = forming_head(&world).expect("a head that forms");
     world.hosts.get_mut(&head).expect("a host").server.draining = true;
     run_for(&mut world, &mut leader, TICK_MS, true);
     leader.read_list(&world);
     run_for(&mut world, &mut leader, 5_000, true);
-    assert_eq!(world.breaches, Vec::<String>::new());
+    assert_eq!(world.violations, Vec::<String>::new());
 }
 
-/// The earlier leader repairs a group after the new one has asked the hosts and before its first order.
+/// The earlier leader repairs a group after the new leader has probed the hosts and before the new
+/// leader's first order.
 #[test_case("large", 900; "while the repaired group opens")]
 #[test_case("large", 1_500; "once it serves")]
 #[test_case("small", 900; "while a small group opens")]
@@ -55,6 +57,6 @@
         run_for(&mut world, &mut next, TICK_MS, true);
         earlier.tick(&mut world, true);
     }
-    assert_eq!(world.breaches, Vec::<String>::new());
+    assert_eq!(world.violations, Vec::<String>::new());
     assert!(serving_everywhere(&world, &next, model) >= DOMAINS.len() - 1);
 }
--- a/crates/oliveworks-gateway-core/tests/planner/world.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/world.rs
@@ -1,7 +1,7 @@
-//! A pool of hosts that crash, fall silent, lose answers and carry orders out late, and leaders that
-//! plan for it, among them some that do not know that they were replaced. The rules are those of the
-//! engines: a host joins no other group while the head of its own serves, a group opens only whole,
-//! loads stay below the weight store's rate.
+//! Simulated pool of hosts that crash, fall silent, lose answers and carry out orders late, with
+//! several leaders, some of which do not know that they were replaced. The checked rules are the
+//! rules of the engines: a host joins no other group while the head of its own group serves, a
+//! group opens only when it is complete, and loads stay below the rate of the weight store.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -19,12 +19,12 @@
 
 pub const TICK_MS: u64 = 20;
 pub const FORM_MS: u64 = 300;
-/// The time in which a host joins with the model that it held last.
+/// Time in which a host joins with the model that it held last, in ms.
 pub const HOT_JOIN_MS: u64 = 200;
 pub const LOADS_PER_S: f64 = 3.0;
-/// How long a head that is told to close works on what it took.
+/// Time for which a head that is ordered to close works on the requests it has accepted, in ms.
 const CLOSING_MS: u64 = 400;
-/// The time between two lists that are kept, and how long they are.
+/// Interval between two recorded lists, and the time for which they are kept, in ms.
 const LIST_EVERY_MS: u64 = 100;
 const LISTS_KEPT_MS: u64 = 8_000;
 
@@ -53,7 +53,8 @@
     }
 }
 
-/// Domains of 27 hosts, of which a group of the larger model takes 12 and one of the smaller 6.
+/// Returns an engine for domains of 27 hosts, where a group of the larger model takes 12 hosts and
+/// a group of the smaller model 6.
 pub fn wide_engine() -> Engine {
     let mut engine = engine();
     engine.models[0].size = 12;
@@ -63,12 +64,12 @@
     engine
 }
 
-/// What the hosts of a run do not do, to see that a check can fail.
+/// Faults of all hosts of a run, used to verify that the checks can fail.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Broken {
-    /// They take orders with any fence and any epoch.
+pub struct HostFaults {
+    /// Whether hosts accept orders with any fence and any epoch.
     pub ignore_fences: bool,
-    /// They say that they are ready as soon as they join.
+    /// Whether hosts report that they are ready as soon as they join.
     pub ready_at_once: bool,
 }
 
@@ -82,19 +83,19 @@
     pub last_model: Option<String>,
     pub staging: Vec<String>,
     pub staged_at: Option<(u64, String)>,
-    /// The model that a join loads: it takes the place of what is staged once the load ends.
+    /// Model that a join loads. It replaces the staged model once the load ends.
     pub join_loads: Option<String>,
     pub group: Option<(Membership, Vec<BackendServerId>, String)>,
     pub ready_at: u64,
     pub open_at: Option<u64>,
-    /// Orders that it has begun.
+    /// Number of orders that the host has begun.
     pub orders: u64,
-    /// When it started.
+    /// Time at which the host started, in ms. Identifies its incarnation.
     pub born: u64,
 }
 
 impl SimHost {
-    /// A host that starts now and holds nothing but what its memory keeps.
+    /// Returns a host that starts now and holds only the models that its memory keeps.
     fn started(server: BackendServer, staging: Vec<String>, now: u64) -> SimHost {
         SimHost {
             server,
@@ -120,38 +121,38 @@
     pub engine: Engine,
     pub rng: ChaCha8Rng,
     pub now: u64,
-    pub broken: Broken,
+    pub host_faults: HostFaults,
     pub hosts: BTreeMap<BackendServerId, SimHost>,
-    /// Orders that are carried out later: time, fence, host, order, what it expects.
+    /// Orders that are carried out late: time, fence, host, order, expected number of orders.
     pub late: Vec<(u64, u64, BackendServerId, Order, Option<u64>)>,
     pub late_share: f64,
     pub ready: BTreeSet<(u64, BackendServerId)>,
     pub loads: Vec<u64>,
-    pub breaches: Vec<String>,
+    pub violations: Vec<String>,
     pub next_host: u32,
-    /// How much older what hosts answer is than their answers.
+    /// Age of the state that hosts report when their answer arrives, in ms.
     pub report_lag_ms: u64,
-    /// What hosts would have answered at times before now.
+    /// Past states of all hosts, with the times at which they were recorded.
     reports: VecDeque<(u64, BTreeMap<BackendServerId, Holding>)>,
-    /// How much older than its reading the list is.
+    /// Age of the list when it is read, in ms.
     pub list_lag_ms: u64,
-    /// Lists as they stood at times before now.
+    /// Past lists, with the times at which they were recorded.
     lists: VecDeque<(u64, Vec<BackendServer>)>,
 }
 
 impl World {
-    pub fn new(seed: u64, broken: Broken) -> World {
+    pub fn new(seed: u64, host_faults: HostFaults) -> World {
         World {
             engine: engine(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
-            broken,
+            host_faults,
             hosts: BTreeMap::new(),
             late: Vec::new(),
             late_share: 0.0,
             ready: BTreeSet::new(),
             loads: Vec::new(),
-            breaches: Vec::new(),
+            violations: Vec::new(),
             next_host: 0,
             report_lag_ms: 0,
             reports: VecDeque::new(),
@@ -179,7 +180,7 @@
         self.hosts.insert(id, host);
     }
 
-    /// A host starts again under its id: it knows nothing of before, but for what its memory keeps.
+    /// Restarts a host under the same id. Only the models in its memory survive.
     pub fn restart(&mut self, id: &BackendServerId) {
         let now = self.now;
         let Some(host) = self.hosts.get_mut(id) else { return };
@@ -188,7 +189,7 @@
         self.late.retain(|(_, _, host, ..)| host != id);
     }
 
-    /// Whether the head of a host's group serves, as far as the head itself knows.
+    /// Whether the head of a group serves, according to the state of the head itself.
     pub fn head_serves(&self, epoch: u64, members: &[BackendServerId]) -> bool {
         let head = self.hosts.get(&members[0]).filter(|head| head.alive);
         let group = head.and_then(|head| head.group.as_ref());
@@ -198,7 +199,7 @@
         })
     }
 
-    /// A host takes an order, or refuses it.
+    /// Carries out an order on a host, or rejects it.
     pub fn carry_out(
         &mut self,
         fence: u64,
@@ -219,30 +220,30 @@
             host.orders += 1;
         }
         match order {
-            // It counts, and yet is done at once.
+            // The order is counted, but completes at once.
             Order::Leave { .. } if outcome == Outcome::Begun => Outcome::Holds,
             _ => outcome,
         }
     }
 
     fn carry_out_expected(&mut self, fence: u64, id: &BackendServerId, order: &Order) -> Outcome {
-        let (now, broken) = (self.now, self.broken);
+        let (now, host_faults) = (self.now, self.host_faults);
         let Some(host) = self.hosts.get(id).filter(|host| host.alive) else {
             return Outcome::Unanswered;
         };
-        if !broken.ignore_fences && fence < host.fence {
+        if !host_faults.ignore_fences && fence < host.fence {
             return Outcome::Fenced;
         }
         if let Order::Join { epoch, .. } = order {
             let held = host.group.as_ref().map(|(member, members, _)| (member.epoch, members));
-            if !broken.ignore_fences && *epoch < host.epoch {
+            if !host_faults.ignore_fences && *epoch < host.epoch {
                 return Outcome::Fenced;
             }
             if let Some((old, members)) = held
                 && old != *epoch
                 && self.head_serves(old, members)
             {
-                self.breaches.push(format!("{now}: TWO: {id} joins {epoch} while {old} serves"));
+                self.violations.push(format!("{now}: TWO: {id} joins {epoch} while {old} serves"));
             }
         }
         let engine = self.engine.clone();
@@ -267,7 +268,7 @@
                     self.loads.push(now);
                     host.staged_at = None;
                 }
-                // A host keeps one model in memory: the one it joined with last, once that is loaded.
+                // A host keeps one model in memory: the model of its last join, once it is loaded.
                 host.join_loads = (loads_on || (!hot && !warm)).then(|| model.clone());
                 if host.join_loads.is_none() {
                     host.staging = vec![model.clone()];
@@ -276,7 +277,7 @@
                 host.epoch = *epoch;
                 host.last_model = Some(model.clone());
                 host.open_at = None;
-                host.ready_at = if broken.ready_at_once { now } else { now + time_ms };
+                host.ready_at = if host_faults.ready_at_once { now } else { now + time_ms };
                 let state = MemberState::Joining;
                 let member = Membership { name: group.clone(), epoch: *epoch, rank, state };
                 host.group = Some((member, members.clone(), model.clone()));
@@ -297,7 +298,8 @@
             },
             Order::Close { epoch, .. } => match &mut host.group {
                 Some((member, _, _)) if member.epoch == *epoch => {
-                    // A head that still forms opens all the same, as seen on the users' bench.
+                    // A head that is still forming opens nevertheless, as observed on the users'
+                    // bench.
                     if member.state == MemberState::Open {
                         member.state = MemberState::Closing;
                         host.ready_at = now + CLOSING_MS;
@@ -332,9 +334,9 @@
         }
         if self.report_lag_ms > 0 {
             let ids: Vec<BackendServerId> = self.hosts.keys().cloned().collect();
-            let told =
+            let recorded =
                 ids.into_iter().filter_map(|id| Some((id.clone(), self.newest_holding(&id)?)));
-            self.reports.push_back((self.now, told.collect()));
+            self.reports.push_back((self.now, recorded.collect()));
             let kept_from = self.now.saturating_sub(self.report_lag_ms + TICK_MS);
             self.reports.retain(|(at, _)| *at >= kept_from);
         }
@@ -371,17 +373,17 @@
             let size = self.engine.model(&model).expect("a model").size;
             let never = members.iter().find(|id| !self.ready.contains(&(epoch, (*id).clone())));
             if members.len() != size || never.is_some() {
-                self.breaches.push(format!("{now}: PARTIAL: {epoch} opens without {never:?}"));
+                self.violations.push(format!("{now}: PARTIAL: {epoch} opens without {never:?}"));
             }
         }
     }
 
-    /// What a host answers now: as it stood a while ago, if it lags behind.
+    /// Returns the state that a host reports now: an earlier state if its reports lag.
     pub fn holding(&self, id: &BackendServerId) -> Option<Holding> {
         let newest = self.newest_holding(id)?;
         let as_of = self.now.saturating_sub(self.report_lag_ms);
-        let told = self.reports.iter().rev().find(|(at, _)| *at <= as_of);
-        match told.and_then(|(_, told)| told.get(id)) {
+        let recorded = self.reports.iter().rev().find(|(at, _)| *at <= as_of);
+        match recorded.and_then(|(_, recorded)| recorded.get(id)) {
             Some(old) if self.report_lag_ms > 0 && old.born == newest.born => Some(old.clone()),
             _ => Some(newest),
         }
@@ -400,7 +402,7 @@
         })
     }
 
-    /// The list as the store tells it now: as it was a while ago, if the store is behind.
+    /// Returns the list that the store returns now: an earlier list if the store is behind.
     pub fn listed(&self) -> Vec<BackendServer> {
         let as_of = self.now.saturating_sub(self.list_lag_ms);
         match self.lists.iter().rev().find(|(at, _)| *at <= as_of) {
@@ -432,37 +434,38 @@
         (!alive.is_empty()).then(|| alive[self.rng.random_range(0..alive.len())].clone())
     }
 
-    /// Loads within any 5 s, against the rate with its excess and constant.
+    /// Checks the number of loads within any 5 s against the rate, with 10 % and 3 loads of
+    /// tolerance.
     pub fn check_loads(&mut self, from: u64) {
         let bound = LOADS_PER_S * 5.0 * 1.1 + 3.0;
         for (index, start) in self.loads.iter().enumerate().filter(|(_, at)| **at >= from) {
             let within = self.loads[index..].iter().filter(|at| **at < start + 5_000).count();
             if within as f64 > bound {
-                self.breaches.push(format!("{start}: CEILING: {within} loads in 5 s"));
+                self.violations.push(format!("{start}: CEILING: {within} loads in 5 s"));
                 return;
             }
         }
     }
 }
 
-/// The failure domains of a pool.
+/// Failure domains of a pool.
 pub const DOMAINS: [&str; 3] = ["ruwi", "qurum", "seeb"];
 
-/// Hosts of a domain where there are few small groups, and where there are many.
+/// Number of hosts of a domain with few small groups, and of a domain with many.
 pub const FEW: usize = 10;
 pub const MANY: usize = 16;
 
-/// A pool that has formed its groups and spares before traffic, with its leader.
+/// Returns a pool that has formed its groups and spares before traffic, with its leader.
 pub fn formed(hosts: usize) -> (World, Leader) {
     formed_with(hosts, PlannerConfig::default())
 }
 
-/// The same, planned by other weights.
+/// Like [`formed`], with another planner configuration.
 pub fn formed_with(hosts: usize, config: PlannerConfig) -> (World, Leader) {
-    formed_of(World::new(1, Broken::default()), hosts, config)
+    formed_of(World::new(1, HostFaults::default()), hosts, config)
 }
 
-/// The same of a world whose engine is set.
+/// Like [`formed_with`], for a given world.
 pub fn formed_of(mut world: World, hosts: usize, config: PlannerConfig) -> (World, Leader) {
     for _ in 0..hosts {
         DOMAINS.iter().for_each(|domain| world.add_host(domain));
@@ -483,7 +486,7 @@
     }
 }
 
-/// A member of a group of the model in a domain dies, and gateways notice.
+/// Kills a member of a group of the model in a domain. Gateways observe that the group has stalled.
 pub fn kill_member(world: &mut World, leader: &mut Leader, model: &str, domain: &str) {
     let serving = leader.planner.serving(world.now);
     let mut groups = serving.iter().filter(|group| {
@@ -502,7 +505,7 @@
     here.count()
 }
 
-/// Kills the hosts of a domain that belong to no group, so that it has no spares.
+/// Kills the hosts of a domain that belong to no serving group, so that the domain has no spares.
 pub fn kill_spares(world: &mut World, leader: &Leader, domain: &str) {
     let serving: Vec<BackendServerId> =
         leader.planner.serving(world.now).into_iter().flat_map(|group| group.members).collect();
@@ -511,7 +514,7 @@
     spares.for_each(|(_, host)| host.alive = false);
 }
 
-/// Gateways see the group of a host standing still.
+/// Reports the group of a host as stalled to the leaders, as gateways do.
 pub fn suspect(world: &World, leaders: &mut [Leader], id: &BackendServerId) {
     let host = world.hosts.get(id);
     let epoch = host.and_then(|host| host.group.as_ref()).map(|(member, _, _)| member.epoch);
@@ -520,17 +523,17 @@
     }
 }
 
-/// The time in which a group is repaired by a spare that holds its model, and by one that has it
-/// staged.
+/// Time in which a group is repaired by a spare that holds its model, and by a spare that has the
+/// model staged, in ms.
 pub const HOT_REPAIR_MS: u64 = 1_000;
 pub const STAGED_REPAIR_MS: u64 = 3_000;
 
-/// A model's load: open requests for each slot, and the part of the requests that is refused.
+/// Returns the load of a model: in-flight requests per slot, and fraction of refused requests.
 pub fn load(open_per_slot: f64, refused_part: f64) -> ModelLoad {
     ModelLoad { open_per_slot, refused_part }
 }
 
-/// Runs on while the models' loads stay the same.
+/// Continues the run with constant loads of the models.
 pub fn run_under(
     world: &mut World,
     leader: &mut Leader,
@@ -544,8 +547,8 @@
     }
 }
 
-/// Runs on while callers would fill so many groups of each model: what serves shares them, and what is
-/// beyond is refused.
+/// Continues the run with a demand of so many full groups for each model. Serving groups share the
+/// demand, and the rest is refused.
 pub fn run_with_demand(
     world: &mut World,
     leader: &mut Leader,
@@ -563,7 +566,7 @@
     }
 }
 
-/// Groups of a model that serve in all domains.
+/// Returns the number of groups of a model that serve in all domains.
 pub fn serving_everywhere(world: &World, leader: &Leader, model: &str) -> usize {
     let serving = leader.planner.serving(world.now);
     serving.iter().filter(|group| group.model == model).count()
