--- a/crates/oliveworks-gateway-core/tests/demand.rs
+++ b/crates/oliveworks-gateway-core/tests/demand.rs
@@ -1,4 +1,4 @@
-//! What gateways know of the requests that find no place.
+//! Tests of the demand for models, and of the requests among it that find no slot.
 
 use std::collections::HashMap;
 
--- a/crates/oliveworks-gateway-core/tests/quota/spread.rs
+++ b/crates/oliveworks-gateway-core/tests/quota/spread.rs
@@ -1,4 +1,5 @@
-//! Each model has groups in more failure domains than may be lost at once, where they fit.
+//! Tests that each model has groups in more failure domains than may be lost at once, as far as the
+//! groups fit.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,19 +12,20 @@
 use rand_chacha::ChaCha8Rng;
 use test_case::test_case;
 
-use crate::{model, random_room};
+use crate::{model, random_capacity};
 
-/// Domains, each of them a failure domain.
-fn each_its_own(rooms: &BTreeMap<String, DomainCapacity>, lost: usize) -> Spread {
-    let failure_domains = rooms.keys().map(|domain| (domain.clone(), domain.clone())).collect();
+/// Returns a spread in which each domain is a failure domain of its own.
+fn one_failure_domain_each(capacities: &BTreeMap<String, DomainCapacity>, lost: usize) -> Spread {
+    let failure_domains =
+        capacities.keys().map(|domain| (domain.clone(), domain.clone())).collect();
     Spread { lost, failure_domains }
 }
 
-fn named(rooms: impl IntoIterator<Item = DomainCapacity>) -> BTreeMap<String, DomainCapacity> {
-    rooms.into_iter().enumerate().map(|(n, room)| (format!("d{n}"), room)).collect()
+fn named(capacities: impl IntoIterator<Item = DomainCapacity>) -> BTreeMap<String, DomainCapacity> {
+    capacities.into_iter().enumerate().map(|(n, capacity)| (format!("d{n}"), capacity)).collect()
 }
 
-fn empty(hosts: usize, spares: usize) -> DomainCapacity {
+fn unassigned(hosts: usize, spares: usize) -> DomainCapacity {
     DomainCapacity { hosts, spares, ..DomainCapacity::default() }
 }
 
@@ -41,7 +43,8 @@
     names.collect::<BTreeSet<_>>().len()
 }
 
-/// Groups of the large and of the small model in each domain of so many hosts and spares beside them.
+/// Checks the numbers of groups of the large and of the small model in each domain, for domains of
+/// so many hosts and additional spares.
 #[test_case(8, 4, 0.5, &[(11, 2), (11, 2), (11, 2)], &[(1, 1), (1, 0), (0, 2)]; "spares of thirteen give way to a small one beside the large one")]
 #[test_case(8, 4, 0.5, &[(13, 0), (13, 0), (13, 0)], &[(1, 1), (1, 1), (0, 3)]; "thirteen hold one of each")]
 #[test_case(8, 4, 0.5, &[(13, 0), (13, 0)], &[(1, 1), (1, 1)]; "two of thirteen")]
@@ -55,28 +58,37 @@
     large: usize,
     small: usize,
     share: f64,
-    rooms: &[(usize, usize)],
+    capacities: &[(usize, usize)],
     expected: &[(usize, usize)],
 ) {
     let models = [model("large", large, share), model("small", small, 1.0 - share)];
-    let rooms = named(rooms.iter().map(|(hosts, spares)| empty(*hosts, *spares)));
-    let found = quotas_spread_over_failure_domains(&models, &rooms, &each_its_own(&rooms, 1));
+    let capacities = named(capacities.iter().map(|(hosts, spares)| unassigned(*hosts, *spares)));
+    let found = quotas_spread_over_failure_domains(
+        &models,
+        &capacities,
+        &one_failure_domain_each(&capacities, 1),
+    );
     assert_eq!(by_domain(&found), expected);
 }
 
-/// A model whose groups all serve in one domain gets one in another; what else serves stays.
+/// A model whose groups all serve in one domain gets a group in another domain. The other groups
+/// stay.
 #[test]
 fn groups_that_stand_together_are_parted() {
     let models = [model("large", 8, 0.3), model("small", 4, 0.7)];
     let held =
         |large, small| BTreeMap::from([("large".to_owned(), large), ("small".to_owned(), small)]);
-    let rooms = named([
-        DomainCapacity { groups: held(2, 0), ..empty(16, 0) },
-        DomainCapacity { groups: held(0, 4), ..empty(16, 0) },
-        DomainCapacity { groups: held(0, 4), ..empty(16, 0) },
+    let capacities = named([
+        DomainCapacity { groups: held(2, 0), ..unassigned(16, 0) },
+        DomainCapacity { groups: held(0, 4), ..unassigned(16, 0) },
+        DomainCapacity { groups: held(0, 4), ..unassigned(16, 0) },
     ]);
-    assert_eq!(by_domain(&quotas_releasing_spares(&models, &rooms)), [(2, 0), (0, 4), (0, 4)]);
-    let found = quotas_spread_over_failure_domains(&models, &rooms, &each_its_own(&rooms, 1));
+    assert_eq!(by_domain(&quotas_releasing_spares(&models, &capacities)), [(2, 0), (0, 4), (0, 4)]);
+    let found = quotas_spread_over_failure_domains(
+        &models,
+        &capacities,
+        &one_failure_domain_each(&capacities, 1),
+    );
     assert_eq!(by_domain(&found), [(1, 2), (1, 2), (0, 4)]);
 }
 
@@ -84,13 +96,13 @@
 #[test]
 fn domains_of_one_failure_domain_count_once() {
     let models = [model("large", 8, 0.2), model("small", 4, 0.8)];
-    let rooms = named([empty(16, 0), empty(16, 0), empty(12, 0)]);
+    let capacities = named([unassigned(16, 0), unassigned(16, 0), unassigned(12, 0)]);
     let failure_domains_of = ["a", "a", "b"].map(str::to_owned);
     let spread = Spread {
         lost: 1,
-        failure_domains: rooms.keys().cloned().zip(failure_domains_of).collect(),
+        failure_domains: capacities.keys().cloned().zip(failure_domains_of).collect(),
     };
-    let found = quotas_spread_over_failure_domains(&models, &rooms, &spread);
+    let found = quotas_spread_over_failure_domains(&models, &capacities, &spread);
     assert_eq!(count(&found, "d2", "large"), 1);
     assert_eq!(failure_domains(&found, &spread, "small"), 2);
 }
@@ -98,27 +110,30 @@
 #[test]
 fn two_losses_are_borne() {
     let models = [model("large", 8, 0.1), model("small", 4, 0.9)];
-    let rooms = named([empty(12, 0), empty(12, 0), empty(12, 0), empty(12, 0)]);
-    let spread = each_its_own(&rooms, 2);
-    let found = quotas_spread_over_failure_domains(&models, &rooms, &spread);
+    let capacities =
+        named([unassigned(12, 0), unassigned(12, 0), unassigned(12, 0), unassigned(12, 0)]);
+    let spread = one_failure_domain_each(&capacities, 2);
+    let found = quotas_spread_over_failure_domains(&models, &capacities, &spread);
     let spreads = ["large", "small"].map(|name| failure_domains(&found, &spread, name));
     assert_eq!(spreads, [3, 4]);
 }
 
-/// What does not fit is named.
+/// Models whose groups do not fit into enough failure domains are reported.
 #[test]
 fn gaps_are_told() {
     let models = [model("large", 8, 0.5), model("small", 4, 0.5)];
-    let rooms = named([empty(13, 0), empty(5, 0), empty(4, 0)]);
-    let spread = each_its_own(&rooms, 1);
+    let capacities = named([unassigned(13, 0), unassigned(5, 0), unassigned(4, 0)]);
+    let spread = one_failure_domain_each(&capacities, 1);
     let found = spread_gaps(
         &models,
-        &quotas_spread_over_failure_domains(&models, &rooms, &spread),
+        &quotas_spread_over_failure_domains(&models, &capacities, &spread),
         &spread,
     );
     let found: Vec<_> = found.iter().map(|gap| (&*gap.model, gap.found, gap.wanted)).collect();
     assert_eq!(found, [("large", 1, 2)]);
-    assert!(spread_gaps(&models, &Quotas::new(), &each_its_own(&rooms, 0)).is_empty());
+    assert!(
+        spread_gaps(&models, &Quotas::new(), &one_failure_domain_each(&capacities, 0)).is_empty()
+    );
 }
 
 fn random_case(rng: &mut ChaCha8Rng) -> (Vec<Model>, BTreeMap<String, DomainCapacity>) {
@@ -127,49 +142,61 @@
         model("small", rng.random_range(1..7), rng.random_range(0.05..1.0)),
     ];
     let domains = rng.random_range(1..6);
-    let mut rooms = named((0..domains).map(|_| random_room(rng, &models)));
-    for room in rooms.values_mut() {
-        room.spares = rng.random_range(0..3);
+    let mut capacities = named((0..domains).map(|_| random_capacity(rng, &models)));
+    for capacity in capacities.values_mut() {
+        capacity.spares = rng.random_range(0..3);
     }
-    (models, rooms)
+    (models, capacities)
 }
 
-/// Where nothing may be lost, nothing changes.
+/// If no failure domain may be lost, spreading changes nothing.
 #[test]
 fn without_a_tolerance_nothing_is_spread() {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     for _ in 0..200 {
-        let (models, rooms) = random_case(&mut rng);
-        let found = quotas_spread_over_failure_domains(&models, &rooms, &each_its_own(&rooms, 0));
-        assert_eq!(found, quotas_releasing_spares(&models, &rooms), "{models:?} {rooms:?}");
+        let (models, capacities) = random_case(&mut rng);
+        let found = quotas_spread_over_failure_domains(
+            &models,
+            &capacities,
+            &one_failure_domain_each(&capacities, 0),
+        );
+        assert_eq!(
+            found,
+            quotas_releasing_spares(&models, &capacities),
+            "{models:?} {capacities:?}"
+        );
     }
 }
 
-/// No domain holds more than its hosts and spares, and models stand in no fewer failure domains together than
-/// without a tolerance, as far as that asks for.
+/// No domain holds more than its hosts and spares. The models together stand in at least as many
+/// failure domains as without a tolerance, where each model counts for at most the two failure
+/// domains that are required.
 #[test]
 fn spreading_takes_nothing_away() {
     let mut rng = ChaCha8Rng::seed_from_u64(8);
     for _ in 0..1_000 {
-        let (models, rooms) = random_case(&mut rng);
-        let spread = each_its_own(&rooms, 1);
+        let (models, capacities) = random_case(&mut rng);
+        let spread = one_failure_domain_each(&capacities, 1);
         let (before, found) = (
-            quotas_releasing_spares(&models, &rooms),
-            quotas_spread_over_failure_domains(&models, &rooms, &spread),
+            quotas_releasing_spares(&models, &capacities),
+            quotas_spread_over_failure_domains(&models, &capacities, &spread),
         );
-        for (domain, room) in &rooms {
+        for (domain, capacity) in &capacities {
             let used: usize =
                 models.iter().map(|model| model.size * count(&found, domain, &model.name)).sum();
-            assert!(used <= room.hosts + room.spares, "{models:?} {rooms:?} {found:?}");
+            assert!(
+                used <= capacity.hosts + capacity.spares,
+                "{models:?} {capacities:?} {found:?}"
+            );
         }
         let held = |quotas: &Quotas| -> usize {
             models.iter().map(|m| failure_domains(quotas, &spread, &m.name).min(2)).sum()
         };
-        assert!(held(&found) >= held(&before), "{models:?} {rooms:?} {before:?} {found:?}");
+        assert!(held(&found) >= held(&before), "{models:?} {capacities:?} {before:?} {found:?}");
     }
 }
 
-/// All ways to place groups of two models in domains of so many hosts.
+/// Returns all ways to place groups of two models in domains of so many hosts.
 fn layouts(hosts: &[usize], sizes: [usize; 2]) -> Vec<Vec<[usize; 2]>> {
     let Some((first, rest)) = hosts.split_first() else { return vec![vec![]] };
     let mut all = Vec::new();
@@ -184,8 +211,8 @@
     all
 }
 
-/// Models that are still served after the worst loss of one domain.
-fn left(layout: &[[usize; 2]]) -> usize {
+/// Returns the number of models that are still served after the worst loss of one domain.
+fn served_after_worst_loss(layout: &[[usize; 2]]) -> usize {
     let models_without = |lost: usize| {
         let serves = |model: &usize| {
             let mut rest = layout.iter().enumerate().filter(|(domain, _)| *domain != lost);
@@ -196,7 +223,7 @@
     (0..layout.len()).map(models_without).min().unwrap_or_default()
 }
 
-/// No other layout that serves the same models has more of them left after the worst loss.
+/// No other layout that serves the same models serves more of them after the worst loss.
 #[test]
 fn as_many_models_as_possible_are_left() {
     let mut rng = ChaCha8Rng::seed_from_u64(9);
@@ -205,12 +232,16 @@
         let models = [model("large", sizes[0], 0.5), model("small", sizes[1], 0.5)];
         let domains = rng.random_range(2..4);
         let hosts: Vec<usize> = (0..domains).map(|_| rng.random_range(2..16)).collect();
-        let rooms = named(hosts.iter().map(|hosts| empty(*hosts, 0)));
-        let found = quotas_spread_over_failure_domains(&models, &rooms, &each_its_own(&rooms, 1));
+        let capacities = named(hosts.iter().map(|hosts| unassigned(*hosts, 0)));
+        let found = quotas_spread_over_failure_domains(
+            &models,
+            &capacities,
+            &one_failure_domain_each(&capacities, 1),
+        );
         let found: Vec<[usize; 2]> = by_domain(&found).into_iter().map(Into::into).collect();
         let served = |layout: &[[usize; 2]]| [0, 1].map(|m| layout.iter().any(|g| g[m] > 0));
         let same = layouts(&hosts, sizes).into_iter().filter(|all| served(all) == served(&found));
-        let best = same.map(|layout| left(&layout)).max();
-        assert_eq!(Some(left(&found)), best, "{sizes:?} {hosts:?} {found:?}");
+        let best = same.map(|layout| served_after_worst_loss(&layout)).max();
+        assert_eq!(Some(served_after_worst_loss(&found)), best, "{sizes:?} {hosts:?} {found:?}");
     }
 }
--- a/crates/oliveworks-gateway-core/tests/speed.rs
+++ b/crates/oliveworks-gateway-core/tests/speed.rs
@@ -1,4 +1,4 @@
-//! Which replica groups run much slower than others of their model.
+//! Tests of the detection of replica groups that run much slower than other groups of their model.
 
 use oliveworks_gateway_core::balance::Target;
 use oliveworks_gateway_core::speed::Speeds;
@@ -10,7 +10,8 @@
     (0..count).map(Target).collect()
 }
 
-/// The pauses of each group, each seen so many times, and which groups are slow.
+/// Checks which groups are slow, given the pause of each group and the number of times that each
+/// pause is observed.
 #[test_case(&[60, 65, 70], 20, &[]; "alike")]
 #[test_case(&[60, 65, 240], 20, &[2]; "one slow")]
 #[test_case(&[60, 240], 20, &[1]; "one of two")]
@@ -35,5 +36,9 @@
     (0..20).for_each(|turn| speeds.record_pause(turn * 20, Target(0), 500));
     assert_eq!(speeds.slow(3_000, &targets(1), LONGEST_PASS_MS), []);
     speeds.record_pause(3_000, Target(0), 500);
-    assert_eq!(speeds.slow(3_000, &targets(1), LONGEST_PASS_MS), [], "it begins anew");
+    assert_eq!(
+        speeds.slow(3_000, &targets(1), LONGEST_PASS_MS),
+        [],
+        "the observations restart after a gap"
+    );
 }
--- a/crates/oliveworks-gateway-core/tests/worst_load/load.rs
+++ b/crates/oliveworks-gateway-core/tests/worst_load/load.rs
@@ -1,6 +1,6 @@
-//! Loads that are replayed.
+//! Recorded loads for the replay.
 
-/// A caller's first attempt.
+/// First attempt of a caller.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
     pub at_ms: u64,
@@ -11,16 +11,16 @@
 
 const OVER_TWICE_THE_FLEET: &str = include_str!("loads/over-twice-the-fleet.txt");
 
-/// 13 gateways and more than twice the callers that twelve groups serve.
+/// Returns a load on 13 gateways with more than twice the callers that twelve groups can serve.
 pub fn over_twice_the_fleet() -> Vec<Arrival> {
     let rows = OVER_TWICE_THE_FLEET.lines().filter(|line| !line.starts_with('#'));
     rows.map(parse).collect()
 }
 
-/// One of so many of these callers, with long prompts.
+/// Returns one of each `every` of these callers, with long prompts.
 pub fn long_prompts(every: usize) -> Vec<Arrival> {
-    let some = over_twice_the_fleet().into_iter().step_by(every);
-    some.map(|arrival| Arrival { tokens: arrival.tokens * 2 + 400, ..arrival }).collect()
+    let selected = over_twice_the_fleet().into_iter().step_by(every);
+    selected.map(|arrival| Arrival { tokens: arrival.tokens * 2 + 400, ..arrival }).collect()
 }
 
 fn parse(line: &str) -> Arrival {
--- a/crates/oliveworks-gateway-core/tests/worst_load/main.rs
+++ b/crates/oliveworks-gateway-core/tests/worst_load/main.rs
@@ -1,5 +1,5 @@
-//! Recorded loads replayed against the decisions on admission: how requests wait, are refused and are
-//! placed when there are more of them than the replica groups serve.
+//! Replays recorded loads against the decisions on admission: how requests wait, are refused and
+//! are placed when there are more requests than the replica groups can serve.
 
 mod domains;
 mod load;
