--- a/crates/oliveworks-gateway-core/tests/backend_servers.rs
+++ b/crates/oliveworks-gateway-core/tests/backend_servers.rs
@@ -1,4 +1,4 @@
-//! Records of backend servers, told in any order.
+//! Tests of records of backend servers that arrive in any order.
 
 use std::net::SocketAddr;
 
@@ -20,8 +20,8 @@
     }
 }
 
-/// A store that has lost its history tells again what a host said before it began to leave, and a gateway sent
-/// requests to it.
+/// Guards against requests to a leaving host: a store that has lost its history returns again the
+/// records that the host wrote before it began to leave, and a gateway sent requests to the host.
 #[test_case(record(Some(7), true), record(Some(6), false), true; "an older record")]
 #[test_case(record(None, true), record(None, false), true; "one that does not count its records still leaves")]
 #[test_case(record(Some(7), false), record(Some(8), true), true; "a newer record")]
@@ -37,19 +37,20 @@
     assert_eq!(directory.get("a").map(|server| server.draining), Some(draining));
 }
 
-/// It began to leave in its last life and is back in a later one.
+/// The host began to leave in an earlier incarnation and is back in a later one.
 #[test_case(2, Some(1), false; "a later life, whose records count anew")]
 #[test_case(1, Some(9), true; "an earlier life")]
 fn a_later_life_replaces_an_earlier_one(born: u64, number: Option<u64>, draining: bool) {
     let mut directory = Directory::default();
-    let life = |born| Holding { born: Some(Born(born)), ..Holding::default() };
-    directory.put(BackendServer { holding: life(1), ..record(Some(7), true) });
-    let said = BackendServer { holding: life(born), ..record(number, false) };
-    assert_eq!(directory.put(said), !draining);
+    let incarnation = |born| Holding { born: Some(Born(born)), ..Holding::default() };
+    directory.put(BackendServer { holding: incarnation(1), ..record(Some(7), true) });
+    let next = BackendServer { holding: incarnation(born), ..record(number, false) };
+    assert_eq!(directory.put(next), !draining);
     assert_eq!(directory.get("a").map(|server| server.draining), Some(draining));
 }
 
-/// A record that only counts on is no news, and an older one is still told apart by it.
+/// A record in which only the number differs changes nothing, but its number is used to recognize
+/// an older record.
 #[test]
 fn a_repeated_record_is_no_news() {
     let mut directory = Directory::default();
--- a/crates/oliveworks-gateway-core/tests/configuration.rs
+++ b/crates/oliveworks-gateway-core/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Which route takes a request, and whose key it carries.
+//! Tests of the choice of a route for a request, and of the workspace that its key belongs to.
 
 use oliveworks_gateway_core::configuration::{
     Configuration, Limits, Lookup, Repeat, Route, Unmatched, Workspace,
--- a/crates/oliveworks-gateway-core/tests/decisions.rs
+++ b/crates/oliveworks-gateway-core/tests/decisions.rs
@@ -1,4 +1,5 @@
-//! Freshness, retry budget, attempts, events, balance, election: each decision by a table.
+//! Table tests of single decisions: freshness, retry budget, attempts, events, balance and
+//! election.
 
 use std::collections::HashMap;
 
@@ -31,7 +32,8 @@
 
 const BUDGET: BudgetConfig = BudgetConfig { ratio: 0.2, extra: 160.0, window_ms: 10_000 };
 
-/// In each window, all repeats together stay within what all requests together allow.
+/// Asserts that in each window all repeats together stay within the limit for all requests
+/// together.
 fn assert_within_the_bound(requests: &[u64], repeats: &[u64]) {
     for start in (0..50_000u64).step_by(500) {
         let within = |times: &[u64]| {
@@ -42,7 +44,7 @@
     }
 }
 
-/// The bound holds over every window, for all gateways together.
+/// The limit holds over every window, for all gateways together.
 #[test_case(1; "one gateway")]
 #[test_case(5; "five")]
 fn all_gateways_stay_within_the_bound(gateways: usize) {
@@ -63,12 +65,13 @@
     assert!(repeats.len() > 1_000, "repeats are allowed at all");
 }
 
-/// Repeats went beyond the bound on days of restarts. A process that starts forgets what it took of the window,
-/// and until it hears others it takes the whole constant: five gateways of which each is killed three times in ten
-/// seconds sent 740 repeats where 660 are allowed.
+/// Guards against repeats above the limit on days with restarts. A process that starts does not
+/// know how many repeats it used in the window. With the whole constant available until it received
+/// heartbeats of others, five gateways that were each killed three times in ten seconds sent 740
+/// repeats where 660 are allowed.
 #[test]
 fn gateways_that_start_anew_stay_within_the_bound() {
-    /// When the others count one that has started.
+    /// Time after which the other gateways count a gateway that has started, in ms.
     const COUNTED_AFTER_MS: u64 = 300;
     let mut budgets = vec![Budget::new(BUDGET, 0); 5];
     let (mut requests, mut repeats) = (Vec::new(), Vec::new());
@@ -92,7 +95,7 @@
     assert_within_the_bound(&requests, &repeats);
 }
 
-/// The first request of a process whose backend server fails is sent again.
+/// The first request of a process is sent again if its backend server fails.
 #[test]
 fn a_process_that_has_just_started_may_repeat_a_little() {
     let mut budget = Budget::new(BUDGET, 5_000);
@@ -100,7 +103,7 @@
     let taken =
         |budget: &mut Budget, now| (0..100).filter(|_| budget.take(now, "lm", Some(5))).count();
     assert_eq!(taken(&mut budget, 5_100), 2);
-    assert_eq!(taken(&mut budget, 16_500), 24, "the window before the start is over");
+    assert_eq!(taken(&mut budget, 16_500), 24, "the window before the start has passed");
 }
 
 #[test]
@@ -140,7 +143,7 @@
     assert_eq!(attempts.failed(now, failure, gone), expected);
 }
 
-/// What may have run once is never called "not run" afterwards.
+/// A request that may have run is never reported as "not run" afterwards.
 #[test]
 fn uncertainty_stays() {
     let mut attempts = Attempts::new(Terms { max_attempts: 3, ..TERMS });
@@ -164,7 +167,7 @@
 }
 
 proptest! {
-    /// However the bytes of a stream are cut, the same whole events come out.
+    /// The same complete events are found wherever the bytes of a stream are split.
     #[test]
     fn events_do_not_depend_on_cuts(ids in prop::collection::vec(0u64..99, 0..9), cut in 1usize..9) {
         let text: String = ids.iter().map(|id| format!("id: {id}\ndata: x{id}\n\n")).collect();
@@ -180,7 +183,7 @@
         prop_assert!(splitter.rest().is_empty());
     }
 
-    /// Nothing that a backend server sends makes it panic or grow without bound.
+    /// No bytes from a backend server cause a panic or growth without bound.
     #[test]
     fn any_bytes_are_borne(bytes in prop::collection::vec(any::<u8>(), 0..2_000)) {
         let mut splitter = Splitter::default();
@@ -235,17 +238,17 @@
     for draw in 0..3 {
         assert_eq!(balance.choose(10, &candidates(3), &[], 1.0, draw), Ok(Target(2)));
     }
-    // Of many, each draw compares two neighbours.
+    // With many candidates, each draw compares two neighbors.
     for (draw, expected) in [(0, 0), (1, 2), (2, 2)] {
         let chosen = balance.choose(10, &candidates(6), &[], 1.0, draw);
         assert_eq!(chosen, Ok(Target(expected)), "draw {draw}");
     }
     assert_eq!(balance.choose(10, &candidates(2), &[], 1.0, 0), Ok(Target(0)));
-    // Old counts are not believed for ever.
+    // Old counts of other gateways expire.
     assert_eq!(balance.choose(9_000, &candidates(2), &[], 1.0, 0), Ok(Target(1)));
 }
 
-/// Gateways that know the same do not all choose the one target that was the least busy.
+/// Gateways with the same information do not all choose the single least loaded target.
 #[test]
 fn gateways_with_the_same_old_news_spread_their_requests() {
     let candidates = candidates(12);
@@ -255,7 +258,7 @@
     let idle = candidates[0].target;
     let chosen = (0..24).map(|draw| balance.choose(1, &candidates, &[], 1.0, draw));
     let to_idle = chosen.filter(|target| *target == Ok(idle)).count();
-    assert!((1..=6).contains(&to_idle), "{to_idle} of 24 gateways chose it");
+    assert!((1..=6).contains(&to_idle), "{to_idle} of 24 gateways chose the idle target");
 }
 
 #[test]
@@ -269,8 +272,8 @@
     assert_eq!(balance.choose(10, &candidates(2), &[], 1.0, 0), Ok(Target(1)));
 }
 
-/// A gateway starts while the store is away, and another that is cut off as well tells it an old proof: the
-/// process's clock begins at 0, and the proof is older.
+/// A gateway starts while the store is unavailable, and another gateway that is also cut off
+/// reports an old proof. The clock of the process begins at 0, and the proof is older than that.
 #[test]
 fn a_proof_from_before_the_process_began_is_no_younger_for_it() {
     let mut freshness = Freshness::default();
@@ -298,7 +301,8 @@
     assert_eq!(balance.choose(0, &[], &[], 1.0, 0), Err(NoTarget::None));
 }
 
-/// Requests that wait for one host at the same time all fail when it misses a call.
+/// Requests that wait for one host at the same time all fail when the host misses a call. These
+/// failures count once.
 #[test]
 fn calls_that_fail_together_are_no_loss() {
     let mut suspensions = Suspensions::default();
@@ -311,13 +315,14 @@
 
 const PASS_MS: u64 = 285;
 
-/// A replica group with open requests of this gateway since 1,000; `begun` is whether one writes and
-/// last did so at 1,400, `elsewhere` when another gateway last heard from the group.
+/// Checks when a replica group counts as stalled, with outstanding requests of this gateway since
+/// 1,000 ms. `begun` is whether one of its streams has begun, with its last event at 1,400 ms;
+/// `other_receipt` is when another gateway last received data from the group.
 #[test_case(true, None, 1_400 + PASS_MS + 50; "a stream of ours has begun")]
 #[test_case(true, Some(1_600), 1_400 + PASS_MS + 50; "what others hear is no help to our own stream")]
 #[test_case(false, None, 1_000 + 2 * PASS_MS + 100; "all of ours wait for a first event")]
 #[test_case(false, Some(1_600), 1_600 + 2 * PASS_MS + 100; "others hear from it meanwhile")]
-fn a_group_stands_still(begun: bool, elsewhere: Option<u64>, expected: u64) {
+fn a_group_stands_still(begun: bool, other_receipt: Option<u64>, expected: u64) {
     let mut balance = Balance::default();
     let target = Target::of("head");
     balance.started(1_000, target, 500);
@@ -325,18 +330,18 @@
         balance.progress(1_400, target);
         balance.began(target, 500);
     }
-    if let Some(at) = elsewhere {
+    if let Some(at) = other_receipt {
         balance.record_peer_receipt(at, Source::Gateway(1), target);
     }
     assert_eq!(balance.stalled_at(target, 1_000, PASS_MS), expected);
 }
 
-/// A place in a topic of a store that names no era.
+/// Returns a place in a topic of a store that reports no era.
 fn place(offset: u64) -> Place {
     Place::new(Era::default(), offset)
 }
 
-/// The claim that gives a fence there.
+/// Returns the claim that results in `fence` at such a place.
 fn claim(fence: u64, claimant: u64) -> Claim {
     Claim { place: place(fence - 1), claimant }
 }
@@ -352,7 +357,7 @@
 #[test]
 fn the_first_start_needs_no_patience() {
     let mut first = election(1);
-    assert_eq!(first.claim(0, 0), None, "nothing was read yet");
+    assert_eq!(first.claim(0, 0), None, "the topic was not read yet");
     first.read(0, None, place(0));
     assert_eq!(first.claim(0, 0), Some(place(0)));
     assert_eq!(first.claim(1, 0), None, "one claim at a time");
@@ -368,7 +373,7 @@
     let mut third = election(3);
     third.read(0, Some(claim(1, 1)), place(1));
     assert!(third.observe_heartbeat(1_000, heartbeat(1, 0)));
-    assert_eq!(third.claim(1_700, 1), None, "the one before it goes first");
+    assert_eq!(third.claim(1_700, 1), None, "the candidate ranked before it claims first");
 }
 
 #[test]
@@ -379,7 +384,8 @@
     assert_eq!(late.claim(700, 0), Some(place(9)));
 }
 
-/// A leader that was paused ends when it hears of, or is refused for, a higher fence.
+/// A leader that was paused steps down when it observes a higher fence, or when its orders are
+/// rejected because of one.
 #[test]
 fn an_old_leader_steps_down() {
     let mut old = election(1);
@@ -388,14 +394,14 @@
     let mut refused = old.clone();
     refused.fenced(1);
     assert_eq!(refused.leading_fence(), None);
-    let mut told = old.clone();
-    assert!(told.observe_heartbeat(10, heartbeat(2, 0)));
-    assert_eq!(told.leading_fence(), None);
+    let mut informed = old.clone();
+    assert!(informed.observe_heartbeat(10, heartbeat(2, 0)));
+    assert_eq!(informed.leading_fence(), None);
     old.read(10, Some(claim(2, 2)), place(2));
     assert_eq!(old.leading_fence(), None);
 }
 
-/// An older record that is read late does not bring an old leader back.
+/// An older record that is read late does not reinstate an old leader.
 #[test]
 fn leadership_never_goes_back() {
     let mut election = election(1);
@@ -404,19 +410,23 @@
     assert_eq!((election.leading_fence(), election.fence()), (None, Some(5)));
 }
 
-/// What is passed on late, or by a gateway that was paused, does not keep a silent leader in place.
+/// Heartbeats that are forwarded late, or by a gateway that was paused, do not keep a silent leader
+/// in office.
 #[test]
 fn only_news_of_a_leader_counts_as_hearing_it() {
     let mut election = election(2);
     election.read(0, Some(claim(5, 1)), place(5));
     assert!(election.observe_heartbeat(1_000, heartbeat(5, 8)));
-    assert!(!election.observe_heartbeat(1_500, heartbeat(5, 8)), "the same once more");
-    assert!(!election.observe_heartbeat(1_500, heartbeat(5, 7)), "an earlier one");
-    assert!(!election.observe_heartbeat(1_500, heartbeat(4, 99)), "one of an earlier leader");
+    assert!(!election.observe_heartbeat(1_500, heartbeat(5, 8)), "the same heartbeat again");
+    assert!(!election.observe_heartbeat(1_500, heartbeat(5, 7)), "an earlier heartbeat");
+    assert!(
+        !election.observe_heartbeat(1_500, heartbeat(4, 99)),
+        "a heartbeat of an earlier leader"
+    );
     assert_eq!(election.claim(1_700, 0), Some(place(5)));
 }
 
-/// A leader that lives without the store stays, unless the candidate itself reaches the store.
+/// A leader without access to the store remains, unless the candidate itself reaches the store.
 #[test_case(true, Some(5); "the candidate reaches the store")]
 #[test_case(false, None; "nobody reaches the store")]
 fn a_leader_without_the_store(answers: bool, expected: Option<u64>) {
@@ -437,7 +447,8 @@
     }
 }
 
-/// The store is back for all: the leader has the time to notice before another takes its place.
+/// The store is available again for all gateways. The leader has time to observe that before
+/// another gateway replaces it.
 #[test]
 fn an_outage_that_ends_deposes_nobody() {
     let mut election = election(2);
@@ -450,7 +461,7 @@
     assert_eq!(election.claim(10_400, 0), None);
 }
 
-/// A process that was paused has not heard what was said meanwhile.
+/// A process that was paused has not received the heartbeats of that time.
 #[test]
 fn a_pause_is_not_the_leaders_silence() {
     let mut election = election(2);
--- a/crates/oliveworks-gateway-core/tests/drains.rs
+++ b/crates/oliveworks-gateway-core/tests/drains.rs
@@ -1,4 +1,4 @@
-//! Drains of failure domains as one gateway knows them.
+//! Tests of the drains of failure domains, as one gateway knows them.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 use oliveworks_gateway_core::place::Place;
 use oliveworks_gateway_core::replay::ReplayBuffer;
 
-/// A place in a topic of a store that names no era.
+/// Returns a place in a topic of a store that reports no era.
 fn place(offset: u64) -> Place {
     Place::new(Era::default(), offset)
 }
@@ -24,15 +24,15 @@
 fn a_drain_ends_by_its_own_record() {
     let mut drains = Drains::default();
     assert!(drains.begin(100, "west"));
-    assert!(!drains.begin(200, "west"), "known since before");
+    assert!(!drains.begin(200, "west"), "the drain is already known");
     assert!(drains.holds("west") && !drains.holds("east"));
     assert_eq!(drains.end(500, "west"), Some(ended("west", 400)));
     assert_eq!(drains.end(600, "west"), None);
     assert!(drains.is_empty());
 }
 
-/// The record that ended one was forgotten; the other drain is among the newest records, and goes on with
-/// the time for which it was known.
+/// The record that ended one drain has been removed. The other drain is among the newest records
+/// and continues, with the time for which it was known.
 #[test]
 fn a_drain_that_is_not_among_the_newest_records_has_ended() {
     let mut drains = Drains::default();
@@ -43,8 +43,8 @@
     assert_eq!(drains.known_for(900).collect::<Vec<_>>(), [("east", 700)]);
 }
 
-/// Pages are no snapshot: a drain was taken back and begun again while they were read. The records since
-/// the first page follow, and say so.
+/// Pages form no consistent snapshot: a drain ended and began again while they were read. The
+/// records since the first page follow and correct this.
 #[test]
 fn what_changed_between_pages_is_put_right() {
     let mut drains = Drains::default();
@@ -55,49 +55,52 @@
     assert!(drains.holds("west"));
 }
 
-/// A gateway that has read further than the one it asks does not take a drain for ended that the other
-/// has not heard of.
+/// A gateway that has read further than the gateway that it asks does not treat a drain as ended
+/// that the other gateway does not know yet.
 #[test]
 fn newest_records_of_a_gateway_that_is_behind_are_told_apart() {
-    let mut passing = ReplayBuffer::default();
-    assert!(!passing.is_ahead_of(place(0)), "nothing was read");
-    passing.append(vec!["drain"], place(8));
-    assert!(passing.is_ahead_of(place(7)));
-    assert!(!passing.is_ahead_of(place(8)));
-    passing.restart_at(place(9));
-    assert!(!passing.is_ahead_of(place(9)));
+    let mut replay_buffer = ReplayBuffer::default();
+    assert!(!replay_buffer.is_ahead_of(place(0)), "the topic was not read yet");
+    replay_buffer.append(vec!["drain"], place(8));
+    assert!(replay_buffer.is_ahead_of(place(7)));
+    assert!(!replay_buffer.is_ahead_of(place(8)));
+    replay_buffer.restart_at(place(9));
+    assert!(!replay_buffer.is_ahead_of(place(9)));
 }
 
-/// A gateway that starts after a drain learns of its end from others, once, however often they tell and with
-/// whatever delay; one that saw the end itself learns nothing.
+/// A gateway that starts after a drain learns of its end from other gateways once, however often
+/// and with whatever delay they report it. A gateway that observed the end itself learns nothing
+/// new.
 #[test]
 fn an_end_that_others_tell_is_news_once() {
     let mut drains = Drains::default();
     assert!(drains.record_remote_end("west", 5_000));
     assert!(!drains.record_remote_end("west", 5_040));
-    assert!(drains.record_remote_end("west", 9_000), "of a later drain");
+    assert!(drains.record_remote_end("west", 9_000), "the end of a later drain");
     assert!(drains.has_ended_within(9_500, "west", 1_000));
-    assert!(!drains.has_ended_within(10_500, "west", 1_000), "no longer lately");
+    assert!(!drains.has_ended_within(10_500, "west", 1_000), "the end is too long ago");
     drains.begin(20_000, "east");
-    assert!(!drains.record_remote_end("east", 19_000), "it is drained still");
+    assert!(!drains.record_remote_end("east", 19_000), "the failure domain is still drained");
     drains.end(21_000, "east");
     assert!(!drains.record_remote_end("east", 20_900));
 }
 
-/// Soak seed 2048: gateways that were killed and started again told an end on with an age that began with
-/// their own start (`"ms_ago":101` of an end 5.1 s before), so that the others heard of it again and again.
+/// Guards against ends of drains that are forwarded forever. In soak seed 2048, gateways that
+/// were killed and restarted forwarded an end with an age that began at their own start
+/// (`"ms_ago":101` for an end 5.1 s before), so the other gateways treated it as new again and
+/// again.
 #[test]
 fn only_ends_that_were_seen_are_told_on() {
     let mut drains = Drains::default();
     drains.record_remote_end("west", 0);
-    assert!(drains.ended_within(100, 1_000).is_empty(), "the process began after it");
+    assert!(drains.ended_within(100, 1_000).is_empty(), "the process started after the end");
     drains.begin(200, "east");
     drains.end(300, "east");
     assert_eq!(drains.ended_within(400, 1_000), [("east".to_owned(), 100)]);
-    assert!(drains.ended_within(1_400, 1_000).is_empty(), "no longer lately");
+    assert!(drains.ended_within(1_400, 1_000).is_empty(), "the end is too long ago");
 }
 
-/// The copy that the store came back from lacked a drain, and that counted as its end.
+/// Guards against a drain that ends because the copy from which the store was restored lacks it.
 #[test]
 fn a_drain_that_the_store_lacks_stays_in_force_until_it_was_read_again() {
     let mut drains = Drains::default();
@@ -115,7 +118,7 @@
     let mut drains = Drains::default();
     drains.begin(100, "west");
     drains.read_in_part(&names(&[]));
-    assert!(!drains.begin(1_000, "west"), "known since before");
+    assert!(!drains.begin(1_000, "west"), "the drain is already known");
     assert!(!drains.any_unconfirmed());
 }
 
--- a/crates/oliveworks-gateway-core/tests/era.rs
+++ b/crates/oliveworks-gateway-core/tests/era.rs
@@ -1,9 +1,9 @@
-//! Which copy of itself the store answers from.
+//! Tests of the era of the store, that is, of the copy from which the store answers.
 
 use oliveworks_gateway_core::era::{Era, EraChange, StoreEra};
 use test_case::test_case;
 
-/// When the era 3 became known.
+/// Time at which era 3 became known, in ms.
 const KNOWN_SINCE: u64 = 1_000;
 
 fn in_era_3() -> StoreEra {
@@ -25,8 +25,8 @@
 #[test_case(2_000, 1_990, Era(40), EraChange::New { before: Some(Era(3)) }, Era(40); "one that leaps")]
 #[test_case(2_000, 900, Era(2), EraChange::Late, Era(3); "a former one by an answer that was held back")]
 #[test_case(2_000, 1_990, Era(2), EraChange::New { before: Some(Era(3)) }, Era(2); "a lower one of a new call")]
-fn an_era_is_told(now: u64, sent: u64, told: Era, expected: EraChange, known: Era) {
+fn an_era_is_told(now: u64, sent: u64, reported: Era, expected: EraChange, known: Era) {
     let mut era = in_era_3();
-    assert_eq!(era.observe(now, sent, told), expected);
+    assert_eq!(era.observe(now, sent, reported), expected);
     assert_eq!(era.era(), known);
 }
--- a/crates/oliveworks-gateway-core/tests/leaving.rs
+++ b/crates/oliveworks-gateway-core/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Backend servers that say in answers that they leave.
+//! Tests of backend servers that report in answers that they leave.
 
 use oliveworks_gateway_core::backend_servers::{BackendServer, Born, Directory, Holding};
 
@@ -21,18 +21,19 @@
     directory.get("h1").is_some_and(|server| server.draining)
 }
 
-/// Its record may be written after that and say nothing, since it reaches the store late or not at all.
+/// The record of a leaving server may be written later and lack that state, because the state
+/// reaches the store late or never.
 #[test]
 fn records_of_that_life_do_not_take_it_back() {
     let mut directory = Directory::default();
     directory.put(record(5, 1));
     assert!(directory.leaves("h1", Some(Born(5))));
-    assert!(!directory.leaves("h1", Some(Born(5))), "it is no news");
+    assert!(!directory.leaves("h1", Some(Born(5))), "the state is already known");
     directory.put(record(5, 9));
     assert!(is_leaving(&directory));
     directory.remove("h1");
     directory.put(record(5, 10));
-    assert!(is_leaving(&directory), "also where its entry lapsed meanwhile");
+    assert!(is_leaving(&directory), "also if its entry expired meanwhile");
 }
 
 #[test]
@@ -44,7 +45,8 @@
     assert!(!is_leaving(&directory));
 }
 
-/// An answer of an earlier process is read after the record of the next one, as when this process was paused.
+/// An answer of an earlier incarnation is read after the record of the next incarnation, for
+/// example because this process was paused.
 #[test]
 fn an_answer_of_an_earlier_life_says_nothing_of_this_one() {
     let mut directory = Directory::default();
--- a/crates/oliveworks-gateway-core/tests/listing.rs
+++ b/crates/oliveworks-gateway-core/tests/listing.rs
@@ -1,11 +1,12 @@
-//! How soon the list of backend servers is read again.
+//! Tests of the interval between two reads of the list of backend servers.
 
 use oliveworks_gateway_core::listing::{Listing, ListingConfig};
 use test_case::test_case;
 
 const CONFIG: ListingConfig = ListingConfig { quick_ms: 300, settle_ms: 1_500, every_ms: 1_950 };
 
-/// Reads as times and whether they held a new host, and the pause after the last one.
+/// Checks the interval after the last read. Each read is a time in ms and whether it held a new
+/// host.
 #[test_case(&[(0, false)], 300; "the first")]
 #[test_case(&[(0, true), (300, false), (600, false), (900, false)], 300; "the start is not over")]
 #[test_case(&[(0, true), (300, false), (600, false), (1_500, false)], 1_950; "no new one for long")]
--- a/crates/oliveworks-gateway-core/tests/members.rs
+++ b/crates/oliveworks-gateway-core/tests/members.rs
@@ -1,24 +1,24 @@
-//! Who shares a bound, and which part of it is a gateway's.
+//! Tests of the gateways that share a limit, and of the share of each gateway.
 
 use oliveworks_gateway_core::balance::Target;
 use oliveworks_gateway_core::members::Members;
 use test_case::test_case;
 
-/// What is left of a bound with the margin for gateways that are cut off.
-const fn shared(bound: f64) -> u32 {
+/// Returns the part of a limit that is shared, without the margin for gateways that are cut off.
+const fn shared_part(bound: f64) -> u32 {
     (bound * 0.875) as u32
 }
 
-/// A gateway that has long known all of these.
-fn knows(own: u64, all: &[u64]) -> Members {
+/// Returns the members as seen by a gateway that has known all of them for long.
+fn members_known_to(own: u64, all: &[u64]) -> Members {
     let mut members = Members::new(own, all.len() == 1, 0);
     all.iter().for_each(|other| members.heard(*other, 1_000));
     all.iter().for_each(|other| members.heard(*other, 10_000));
     members
 }
 
-fn parts(all: &[u64], bound: f64, target: Target) -> Vec<u32> {
-    all.iter().map(|own| knows(*own, all).part(10_000, bound, target)).collect()
+fn shares(all: &[u64], bound: f64, target: Target) -> Vec<u32> {
+    all.iter().map(|own| members_known_to(*own, all).part(10_000, bound, target)).collect()
 }
 
 #[test_case(1, 47.0; "one")]
@@ -29,27 +29,28 @@
 fn all_of_the_bound_is_shared_out(gateways: u64, bound: f64) {
     let all: Vec<u64> = (0..gateways).collect();
     for target in (0..20).map(Target) {
-        assert_eq!(parts(&all, bound, target).iter().sum::<u32>(), shared(bound));
+        assert_eq!(shares(&all, bound, target).iter().sum::<u32>(), shared_part(bound));
     }
 }
 
-/// Where there are more gateways than requests, other gateways have one at other backend servers.
+/// If there are more gateways than requests, each backend server has other gateways with a share of
+/// one request.
 #[test]
 fn no_gateway_has_no_part_at_any() {
     let all: Vec<u64> = (0..53).collect();
     for own in &all {
-        let members = knows(*own, &all);
-        let parts = (0..40).map(|target| members.part(10_000, 18.5, Target(target)));
-        assert!(parts.max() == Some(1), "gateway {own}");
+        let members = members_known_to(*own, &all);
+        let shares = (0..40).map(|target| members.part(10_000, 18.5, Target(target)));
+        assert!(shares.max() == Some(1), "gateway {own}");
     }
 }
 
-/// What the bound rests on: who counts more gateways takes no more.
+/// The limit depends on this property: a gateway that counts more gateways has no larger share.
 #[test]
 fn a_part_never_grows_with_more_gateways() {
     let all: Vec<u64> = (0..40).collect();
     for target in (0..20).map(Target) {
-        let part = |count: usize| knows(0, &all[..count]).part(10_000, 47.0, target);
+        let part = |count: usize| members_known_to(0, &all[..count]).part(10_000, 47.0, target);
         assert!((1..40).all(|count| part(count + 1) <= part(count)));
     }
 }
@@ -64,12 +65,12 @@
 
 #[test]
 fn a_gateway_without_others_has_all_at_once() {
-    assert_eq!(Members::new(0, true, 5_000).part(5_000, 47.0, Target(1)), shared(47.0));
+    assert_eq!(Members::new(0, true, 5_000).part(5_000, 47.0, Target(1)), shared_part(47.0));
 }
 
 #[test]
 fn one_that_was_paused_for_long_begins_anew() {
-    let mut members = knows(0, &[0, 1, 2]);
+    let mut members = members_known_to(0, &[0, 1, 2]);
     members.paused(20_000, 3_500);
     assert_eq!(members.part(21_999, 47.0, Target(1)), 0);
     assert!(members.part(22_000, 47.0, Target(1)) > 0);
@@ -77,17 +78,17 @@
 
 #[test]
 fn one_that_hears_nobody_keeps_its_part() {
-    let mut members = knows(0, &[0, 1, 2, 3]);
+    let mut members = members_known_to(0, &[0, 1, 2, 3]);
     let before = members.part(10_000, 47.0, Target(1));
     (11..1_000).for_each(|second| members.retain(second * 1_000));
     assert_eq!(members.part(1_000_000, 47.0, Target(1)), before);
 }
 
-/// Three of fifteen that are cut off together still hear each other.
+/// Three of fifteen gateways that are cut off together still receive each other's heartbeats.
 #[test]
 fn some_that_hear_only_each_other_keep_their_parts() {
     let all: Vec<u64> = (0..15).collect();
-    let mut members = knows(0, &all);
+    let mut members = members_known_to(0, &all);
     for second in 11..1_000 {
         members.heard(1, second * 1_000);
         members.heard(2, second * 1_000);
@@ -99,41 +100,41 @@
 #[test]
 fn others_that_are_gone_are_forgotten_in_time() {
     let all: Vec<u64> = (0..15).collect();
-    let mut members = knows(0, &all);
-    let hear = |members: &mut Members, now| (1..12).for_each(|other| members.heard(other, now));
-    hear(&mut members, 69_000);
+    let mut members = members_known_to(0, &all);
+    let observe = |members: &mut Members, now| (1..12).for_each(|other| members.heard(other, now));
+    observe(&mut members, 69_000);
     members.retain(69_000);
     assert_eq!(members.count(), 15);
-    hear(&mut members, 70_000);
+    observe(&mut members, 70_000);
     members.retain(70_000);
     assert_eq!(members.count(), 12);
 }
 
-/// Those that come back into touch are not forgotten before they can be heard.
+/// Gateways that are reachable again are not forgotten before their heartbeats can be received.
 #[test]
 fn one_that_was_cut_off_gives_others_time_to_be_heard() {
     let all: Vec<u64> = (0..15).collect();
-    let mut members = knows(0, &all);
+    let mut members = members_known_to(0, &all);
     members.retain(100_000);
     (1..9).for_each(|other| members.heard(other, 100_100));
     members.retain(100_100);
     assert_eq!(members.count(), 15);
 }
 
-/// A new gateway is told of those that are cut off.
+/// Silent gateways are reported to new gateways.
 #[test]
 fn silent_ones_are_told_on() {
-    let members = knows(0, &[0, 1, 2]);
+    let members = members_known_to(0, &[0, 1, 2]);
     assert_eq!(members.silent(13_000).count(), 0);
     assert_eq!(members.silent(13_001).count(), 2);
 }
 
-/// It may be cut off from others that send, and they do not know of it.
+/// A new gateway may be cut off from other gateways that send requests and do not know of it.
 #[test]
 fn a_new_gateway_that_hears_nobody_sends_nothing_for_a_minute() {
     let members = Members::new(0, false, 5_000);
     assert_eq!(members.part(64_999, 47.0, Target(1)), 0);
-    assert_eq!(members.part(65_000, 47.0, Target(1)), shared(47.0));
+    assert_eq!(members.part(65_000, 47.0, Target(1)), shared_part(47.0));
 }
 
 #[test]
@@ -146,26 +147,26 @@
 
 #[test]
 fn what_is_over_is_not_told_on() {
-    let members = knows(0, &[0, 1, 2]);
+    let members = members_known_to(0, &[0, 1, 2]);
     assert_eq!(members.silent(70_000).count(), 0);
 }
 
-/// Gateways that hear nobody, of whom each starts again while it is cut off, have no part of a bound: each of them
-/// took all of it.
+/// Gateways that receive no heartbeats, and that each restart while cut off, have no share of a
+/// limit. The failure: each of them used the whole limit.
 #[test]
 fn one_that_starts_without_others_has_no_part() {
     let members = Members::new(0, false, 5_000);
     assert_eq!(members.sharers(30_000), None);
     let mut members = Members::new(0, false, 5_000);
     members.heard(1, 40_000);
-    assert_eq!(members.sharers(41_999), None, "others may not count it yet");
+    assert_eq!(members.sharers(41_999), None, "other gateways may not count this one yet");
     assert_eq!(members.sharers(42_000), Some(2));
 }
 
-/// One that no longer hears the others still counts them.
+/// A gateway that receives no more heartbeats still counts the other gateways.
 #[test]
 fn one_that_is_cut_off_counts_all() {
-    let mut members = knows(0, &[0, 1, 2, 3, 4]);
+    let mut members = members_known_to(0, &[0, 1, 2, 3, 4]);
     (11..200).for_each(|second| members.retain(second * 1_000));
     assert_eq!(members.sharers(200_000), Some(5));
 }
--- a/crates/oliveworks-gateway-core/tests/missing.rs
+++ b/crates/oliveworks-gateway-core/tests/missing.rs
@@ -1,4 +1,4 @@
-//! Backend servers that are missing from the list, and whether they are gone.
+//! Tests of backend servers that are missing from the list, and of when they count as gone.
 
 use std::rc::Rc;
 
@@ -7,10 +7,11 @@
 use oliveworks_gateway_core::missing::{Departed, Missing, StoreState};
 use test_case::test_case;
 
-/// When the store's era became known, and until when its copy may lack records.
+/// Time at which the store's era became known, and time until which its copy may lack records, in
+/// ms.
 const KNOWN_SINCE: u64 = 1_000;
 const LACKS_UNTIL: u64 = KNOWN_SINCE + REWRITE_MS;
-const LIFE: u64 = 500;
+const INCARNATION: u64 = 500;
 const NUMBER: u64 = 7;
 
 fn server(born: u64, number: u64) -> BackendServer {
@@ -30,7 +31,7 @@
 
 fn directory() -> Directory {
     let mut directory = Directory::default();
-    directory.put(server(LIFE, NUMBER));
+    directory.put(server(INCARNATION, NUMBER));
     directory
 }
 
@@ -44,15 +45,15 @@
     StoreState { store_failed_at: None, read_at }
 }
 
-fn left(missing: &mut Missing, now: u64, look: StoreState) -> Vec<Departed> {
-    missing.sweep(now, look, &directory())
+fn departed(missing: &mut Missing, now: u64, store_state: StoreState) -> Vec<Departed> {
+    missing.sweep(now, store_state, &directory())
 }
 
 #[test]
 fn one_that_a_record_drops_is_gone_at_once() {
     let mut missing = Missing::default();
     missing.dropped(1_100, "h1".into());
-    assert_eq!(left(&mut missing, 1_200, read_at(1_100)).len(), 1);
+    assert_eq!(departed(&mut missing, 1_200, read_at(1_100)).len(), 1);
     assert!(missing.has_gone("h1") && !missing.holds("h1"));
 }
 
@@ -60,33 +61,34 @@
 fn one_that_an_older_copy_lacks_is_gone_once_it_had_time_to_write_again() {
     let mut missing = Missing::default();
     missing.absent(1_100, "h1".into(), era(KNOWN_SINCE), true);
-    assert_eq!(left(&mut missing, LACKS_UNTIL - 1, read_at(LACKS_UNTIL - 1)), []);
-    assert_eq!(left(&mut missing, LACKS_UNTIL, read_at(LACKS_UNTIL)).len(), 1);
+    assert_eq!(departed(&mut missing, LACKS_UNTIL - 1, read_at(LACKS_UNTIL - 1)), []);
+    assert_eq!(departed(&mut missing, LACKS_UNTIL, read_at(LACKS_UNTIL)).len(), 1);
 }
 
-/// A gateway that was paused, or asked one that the store did not answer, had read nothing of what hosts wrote again.
+/// Covers a gateway that was paused, or that asked a gateway without access to the store: neither
+/// has read the records that hosts rewrote.
 #[test]
 fn one_that_may_have_written_again_since_the_list_was_read_is_not_gone() {
     let mut missing = Missing::default();
     missing.absent(1_100, "h1".into(), era(KNOWN_SINCE), true);
-    assert_eq!(left(&mut missing, 9_000, read_at(LACKS_UNTIL - 1)), []);
+    assert_eq!(departed(&mut missing, 9_000, read_at(LACKS_UNTIL - 1)), []);
 }
 
-/// The store came back from a copy a second time before hosts had written again.
+/// The store was restored from a copy a second time before hosts had rewritten their records.
 #[test]
 fn a_second_copy_gives_time_anew() {
     let mut missing = Missing::default();
     missing.absent(1_100, "h1".into(), era(KNOWN_SINCE), true);
     missing.absent(3_100, "h1".into(), era(3_000), true);
-    assert_eq!(left(&mut missing, LACKS_UNTIL, read_at(LACKS_UNTIL)), []);
-    assert_eq!(left(&mut missing, 3_000 + REWRITE_MS, read_at(3_000 + REWRITE_MS)).len(), 1);
+    assert_eq!(departed(&mut missing, LACKS_UNTIL, read_at(LACKS_UNTIL)), []);
+    assert_eq!(departed(&mut missing, 3_000 + REWRITE_MS, read_at(3_000 + REWRITE_MS)).len(), 1);
 }
 
 #[test]
 fn one_that_another_gateway_lacks_has_the_time_of_that_gateway() {
     let mut missing = Missing::default();
     missing.absent(1_100, "h1".into(), era(KNOWN_SINCE), false);
-    assert_eq!(left(&mut missing, LACKS_UNTIL, read_at(LACKS_UNTIL)), []);
+    assert_eq!(departed(&mut missing, LACKS_UNTIL, read_at(LACKS_UNTIL)), []);
 }
 
 #[test]
@@ -95,10 +97,10 @@
     missing.absent(1_100, "h1".into(), era(KNOWN_SINCE), true);
     assert!(!missing.found(2_000, "h1"));
     missing.absent(5_000, "h1".into(), StoreEra::default(), true);
-    assert!(missing.found(5_100, "h1"), "no copy lacks it");
+    assert!(missing.found(5_100, "h1"), "no restored copy lacks the server");
 }
 
-/// One that is gone, as of 900: before the era became known.
+/// Returns a state with a backend server that is gone since 900 ms, before the era became known.
 fn gone() -> Missing {
     let mut missing = Missing::default();
     missing.dropped(900, "h1".into());
@@ -106,22 +108,22 @@
     missing
 }
 
-#[test_case(server(LIFE, NUMBER), false, true; "its last record")]
-#[test_case(server(LIFE, NUMBER - 2), false, true; "an earlier one, told again among others")]
-#[test_case(server(LIFE, NUMBER + 1), false, false; "a later one")]
-#[test_case(server(LIFE, NUMBER + 1), true, true; "a later one that a copy may hold since before it went")]
-#[test_case(server(LIFE - 1, NUMBER + 9), false, true; "one of an earlier life")]
-#[test_case(server(LIFE + 1, 1), true, false; "one of a later life")]
+#[test_case(server(INCARNATION, NUMBER), false, true; "its last record")]
+#[test_case(server(INCARNATION, NUMBER - 2), false, true; "an earlier one, told again among others")]
+#[test_case(server(INCARNATION, NUMBER + 1), false, false; "a later one")]
+#[test_case(server(INCARNATION, NUMBER + 1), true, true; "a later one that a copy may hold since before it went")]
+#[test_case(server(INCARNATION - 1, NUMBER + 9), false, true; "one of an earlier life")]
+#[test_case(server(INCARNATION + 1, 1), true, false; "one of a later life")]
 fn a_record_of_one_that_is_gone_is_old(record: BackendServer, newest: bool, expected: bool) {
     assert_eq!(gone().is_old(&record, newest, era(KNOWN_SINCE)), expected);
 }
 
-/// What was known of it had been forgotten with a second record that dropped it.
+/// A second record that removes the server must not erase the identity of the server's last record.
 #[test]
 fn one_that_is_dropped_twice_is_remembered_with_its_life() {
     let mut missing = gone();
     missing.dropped(950, "h1".into());
     missing.sweep(950, read_at(950), &Directory::default());
-    assert!(!missing.is_old(&server(LIFE + 1, 1), true, era(KNOWN_SINCE)));
-    assert!(missing.is_old(&server(LIFE, NUMBER), false, era(KNOWN_SINCE)));
+    assert!(!missing.is_old(&server(INCARNATION + 1, 1), true, era(KNOWN_SINCE)));
+    assert!(missing.is_old(&server(INCARNATION, NUMBER), false, era(KNOWN_SINCE)));
 }
--- a/crates/oliveworks-gateway-core/tests/place.rs
+++ b/crates/oliveworks-gateway-core/tests/place.rs
@@ -1,13 +1,14 @@
-//! Places in topics of a store that may come back from an older copy, and who leads by them.
+//! Tests of places in topics of a store that may be restored from an older copy, and of the
+//! leadership that is derived from places.
 
 use oliveworks_gateway_core::election::{Claim, Election, ElectionConfig, Heartbeat};
 use oliveworks_gateway_core::era::Era;
 use oliveworks_gateway_core::place::Place;
 use test_case::test_case;
 
-/// Whole numbers of JSON are exact up to here.
+/// Maximum integer that JSON represents exactly.
 const EXACT_MAX: u64 = 1 << 53;
-/// Epochs of groups that one fence has room for.
+/// Number of epochs of groups per fence.
 const EPOCHS_OF_FENCE: u64 = 1_000_000;
 
 fn place(era: u64, offset: u64) -> Place {
@@ -22,7 +23,8 @@
     Election::new(ElectionConfig::default(), claimant, 0)
 }
 
-/// The offsets of claims that the store lost were given out again, and with them their fences.
+/// Guards against reused fences: the offsets of claims that the store lost were assigned again, and
+/// their fences with them.
 #[test_case(place(1, 60), place(2, 0); "of the next era, from the start")]
 #[test_case(place(1, 1_000_000), place(2, 5); "after many claims")]
 #[test_case(place(0, 9), place(1, 3); "the store begins to name eras")]
@@ -42,7 +44,8 @@
     assert!(place.fence() < EXACT_MAX / EPOCHS_OF_FENCE);
 }
 
-/// It claimed for ever at the end that the topic had had.
+/// Guards against a candidate that claims forever at the end that the topic had before the store
+/// was restored.
 #[test]
 fn a_claim_is_made_where_the_shorter_topic_ends() {
     let mut election = election(1);
@@ -55,7 +58,7 @@
     assert_eq!(election.leading_fence(), Some(place(2, 55).fence()));
 }
 
-/// The store has lost its record, not the hosts its fence.
+/// The store has lost the record of the leader, but the hosts still know the leader's fence.
 #[test]
 fn a_leader_whose_claim_was_lost_leads_on_until_another_claims() {
     let mut leader = election(1);
@@ -66,7 +69,7 @@
     assert_eq!(leader.leading_fence(), None);
 }
 
-/// The place had been given to another before, which may lead under the same fence.
+/// The place was assigned to another gateway before, which may lead under the same fence.
 #[test]
 fn a_claim_that_arrives_in_a_later_era_does_not_lead() {
     let mut late = election(1);
@@ -76,7 +79,7 @@
     assert_eq!(late.leading_fence(), None);
 }
 
-/// An empty end was taken for the first start, and the leader was replaced.
+/// Guards against a leader that is replaced because an empty topic was taken for the first start.
 #[test]
 fn an_empty_topic_is_no_first_start_where_a_leader_is_known() {
     let mut election = election(1);
--- a/crates/oliveworks-gateway-core/tests/table.rs
+++ b/crates/oliveworks-gateway-core/tests/table.rs
@@ -1,4 +1,5 @@
-//! Gateways hold the leader's table, whatever datagrams are lost, repeated or overtaken.
+//! Tests that gateways hold the leader's table, whichever datagrams are lost, repeated or
+//! reordered.
 
 use oliveworks_gateway_core::backend_servers::Born;
 use oliveworks_gateway_core::table::{
@@ -23,18 +24,18 @@
     }
 }
 
-/// A table of a leader with groups of these epochs.
+/// Returns a table of a leader with groups of these epochs.
 fn table(fence: u64, epochs: impl IntoIterator<Item = u64>) -> Table {
     let groups = epochs.into_iter().map(|epoch| group(epoch, 100)).collect();
     Table { fence, groups, ..Table::default() }
 }
 
-/// Carries a leader's table on to a new one; the changes that it sends.
-fn publish(held: &mut Table, kept: &mut Changes, new: &Table) -> Vec<Change> {
-    let changes = held.changes_to(new);
+/// Updates a leader's table to a new one and returns the deltas that the leader sends.
+fn publish(current: &mut Table, recent_deltas: &mut Changes, new: &Table) -> Vec<Change> {
+    let changes = current.changes_to(new);
     for change in &changes {
-        assert!(held.apply(change));
-        kept.keep(change.clone());
+        assert!(current.apply(change));
+        recent_deltas.keep(change.clone());
     }
     changes
 }
@@ -54,61 +55,62 @@
     new.groups[0].pace_percent = 300;
     new.ended = vec![2, 3, 4];
     new.most_hosts = MostHosts::from([("lm".to_owned(), [("rack".to_owned(), 4)].into())]);
-    let mut held = old.clone();
-    publish(&mut held, &mut Changes::default(), &new);
-    new.number = held.number;
-    assert_eq!(sorted(&held), sorted(&new));
-    assert_eq!(held.changes_to(&new), Vec::new(), "nothing differs any more");
+    let mut current = old.clone();
+    publish(&mut current, &mut Changes::default(), &new);
+    new.number = current.number;
+    assert_eq!(sorted(&current), sorted(&new));
+    assert_eq!(current.changes_to(&new), Vec::new(), "the tables should be equal");
 }
 
 #[test]
 fn a_change_of_one_group_among_many_is_small() {
-    let mut held = table(1, 0..1_000);
-    let changes = held.changes_to(&table(1, 1..1_001));
+    let mut current = table(1, 0..1_000);
+    let changes = current.changes_to(&table(1, 1..1_001));
     assert_eq!(changes.len(), 1);
     assert!(postcard::to_stdvec(&changes[0]).unwrap().len() < 500);
-    assert!(held.apply(&changes[0]));
-    assert_eq!(held.groups.len(), 1_000);
+    assert!(current.apply(&changes[0]));
+    assert_eq!(current.groups.len(), 1_000);
 }
 
-/// A new leader's first table may differ in all groups: no datagram may be too large for that.
+/// The first table of a new leader may differ in all groups. No delta or part may be too large for
+/// a datagram.
 #[test_case(1; "one group")]
 #[test_case(4_000; "thousands of groups")]
 fn no_step_is_larger_than_a_datagram(groups: u64) {
     let new = table(7, 0..groups);
-    let mut held = Table::default();
-    let changes = publish(&mut held, &mut Changes::default(), &new);
-    assert_eq!(held.groups.len(), groups as usize);
+    let mut current = Table::default();
+    let changes = publish(&mut current, &mut Changes::default(), &new);
+    assert_eq!(current.groups.len(), groups as usize);
     assert!(changes.iter().all(|change| postcard::to_stdvec(change).unwrap().len() < 60_000));
-    assert!(held.parts().iter().all(|part| postcard::to_stdvec(part).unwrap().len() < 60_000));
+    assert!(current.parts().iter().all(|part| postcard::to_stdvec(part).unwrap().len() < 60_000));
 }
 
-/// Datagrams are lost, repeated and overtake each other; a gateway that asks for what it lacks has the
-/// leader's table in the end, also after a change of leaders.
+/// Datagrams are lost, repeated and reordered. A gateway that requests the missing deltas ends with
+/// the leader's table, also after a change of leader.
 #[test]
 fn a_gateway_that_misses_changes_catches_up() {
     for seed in 0..20 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let (mut leader, mut kept) = (Table::default(), Changes::default());
-        let (mut gateway, mut own_kept) = (Table::default(), Changes::default());
+        let (mut leader, mut recent_deltas) = (Table::default(), Changes::default());
+        let (mut gateway, mut gateway_deltas) = (Table::default(), Changes::default());
         let mut assembly = Assembly::default();
         for step in 0..60u64 {
             let fence = 1 + step / 25;
             let first = rng.random_range(0..50u64);
             let new = table(fence, first..first + rng.random_range(0..500u64));
-            let mut sent = publish(&mut leader, &mut kept, &new);
-            sent.shuffle(&mut rng);
-            for change in sent.iter().filter(|_| rng.random_bool(0.5)) {
+            let mut deltas = publish(&mut leader, &mut recent_deltas, &new);
+            deltas.shuffle(&mut rng);
+            for change in deltas.iter().filter(|_| rng.random_bool(0.5)) {
                 if gateway.apply(change) {
-                    own_kept.keep(change.clone());
+                    gateway_deltas.keep(change.clone());
                 }
-                assert!(!gateway.apply(change), "a repeated one changes nothing");
+                assert!(!gateway.apply(change), "a repeated delta should not apply");
             }
             if rng.random_bool(0.9) {
                 continue;
             }
-            // It asks; answers are lost too.
-            match kept.since(gateway.version()) {
+            // The gateway requests the missing deltas; answers are lost, too.
+            match recent_deltas.since(gateway.version()) {
                 Some(changes) => {
                     changes.iter().filter(|_| rng.random_bool(0.7)).for_each(|change| {
                         gateway.apply(change);
@@ -117,15 +119,17 @@
                 None => {
                     let mut parts = leader.parts();
                     parts.shuffle(&mut rng);
-                    let whole = parts.into_iter().filter(|_| rng.random_bool(0.7));
-                    if let Some(whole) = whole.filter_map(|part| assembly.add_part(part)).last() {
-                        gateway = whole;
+                    let received = parts.into_iter().filter(|_| rng.random_bool(0.7));
+                    if let Some(complete) =
+                        received.filter_map(|part| assembly.add_part(part)).last()
+                    {
+                        gateway = complete;
                     }
                 }
             }
         }
         while gateway.version() < leader.version() {
-            match kept.since(gateway.version()) {
+            match recent_deltas.since(gateway.version()) {
                 Some(changes) => changes.iter().for_each(|change| assert!(gateway.apply(change))),
                 None => {
                     let parts = leader.parts().into_iter();
@@ -137,15 +141,15 @@
     }
 }
 
-/// A leader that was replaced holds its successor's table already, and does not know that it leads no more.
+/// A replaced leader already holds its successor's table and does not know that it leads no more.
 #[test]
 fn no_table_goes_back_to_an_earlier_leader() {
-    let mut held = table(2, 0..3);
-    let before = held.clone();
-    for change in held.changes_to(&table(1, 0..9)) {
-        assert!(!held.apply(&change));
+    let mut current = table(2, 0..3);
+    let before = current.clone();
+    for change in current.changes_to(&table(1, 0..9)) {
+        assert!(!current.apply(&change));
     }
-    assert_eq!(held, before);
+    assert_eq!(current, before);
 }
 
 #[test]
@@ -158,29 +162,36 @@
     assert_eq!(assembly.add_part(old_parts[0].clone()), None);
     assert_eq!(assembly.add_part(new_parts[1].clone()), None);
     let late = old_parts.into_iter().filter_map(|part| assembly.add_part(part)).last();
-    assert_eq!(late, None, "parts of an older table are left out");
-    let whole = new_parts.into_iter().filter_map(|part| assembly.add_part(part)).last();
-    assert_eq!(whole, Some(new));
+    assert_eq!(late, None, "parts of an older table should be ignored");
+    let complete = new_parts.into_iter().filter_map(|part| assembly.add_part(part)).last();
+    assert_eq!(complete, Some(new));
 }
 
-/// Gateways that hold the same table heard of its groups in different orders.
+/// Gateways that hold the same table received its groups in different orders.
 #[test]
 fn parts_of_one_table_from_two_gateways_fit_together() {
     let one = table(1, 0..1_000);
     let mut other = one.clone();
     other.groups.reverse();
-    let (ours, theirs) = (one.parts(), other.parts());
-    assert_eq!(ours, theirs);
+    let (own_parts, other_parts) = (one.parts(), other.parts());
+    assert_eq!(own_parts, other_parts);
 }
 
 #[test]
 fn what_is_no_longer_kept_is_not_told_as_changes() {
-    let (mut held, mut kept) = (Table::default(), Changes::default());
+    let (mut current, mut recent_deltas) = (Table::default(), Changes::default());
     for step in 0..200 {
-        publish(&mut held, &mut kept, &table(1, step..step + 3));
+        publish(&mut current, &mut recent_deltas, &table(1, step..step + 3));
     }
-    let number = held.number;
-    assert_eq!(kept.since(Version { fence: 1, number: 1 }), None);
-    assert_eq!(kept.since(Version { fence: 1, number: number - 1 }).map(|c| c.len()), Some(1));
-    assert_eq!(kept.since(Version { fence: 2, number }), None, "another leader's");
+    let number = current.number;
+    assert_eq!(recent_deltas.since(Version { fence: 1, number: 1 }), None);
+    assert_eq!(
+        recent_deltas.since(Version { fence: 1, number: number - 1 }).map(|c| c.len()),
+        Some(1)
+    );
+    assert_eq!(
+        recent_deltas.since(Version { fence: 2, number }),
+        None,
+        "the version is of another leader"
+    );
 }
--- a/crates/oliveworks-gateway-core/tests/versions.rs
+++ b/crates/oliveworks-gateway-core/tests/versions.rs
@@ -1,4 +1,5 @@
-//! What a version that others know means for a read of the store, and for a gateway that lacks it.
+//! Tests of the effect of a version that other gateways know on the proof by a read of the store,
+//! and on a gateway that lacks the version.
 
 use oliveworks_gateway_core::era::REWRITE_MS;
 use oliveworks_gateway_core::versions::Lag;
@@ -13,7 +14,8 @@
     assert_eq!(Lag::default().proves(1_000, stored, known, false), expected);
 }
 
-/// A version that was never acknowledged is not written again, and keys would be refused for ever.
+/// Guards against keys that are refused forever: a version that was never acknowledged is not
+/// written again.
 #[test]
 fn a_version_that_is_not_written_again_is_waited_for_no_longer_than_that_takes() {
     let mut lag = Lag::default();
@@ -27,13 +29,13 @@
     let mut lag = Lag::default();
     assert!(!lag.proves(1_000, Some(4), Some(7), false));
     assert!(lag.proves(1_500, Some(7), Some(7), false));
-    assert!(!lag.proves(9_000, Some(4), Some(7), false), "a second copy");
+    assert!(!lag.proves(9_000, Some(4), Some(7), false), "the store was restored a second time");
 }
 
 #[test]
 fn a_gateway_asks_for_a_version_that_does_not_reach_it() {
     let mut lag = Lag::default();
-    assert!(!lag.should_ask(1_000, Some(4), Some(7)), "it may be on its way");
+    assert!(!lag.should_ask(1_000, Some(4), Some(7)), "the version may still be in transit");
     assert!(lag.should_ask(1_600, Some(4), Some(7)));
     assert!(!lag.should_ask(1_700, Some(7), Some(7)));
     assert!(!lag.should_ask(1_800, Some(7), None));
@@ -44,12 +46,16 @@
     assert!(Lag::default().should_ask(1_000, None, Some(7)));
 }
 
-/// It was paused or cut off while the others learned of versions that the copy lacks.
+/// The gateway was paused or cut off while the other gateways learned of versions that the copy
+/// lacks.
 #[test]
 fn a_gateway_that_has_not_heard_the_others_since_the_store_came_back_takes_no_proof_from_it() {
     let mut lag = Lag::default();
     assert!(!lag.proves(1_000, Some(4), Some(4), true));
     assert!(lag.proves(1_200, Some(4), Some(4), false));
     assert!(!lag.proves(1_300, Some(4), Some(4), true));
-    assert!(lag.proves(1_300 + REWRITE_MS, Some(4), Some(4), true), "there may be no others");
+    assert!(
+        lag.proves(1_300 + REWRITE_MS, Some(4), Some(4), true),
+        "there may be no other gateways"
+    );
 }
