--- a/crates/oliveworks-gateway-core/tests/planner/follow.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/follow.rs
@@ -17,7 +17,7 @@
 const MANY_LARGE: [(&str, f64); 2] = [("large", 8.0), ("small", 3.0)];
 
 /// The configured shares are equal, but the demand is not. The groups of both models follow the
-/// demand, and follow it back.
+/// demand, and follow again when the demand reverses.
 #[test]
 fn groups_follow_callers_there_and_back() {
     let (mut world, mut leader) = formed_pool(true);
--- a/crates/oliveworks-gateway-core/tests/planner/policy.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/policy.rs
@@ -94,18 +94,18 @@
         host.staging = vec!["large".into()];
     }
     run_for(&mut world, &mut leader, 3_000, true);
-    let group_count = |world: &World| {
+    let hosts_with_small = |world: &World| {
         let here = world.hosts.values().filter(|host| host.alive && host.server.domain == domain);
         here.filter(|host| host.staging == ["small"] || host.last_model.as_deref() == Some("small"))
             .count()
     };
-    let before = group_count(&world);
+    let before = hosts_with_small(&world);
     run_for(&mut world, &mut leader, 14_000, true);
     let descriptions = leader.planner.describe_domains();
     assert!(
-        group_count(&world) >= before + 2,
+        hosts_with_small(&world) >= before + 2,
         "{before} to {}: {descriptions:?}",
-        group_count(&world)
+        hosts_with_small(&world)
     );
     assert!(serving(&world, &leader, "small", domain) >= 1, "{descriptions:?}");
 }
--- a/crates/oliveworks-gateway-core/tests/planner/safety.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/safety.rs
@@ -2,9 +2,8 @@
 //! run violates a safety rule, and groups serve again in the end.
 //!
 //! With old lists: two hosts joined a group while the head of their previous group served, although
-//! a single leader had sent all orders. When it is read from a store that is seconds behind, the
-//! record of a head can be older than its group and then does not contain the membership in the
-//! group. The leader took the group as ended and its members as free, and sent the head no order.
+//! a single leader had sent all orders. A record of a head that is read from a store that is
+//! seconds behind can be older than the group, and then does not contain the membership in it. The leader took the group as ended and its members as free, and sent the head no order.
 //! Seed 26: `TWO: h14 joins 4000022 while 4000019 serves`.
 
 use std::collections::BTreeSet;
--- a/crates/oliveworks-gateway-core/tests/table.rs
+++ b/crates/oliveworks-gateway-core/tests/table.rs
@@ -141,7 +141,7 @@
     }
 }
 
-/// A replaced leader already holds its successor's table and does not know that it leads no more.
+/// A replaced leader already holds its successor's table and does not know that it no longer leads.
 #[test]
 fn no_table_goes_back_to_an_earlier_leader() {
     let mut current = table(2, 0..3);
