--- a/crates/oliveworks-gateway-core/tests/backoff.rs
+++ b/crates/oliveworks-gateway-core/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! Until when backend servers are left alone.
+//! Start and end of the backoffs that backend servers ask for.
 
 use oliveworks_gateway_core::backoff::{BACKOFF_MAX_MS, Backoffs};
 use oliveworks_gateway_core::balance::Target;
@@ -20,7 +20,7 @@
     assert_eq!(backoffs.until(now, HOST), expected);
 }
 
-/// A line is written once a time, not once a refusal.
+/// A log line is written once per backoff, not once per refusal.
 #[test]
 fn only_the_first_refusal_of_a_time_is_news() {
     let mut backoffs = Backoffs::default();
--- a/crates/oliveworks-gateway-core/tests/crashers.rs
+++ b/crates/oliveworks-gateway-core/tests/crashers.rs
@@ -1,4 +1,5 @@
-//! Requests that crash their backend servers: who is convicted, and who is not.
+//! Detection of requests that crash their backend servers, and protection of innocent requests
+//! against a conviction.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -31,7 +32,8 @@
     assert!(is_convicted(&mut crashers, 3_000, GUILTY));
 }
 
-/// What many callers ask at once runs at each backend server of a failure domain that is lost.
+/// Guards against convicting a request that many callers send at the same time: such a request
+/// runs at every backend server of a failure domain, so the loss of the domain ends all of them.
 #[test]
 fn ends_at_one_moment_count_once() {
     let mut crashers = Crashers::default();
@@ -51,8 +53,9 @@
     assert_eq!(crashers.standing(3_000, request(GUILTY)), Standing::Suspect { ends: 1 });
 }
 
-/// An innocent one ran beside the guilty one three times. Neither is convicted by what both explain; the next end tells,
-/// and explains the innocent one's also afterwards, here and where both were told of.
+/// An innocent request runs beside the guilty request three times. Ends that both requests explain
+/// convict neither of them. The next end convicts the guilty request and from then on also explains
+/// the chain of the innocent request, both locally and at the gateway that received both chains.
 #[test]
 fn a_shared_chain_waits_for_one_more_end() {
     let (mut crashers, mut other) = (Crashers::default(), Crashers::default());
@@ -72,7 +75,8 @@
     }
 }
 
-/// Backend servers ended for other reasons as well: a chain must be longer by one for each such moment.
+/// Backend servers also end for other reasons: each such moment raises the number of ends that
+/// convict a request by one.
 #[test]
 fn other_ends_ask_for_a_longer_chain() {
     let mut crashers = Crashers::default();
@@ -82,12 +86,16 @@
     for (end, host) in [(1_500, 1), (2_500, 2), (3_500, 3)] {
         crashers.host_ended(end, request(GUILTY), Target(host), 0);
     }
-    assert!(!is_convicted(&mut crashers, 3_500, GUILTY), "ten ended at one moment before");
+    assert!(
+        !is_convicted(&mut crashers, 3_500, GUILTY),
+        "ten hosts ended at one moment before the chain"
+    );
     crashers.host_ended(4_500, request(GUILTY), Target(4), 0);
     assert!(is_convicted(&mut crashers, 4_500, GUILTY));
 }
 
-/// Two gateways see ends of one request side by side, each as the third; an innocent one ran beside one of them.
+/// Two gateways each observe a concurrent end of the same request as its third end, while an innocent
+/// request runs at one of the two hosts.
 #[test]
 fn ends_side_by_side_are_explained_too() {
     let (mut one, mut other) = (Crashers::default(), Crashers::default());
@@ -108,10 +116,14 @@
     for chain in other.chains_to_report(3_050) {
         one.apply_report(3_060, chain);
     }
-    assert!(!is_convicted(&mut other, 3_100, 1), "the guilty one explains its end elsewhere");
+    assert!(
+        !is_convicted(&mut other, 3_100, 1),
+        "the guilty request explains the end at the other gateway"
+    );
 }
 
-/// After its time one trial is free, and one more end convicts anew.
+/// After the conviction expires, one trial run is allowed, and one more end convicts the request
+/// again.
 #[test]
 fn a_conviction_ends_with_a_trial() {
     let mut crashers = Crashers::default();
@@ -127,7 +139,8 @@
     assert!(is_convicted(&mut crashers, until + 900, GUILTY));
 }
 
-/// Those that come side by side once the conviction is over wait for the one that is tried, at all gateways.
+/// Copies of a request that arrive concurrently after the conviction expires wait for the trial run,
+/// at all gateways.
 #[test]
 fn the_trial_is_a_single_run() {
     let (mut one, mut other) = (Crashers::default(), Crashers::default());
@@ -142,7 +155,10 @@
     };
     let standing = one.standing(until, request(GUILTY));
     assert!(!one.must_wait_for_trial(until, request(GUILTY)));
-    assert!(one.placed(until, Target(4), request(GUILTY), standing), "others wait");
+    assert!(
+        one.placed(until, Target(4), request(GUILTY), standing),
+        "other gateways must not run their copies during the trial"
+    );
     assert!(one.must_wait_for_trial(until, request(GUILTY)));
     other.standing(until, request(GUILTY));
     assert!(!other.must_wait_for_trial(until, request(GUILTY)));
@@ -152,7 +168,8 @@
     assert!(other.must_wait_for_trial(until + 10, request(GUILTY)));
 }
 
-/// A lost failure domain of a large deployment, and more: what is remembered stays bound.
+/// The number of remembered chains stays bounded when more requests lose their host than run in a
+/// failure domain of a large deployment.
 #[test]
 fn the_weakest_are_forgotten_first() {
     let mut crashers = Crashers::default();
@@ -164,7 +181,7 @@
     }
     crashers.chains_to_report(3_600);
     let known = (1..10_000).filter(|number| crashers.assess(request(*number)).is_some()).count();
-    assert!(known <= 4_096, "{known} are remembered");
+    assert!(known <= 4_096, "{known} requests are remembered");
     assert!(is_convicted(&mut crashers, 3_600, GUILTY));
 }
 
@@ -172,19 +189,25 @@
 fn a_chain_is_told_once_and_not_for_ever() {
     let (mut one, mut other) = (Crashers::default(), Crashers::default());
     one.host_ended(1_000, request(GUILTY), Target(1), 0);
-    let told = one.chains_to_report(1_000);
-    assert!(other.apply_report(8_900, told[0].clone()), "each gateway may have seen one");
+    let reported = one.chains_to_report(1_000);
+    assert!(
+        other.apply_report(8_900, reported[0].clone()),
+        "each gateway may have observed an end"
+    );
     assert_eq!(other.standing(8_900, request(GUILTY)), Standing::Suspect { ends: 1 });
     one.host_ended(2_000, request(GUILTY), Target(2), 0);
-    let told = one.chains_to_report(2_000);
-    assert_eq!(told.len(), 1);
-    assert!(other.apply_report(9_000, told[0].clone()));
-    assert!(!other.apply_report(9_100, told[0].clone()));
-    assert!(!one.apply_report(2_100, told[0].clone()), "it comes back");
+    let reported = one.chains_to_report(2_000);
+    assert_eq!(reported.len(), 1);
+    assert!(other.apply_report(9_000, reported[0].clone()));
+    assert!(!other.apply_report(9_100, reported[0].clone()));
+    assert!(
+        !one.apply_report(2_100, reported[0].clone()),
+        "the gateway receives its own chain back"
+    );
     assert!(one.chains_to_report(3_500).is_empty());
 }
 
-/// A run of a request.
+/// A run of a request at a host.
 #[derive(Clone, Copy)]
 struct Run {
     host: Target,
@@ -193,16 +216,20 @@
     standing: Standing,
 }
 
-/// A gateway that starts learns of a conviction from the others, for as long as it lasts with them.
+/// A gateway that starts learns of a conviction from its peers. The conviction expires there at the
+/// same time as at the peers.
 #[test]
 fn a_gateway_that_starts_learns_who_is_convicted() {
     let (mut one, mut other) = (Crashers::default(), Crashers::default());
     for (end, host) in [(1_000, 1), (2_000, 2), (3_000, 3)] {
         one.host_ended(end, request(GUILTY), Target(host), 0);
     }
-    let told = one.chains_to_report(60_000);
-    assert_eq!(told.len(), 1);
-    assert!(other.apply_report(200_000, told[0].clone()), "its clock is another one");
+    let reported = one.chains_to_report(60_000);
+    assert_eq!(reported.len(), 1);
+    assert!(
+        other.apply_report(200_000, reported[0].clone()),
+        "the clocks of the two gateways differ"
+    );
     let Standing::Convicted { until } = one.standing(60_000, request(GUILTY)) else {
         panic!("not convicted");
     };
@@ -211,33 +238,35 @@
     assert!(!is_convicted(&mut other, 200_000 + left, GUILTY));
 }
 
-/// A process that has started since the last end cannot tell how old that is: it does not pass it on.
+/// A process that started after the last end of a chain cannot compute the age of that end, and
+/// therefore does not forward the chain.
 #[test]
 fn an_end_from_before_the_process_is_not_told_on() {
     let (mut one, mut other) = (Crashers::default(), Crashers::default());
     for (end, host) in [(1_000, 1), (2_000, 2), (3_000, 3)] {
         one.host_ended(end, request(GUILTY), Target(host), 0);
     }
-    let told = one.chains_to_report(60_000);
-    assert!(other.apply_report(40, told[0].clone()));
+    let reported = one.chains_to_report(60_000);
+    assert!(other.apply_report(40, reported[0].clone()));
     assert!(is_convicted(&mut other, 50, GUILTY));
     assert_eq!(other.chains_to_report(600), Vec::<Chain>::new());
 }
 
-/// A pool in which requests run at hosts, hosts end, and those that ran there are sent on.
+/// A pool in which requests run at hosts, hosts end, and the requests that ran there are sent again.
 struct World {
     rng: ChaCha8Rng,
     gateways: Vec<Crashers>,
     hosts: u64,
-    /// The runs, by request.
+    /// Current runs by request number.
     runs: BTreeMap<u64, Run>,
     ended: BTreeSet<Target>,
     convicted: BTreeSet<u64>,
 }
 
-/// How often one try is sent, and how often callers try.
+/// Number of sends of one attempt of a caller.
 const SENDS: u32 = 2;
-const TRIES: u32 = 4;
+/// Number of attempts of a caller.
+const ATTEMPTS: u32 = 4;
 
 impl World {
     fn new(seed: u64, gateways: usize, hosts: u64) -> World {
@@ -257,20 +286,24 @@
             return;
         }
         let all = (0..self.hosts).map(Target);
-        let free: Vec<Target> = match self.ended.is_empty() {
+        let live_hosts: Vec<Target> = match self.ended.is_empty() {
             true => all.collect(),
             false => all.filter(|host| !self.ended.contains(host)).collect(),
         };
         let standing = self.gateways[gateway].standing(now, request(number));
         let crashers = &self.gateways[gateway];
-        let without = |is_there: fn(&Crashers, Target) -> bool| -> Vec<Target> {
-            free.iter().copied().filter(|host| !is_there(crashers, *host)).collect()
+        let hosts_without = |is_present: fn(&Crashers, Target) -> bool| -> Vec<Target> {
+            live_hosts.iter().copied().filter(|host| !is_present(crashers, *host)).collect()
         };
-        let apart = match standing {
+        let preferred_places = match standing {
             Standing::Clear => Vec::new(),
-            _ => vec![without(Crashers::has_suspects), without(Crashers::has_strong_suspects)],
+            _ => vec![
+                hosts_without(Crashers::has_suspects),
+                hosts_without(Crashers::has_strong_suspects),
+            ],
         };
-        let places = apart.iter().find(|places| !places.is_empty()).unwrap_or(&free);
+        let places =
+            preferred_places.iter().find(|places| !places.is_empty()).unwrap_or(&live_hosts);
         let Some(host) = places.choose(&mut self.rng).copied() else { return };
         if standing != Standing::Clear {
             self.gateways[gateway].placed(now, host, request(number), standing);
@@ -278,8 +311,8 @@
         self.runs.insert(number, Run { host, gateway, sends: sends + 1, standing });
     }
 
-    /// Takes a run out.
-    fn take(&mut self, number: u64) -> Option<Run> {
+    /// Removes the run of a request and releases its place at the gateway.
+    fn remove_run(&mut self, number: u64) -> Option<Run> {
         let run = self.runs.remove(&number)?;
         if run.standing != Standing::Clear {
             self.gateways[run.gateway].left(run.host, request(number), run.standing);
@@ -287,25 +320,28 @@
         Some(run)
     }
 
-    /// A host ends; what ran there is sent on, or tried anew at any gateway, a little later.
+    /// Ends a host. Each request that ran there is sent again 5 ms later: by the same gateway, or by a
+    /// random gateway when the caller begins a new attempt.
     fn end(&mut self, now: u64, host: Target) {
         self.ended.insert(host);
-        let there: Vec<u64> = self.runs.iter().filter(|r| r.1.host == host).map(|r| *r.0).collect();
-        for number in there {
-            let Some(Run { gateway, sends, .. }) = self.take(number) else { continue };
+        let interrupted: Vec<u64> =
+            self.runs.iter().filter(|r| r.1.host == host).map(|r| *r.0).collect();
+        for number in interrupted {
+            let Some(Run { gateway, sends, .. }) = self.remove_run(number) else { continue };
             self.gateways[gateway].host_ended(now, request(number), host, 0);
-            self.tell(now);
+            self.exchange_chains(now);
             let gateway = match sends % SENDS == 0 {
                 true => self.rng.random_range(0..self.gateways.len()),
                 false => gateway,
             };
-            if sends < SENDS * TRIES {
+            if sends < SENDS * ATTEMPTS {
                 self.send(now + 5, number, gateway, sends);
             }
         }
     }
 
-    fn tell(&mut self, now: u64) {
+    /// Delivers the chains of every gateway to all gateways, 2 ms later.
+    fn exchange_chains(&mut self, now: u64) {
         let chains: Vec<Chain> =
             self.gateways.iter_mut().flat_map(|g| g.chains_to_report(now)).collect();
         for gateway in &mut self.gateways {
@@ -316,13 +352,13 @@
     }
 
     fn finish(&mut self, now: u64, number: u64) {
-        if let Some(run) = self.take(number) {
+        if let Some(run) = self.remove_run(number) {
             self.gateways[run.gateway].survived(now, request(number));
         }
     }
 }
 
-/// How much there is of everything.
+/// Size of a simulated deployment.
 #[derive(Clone, Copy)]
 struct Size {
     gateways: usize,
@@ -331,17 +367,19 @@
 }
 
 const SMALL: Size = Size { gateways: 5, hosts: 40, requests_per_s: 100 };
-/// The hosts and the requests of the largest deployment. Each gateway hears all others, so there are fewer of these.
+/// Hosts and requests of the largest deployment. The number of gateways is lower than in that
+/// deployment because each gateway receives the reports of all others.
 const LARGE: Size = Size { gateways: 12, hosts: 4_100, requests_per_s: 3_700 };
-/// A failure domain of it.
+/// Number of hosts in one failure domain of the largest deployment.
 const LARGE_DOMAIN: usize = 273;
 
-/// Requests come and go for a while; the `guilty` ones end each host they run at after a second, and each ten
-/// seconds `crashes` hosts end for no reason of theirs. Tells how many hosts the guilty ones ended, and who was convicted.
-fn play(seed: u64, size: Size, guilty: u64, crashes: usize) -> (usize, BTreeSet<u64>) {
+/// Simulates 29 seconds of traffic. Each of the `guilty` requests ends the host where it runs once a
+/// second, and every ten seconds `crashes` hosts end for a reason unrelated to any request. Returns
+/// the number of hosts that the guilty requests ended, and the convicted requests.
+fn simulate(seed: u64, size: Size, guilty: u64, crashes: usize) -> (usize, BTreeSet<u64>) {
     let Size { gateways, hosts, requests_per_s } = size;
     let mut world = World::new(seed, gateways, hosts);
-    let (mut by_guilty, mut next) = (0, guilty);
+    let (mut ended_by_guilty, mut next) = (0, guilty);
     (0..guilty).for_each(|number| world.send(0, number, number as usize % 5, 0));
     for second in 1..30u64 {
         let now = second * 1_000;
@@ -358,11 +396,11 @@
         }
         for number in 0..guilty {
             if let Some(run) = world.runs.get(&number).copied() {
-                by_guilty += 1;
+                ended_by_guilty += 1;
                 world.end(now + 500 + number, run.host);
             }
         }
-        // Two in three of those that run come to their end.
+        // Two thirds of the running requests finish.
         let running: Vec<u64> = world.runs.keys().copied().filter(|n| *n >= guilty).collect();
         for number in running {
             if world.rng.random_range(0..3) > 0 {
@@ -370,10 +408,10 @@
             }
         }
     }
-    (by_guilty, world.convicted)
+    (ended_by_guilty, world.convicted)
 }
 
-/// Seeds that are played; `OLIVEWORKS_SEEDS` says how many by hand.
+/// Returns the number of seeds to simulate: `OLIVEWORKS_SEEDS` if set, otherwise 200.
 fn seeds() -> u64 {
     std::env::var("OLIVEWORKS_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(200)
 }
@@ -382,28 +420,30 @@
 #[test_case(2; "two guilty")]
 fn the_guilty_are_convicted_and_nobody_else(guilty: u64) {
     for seed in 0..seeds() {
-        let (ended, convicted) = play(seed, SMALL, guilty, 0);
+        let (ended, convicted) = simulate(seed, SMALL, guilty, 0);
         assert_eq!(convicted, (0..guilty).collect::<BTreeSet<_>>(), "seed {seed}");
         assert!(ended <= 5 * guilty as usize, "seed {seed}: {ended} hosts ended");
     }
 }
 
-/// One of forty hosts ends each ten seconds, 40,000 times as often as in a pool that loses 49 of 4,100 a day; or a third of
-/// them at once, as a failure domain that is lost. At one host a second, far beyond that, three ends in a row are
-/// chance in some worlds, and nothing tells them from a guilty request.
+/// Either one of forty hosts ends every ten seconds, a rate per host about 40,000 times that of a pool
+/// that loses 49 of 4,100 hosts a day, or a third of the hosts end at once, as in the loss of a failure
+/// domain. At the far higher rate of one host a second, three ends in a row happen by chance with
+/// some seeds and cannot be distinguished from a guilty request.
 #[test_case(1; "one host")]
 #[test_case(13; "a failure domain")]
 fn crashes_that_nobody_caused_convict_nobody(crashes: usize) {
     for seed in 0..seeds() {
-        assert_eq!(play(seed, SMALL, 0, crashes).1, BTreeSet::new(), "seed {seed}");
+        assert_eq!(simulate(seed, SMALL, 0, crashes).1, BTreeSet::new(), "seed {seed}");
     }
 }
 
-/// A failure domain of 273 hosts is lost at once, each ten seconds, with what runs there.
+/// A failure domain of 273 hosts is lost at once every ten seconds, together with the requests that
+/// run there.
 #[test]
 fn a_lost_failure_domain_at_size_convicts_nobody() {
     let seeds = std::env::var("OLIVEWORKS_SEEDS").map_or(1, |_| seeds());
     for seed in 0..seeds {
-        assert_eq!(play(seed, LARGE, 0, LARGE_DOMAIN).1, BTreeSet::new(), "seed {seed}");
+        assert_eq!(simulate(seed, LARGE, 0, LARGE_DOMAIN).1, BTreeSet::new(), "seed {seed}");
     }
 }
--- a/crates/oliveworks-gateway-core/tests/fan_out.rs
+++ b/crates/oliveworks-gateway-core/tests/fan_out.rs
@@ -1,4 +1,5 @@
-//! Heartbeats reach every gateway soon, and what each gateway sends stays flat as gateways grow.
+//! Heartbeats reach every gateway within a few intervals, and the number of recipients of each
+//! gateway stays bounded as the number of gateways grows.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -18,27 +19,28 @@
     (0..domains).map(domain).collect()
 }
 
-/// Who hears something that one gateway says, after so many rounds of heartbeats that pass it on.
-fn heard_after(domains: usize, each: usize, rounds: usize, rng: &mut ChaCha8Rng) -> usize {
+/// Returns the number of gateways that hold the information of one gateway after the given number of
+/// rounds in which every gateway that holds the information sends a heartbeat with it.
+fn reached_after(domains: usize, each: usize, rounds: usize, rng: &mut ChaCha8Rng) -> usize {
     let all = gateways(domains, each);
-    let mut know = BTreeSet::from([address(0, 0)]);
+    let mut reached = BTreeSet::from([address(0, 0)]);
     for _ in 0..rounds {
-        for sender in know.clone() {
-            let domain = all.iter().find(|(_, known)| known.contains(&sender));
+        for sender in reached.clone() {
+            let domain = all.iter().find(|(_, addresses)| addresses.contains(&sender));
             let own = domain.map(|(name, _)| name.as_str()).unwrap_or_default();
             let others: BTreeMap<&str, Vec<SocketAddr>> = all
                 .iter()
-                .map(|(name, known)| {
-                    let others = known.iter().filter(|address| **address != sender);
+                .map(|(name, addresses)| {
+                    let others = addresses.iter().filter(|address| **address != sender);
                     (name.as_str(), others.copied().collect())
                 })
                 .collect();
             let Recipients { near, far } = recipients(own, &others, rng.next_u64());
-            know.extend(near);
-            know.extend(far);
+            reached.extend(near);
+            reached.extend(far);
         }
     }
-    know.len()
+    reached.len()
 }
 
 #[test_case(3, 2; "five or six")]
@@ -47,25 +49,30 @@
 fn a_leader_is_heard_by_all_within_three_heartbeats(domains: usize, each: usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     for _ in 0..50 {
-        assert_eq!(heard_after(domains, each, 3, &mut rng), domains * each);
+        assert_eq!(reached_after(domains, each, 3, &mut rng), domains * each);
     }
 }
 
 #[test_case(5, 11, 19; "some fifty")]
 #[test_case(15, 23, 35; "some three hundred")]
 #[test_case(30, 60, 36; "far more")]
-fn a_heartbeat_goes_to_a_bounded_number(domains: usize, each: usize, most: usize) {
+fn a_heartbeat_goes_to_a_bounded_number(domains: usize, each: usize, limit: usize) {
     let all = gateways(domains, each);
-    let others = all.iter().map(|(name, known)| (name.as_str(), known.clone())).collect();
+    let others = all.iter().map(|(name, addresses)| (name.as_str(), addresses.clone())).collect();
     for draw in 0..200 {
         let Recipients { near, far } = recipients("d0", &others, draw);
-        assert!(near.len() + far.len() <= most, "{} and {}", near.len(), far.len());
+        assert!(
+            near.len() + far.len() <= limit,
+            "{} local and {} remote recipients",
+            near.len(),
+            far.len()
+        );
         let distinct: BTreeSet<_> = near.iter().chain(&far).collect();
-        assert_eq!(distinct.len(), near.len() + far.len(), "nobody gets it twice");
+        assert_eq!(distinct.len(), near.len() + far.len(), "no gateway is a recipient twice");
     }
 }
 
-/// The sum of a failure domain holds its own gateways and nobody else's.
+/// The sum that a failure domain reports contains the load of its own gateways only.
 #[test]
 fn a_domain_tells_only_what_its_own_gateways_have_open() {
     let target = Target(1);
@@ -76,5 +83,5 @@
     balance.record_peer_load(0, Source::FailureDomain(2), load(20));
     assert_eq!(balance.domain_open(100)[&target], Load { requests: 5, tokens: 11 });
     assert_eq!(balance.load(100, target), Load { requests: 25, tokens: 12 });
-    assert_eq!(balance.domain_open(5_000)[&target].requests, 1, "what is old does not count");
+    assert_eq!(balance.domain_open(5_000)[&target].requests, 1, "expired reports do not count");
 }
--- a/crates/oliveworks-gateway-core/tests/residency.rs
+++ b/crates/oliveworks-gateway-core/tests/residency.rs
@@ -1,4 +1,5 @@
-//! A request is served in the regions that its route and its workspace name, and nowhere else.
+//! A request is served only in regions that both its route and its workspace allow; a list without
+//! regions allows every region.
 
 use oliveworks_gateway_core::residency::Allowed;
 use test_case::test_case;
--- a/crates/oliveworks-gateway-core/tests/returning.rs
+++ b/crates/oliveworks-gateway-core/tests/returning.rs
@@ -1,9 +1,10 @@
-//! Whether a caller has come back.
+//! Detection of returning callers: callers that retry a request after an earlier attempt.
 
 use oliveworks_gateway_core::returning::Waits;
 use test_case::test_case;
 
-/// What the attempts before named, and whether one that names this has come back.
+/// `before_ms` holds the remaining times named by earlier attempts, and `left_ms` the remaining time
+/// named by the attempt that is classified.
 #[test_case(&[5_000; 6], 1_000, false; "too few say nothing")]
 #[test_case(&[5_000; 20], 4_900, false; "like the others")]
 #[test_case(&[5_000; 20], 4_250, false; "a little less patient")]
@@ -30,10 +31,10 @@
     assert!(!waits.came_back("quick", 5_000));
     assert!(waits.came_back("slow", 5_000));
     waits.retain(|route| route == "quick");
-    assert!(!waits.came_back("slow", 5_000), "nothing is known of it");
+    assert!(!waits.came_back("slow", 5_000), "the earlier attempts of the route were dropped");
 }
 
-/// A timeout that grows is the usual one after some attempts.
+/// The usual remaining time follows a change of the callers' timeout after some attempts.
 #[test]
 fn what_is_usual_follows_a_change() {
     let mut waits = Waits::default();
--- a/crates/oliveworks-gateway-core/tests/slow_start/cold.rs
+++ b/crates/oliveworks-gateway-core/tests/slow_start/cold.rs
@@ -1,35 +1,35 @@
-//! Until when a backend server counts as cold.
+//! Time until which a backend server counts as cold.
 
 use oliveworks_gateway_core::slow_start::SlowStarts;
 use oliveworks_gateway_core::slow_start::cold::{Evidence, Listed, Reading};
 use test_case::test_case;
 
-use crate::{HEAD, LAG_MS, TERMS, alone, unread};
+use crate::{HEAD, LAG_MS, TERMS, no_peers, without_records};
 
 fn record(slow_starts: &mut SlowStarts, now: u64, cold_ms: u64, listed: Listed) {
     slow_starts.record(now, HEAD, Some(TERMS.lasts_ms), cold_ms, listed);
 }
 
-/// A gateway that has read that the head is warm.
+/// Returns the state of a gateway that has read a record of a warm head.
 fn warm() -> SlowStarts {
-    let mut slow_starts = unread();
+    let mut slow_starts = without_records();
     record(&mut slow_starts, 0, 0, Listed::Known);
     slow_starts
 }
 
 fn is_cold(slow_starts: &SlowStarts, now: u64) -> bool {
-    slow_starts.is_cold(now, HEAD, TERMS, &alone())
+    slow_starts.is_cold(now, HEAD, TERMS, &no_peers())
 }
 
 #[test]
 fn what_no_record_was_read_of_is_cold() {
-    assert!(is_cold(&unread(), 100_000));
+    assert!(is_cold(&without_records(), 100_000));
 }
 
-/// The store is away from then on: what was read is enough.
+/// The store is unavailable after the read: the cold time in the record is sufficient.
 #[test]
 fn a_record_tells_for_how_long() {
-    let mut slow_starts = unread();
+    let mut slow_starts = without_records();
     record(&mut slow_starts, 1_000, 2_500, Listed::Newly);
     assert!(is_cold(&slow_starts, 3_499));
     assert!(!is_cold(&slow_starts, 3_500));
@@ -37,7 +37,7 @@
 
 #[test]
 fn a_new_one_that_says_it_is_warm_is_cold_for_the_whole_time() {
-    let mut slow_starts = unread();
+    let mut slow_starts = without_records();
     record(&mut slow_starts, 1_000, 0, Listed::Newly);
     assert!(is_cold(&slow_starts, 3_999));
     assert!(!is_cold(&slow_starts, 4_000));
@@ -51,8 +51,8 @@
 #[test]
 fn it_turns_cold_again_by_its_record() {
     let mut slow_starts = warm();
-    let known = slow_starts.record(9_000, HEAD, Some(TERMS.lasts_ms), 2_000, Listed::Known);
-    assert_eq!(known.map(|known| known.evidence), Some(Evidence::Record));
+    let cold_state = slow_starts.record(9_000, HEAD, Some(TERMS.lasts_ms), 2_000, Listed::Known);
+    assert_eq!(cold_state.map(|cold_state| cold_state.evidence), Some(Evidence::Record));
     assert!(is_cold(&slow_starts, 10_999));
     record(&mut slow_starts, 10_500, 0, Listed::Known);
     assert!(!is_cold(&slow_starts, 10_500));
@@ -83,7 +83,7 @@
     assert!(!is_cold(&slow_starts, 63_000));
 }
 
-/// It may be lost a second time before the first is over.
+/// A backend server may be lost a second time before the doubt of the first loss ends.
 #[test]
 fn one_that_is_lost_again_is_doubted_anew() {
     let mut slow_starts = warm();
@@ -130,7 +130,8 @@
     assert!(!is_cold(&slow_starts, 20_100));
 }
 
-/// The store does not answer after the pause.
+/// If the store does not answer after a pause, the doubt ends after the cold time plus the maximum age
+/// of records.
 #[test]
 fn after_a_pause_what_was_missed_is_over_some_time() {
     let mut slow_starts = warm();
@@ -138,10 +139,11 @@
     assert!(!is_cold(&slow_starts, 20_000 + TERMS.lasts_ms + LAG_MS));
 }
 
-/// Whether all are cold to a gateway that knows two others, and heard them and the store then.
-fn without_news(others_heard_at: u64, store_heard_at: u64, now: u64) -> bool {
+/// Returns whether backend servers count as cold at a gateway with two peers that last received data
+/// from the peers and the store at the given times.
+fn all_cold_after_silence(others_heard_at: u64, store_heard_at: u64, now: u64) -> bool {
     let mut slow_starts = warm();
-    let mut members = alone();
+    let mut members = no_peers();
     members.heard(1, others_heard_at);
     members.heard(2, others_heard_at);
     slow_starts.store_heard(store_heard_at);
@@ -150,22 +152,23 @@
 
 #[test]
 fn all_are_cold_to_a_gateway_that_is_cut_off() {
-    assert!(without_news(10_000, 10_000, 14_000));
-    assert!(!without_news(10_000, 13_500, 14_000), "the store answers");
-    assert!(!without_news(13_500, 10_000, 14_000), "others are heard");
+    assert!(all_cold_after_silence(10_000, 10_000, 14_000));
+    assert!(!all_cold_after_silence(10_000, 13_500, 14_000), "the store answered recently");
+    assert!(!all_cold_after_silence(13_500, 10_000, 14_000), "peers were heard recently");
 }
 
-/// A gateway that starts takes the list over from one that has seen a loss: by then the record is old.
+/// A gateway that starts copies the list from a gateway that has observed a loss of the head, by which
+/// time the record of the head is outdated.
 #[test]
 fn what_is_doubted_is_told_to_who_takes_the_list_over() {
-    let mut knows = warm();
-    knows.lost(5_000, HEAD);
-    let told_ms = knows.remaining_cold_ms(6_000, HEAD, TERMS.lasts_ms);
-    let mut starts = unread();
-    record(&mut starts, 6_000, told_ms, Listed::Known);
-    assert!(is_cold(&starts, 6_000 + TERMS.lasts_ms + LAG_MS - 1));
-    knows.heard(7_000, HEAD, TERMS);
-    assert_eq!(knows.remaining_cold_ms(8_000, HEAD, TERMS.lasts_ms), TERMS.lasts_ms - 1_000);
+    let mut informed = warm();
+    informed.lost(5_000, HEAD);
+    let remaining_ms = informed.remaining_cold_ms(6_000, HEAD, TERMS.lasts_ms);
+    let mut starting = without_records();
+    record(&mut starting, 6_000, remaining_ms, Listed::Known);
+    assert!(is_cold(&starting, 6_000 + TERMS.lasts_ms + LAG_MS - 1));
+    informed.heard(7_000, HEAD, TERMS);
+    assert_eq!(informed.remaining_cold_ms(8_000, HEAD, TERMS.lasts_ms), TERMS.lasts_ms - 1_000);
 }
 
 #[test]
@@ -173,17 +176,19 @@
     assert_eq!(warm().remaining_cold_ms(5_000, HEAD, TERMS.lasts_ms), 0);
 }
 
-/// A gateway starts while the store is away, and is told the list by one that has lost the head since.
+/// A gateway starts while the store is unavailable and receives the list from a gateway that has lost
+/// the head since.
 #[test]
 fn a_list_of_a_gateway_without_the_store_does_not_say_that_one_is_warm() {
-    let mut slow_starts = unread();
+    let mut slow_starts = without_records();
     record(&mut slow_starts, 1_000, 0, Listed::Late);
     slow_starts.heard(20_000, HEAD, TERMS);
     assert!(is_cold(&slow_starts, 22_999));
     assert!(!is_cold(&slow_starts, 23_000));
 }
 
-/// Who doubts a host asks for records that say nothing new: the first one that is young enough clears it.
+/// A gateway in doubt about a host also asks for repeated records: the first record that is recent
+/// enough clears the doubt.
 #[test]
 fn a_doubt_is_known_until_a_younger_record_clears_it() {
     let mut slow_starts = warm();
@@ -194,7 +199,7 @@
     assert!(!slow_starts.doubts_any(5_000 + LAG_MS));
 }
 
-/// Its domain's drain ends while it is still away.
+/// The drain of the head's failure domain ends while the head is still lost.
 #[test]
 fn the_end_of_a_drain_does_not_bring_a_lost_one_back() {
     let mut slow_starts = warm();
@@ -203,7 +208,8 @@
     assert!(is_cold(&slow_starts, 60_000));
 }
 
-/// The store forgot its history: its list holds the last record of a host that has been dark for long.
+/// The store has dropped its history, so its complete list contains the last record of a host that has
+/// been unreachable for a long time.
 #[test]
 fn the_last_record_of_a_lost_one_does_not_clear_it() {
     let mut slow_starts = warm();
@@ -232,10 +238,11 @@
     assert_eq!(Listed::of(reading), expected);
 }
 
-/// A gateway that started just after a drain's end sent a cold host what a warm one bears: 28 requests in a second, where all
-/// gateways together may send 20. It had heard of the end from another (`drain_ended_elsewhere` 62 ms after it) and read the
-/// list 129 ms later, but the configuration 1 ms after that: it did not know yet how slowly the service begins, and
-/// dropped the doubt.
+/// A gateway that started just after the end of a drain sent a cold host the load of a warm host: 28
+/// requests in a second, where all gateways together may send 20. The gateway had received the end of
+/// the drain from a peer (`drain_ended_elsewhere`, 62 ms after the end) and read the list 129 ms later,
+/// but the configuration only 1 ms after the list. Without the ramp-up terms of the service, the
+/// gateway dropped the doubt.
 #[test]
 fn a_doubt_that_comes_before_the_configuration_is_kept() {
     let mut slow_starts = warm();
@@ -248,7 +255,7 @@
 
 #[test]
 fn a_new_one_that_is_listed_before_the_configuration_is_cold() {
-    let mut slow_starts = unread();
+    let mut slow_starts = without_records();
     slow_starts.record(1_000, HEAD, None, 0, Listed::Newly);
     assert!(is_cold(&slow_starts, 60_000));
 }
--- a/crates/oliveworks-gateway-core/tests/slow_start/replay.rs
+++ b/crates/oliveworks-gateway-core/tests/slow_start/replay.rs
@@ -1,7 +1,8 @@
-//! Gateways and callers that return all at once to one cold head.
+//! Simulation of gateways whose callers return to one cold head all at once.
 //!
-//! Each gateway hears all others that it can, ten times a second. A request takes up to 60 ms to the head,
-//! and counts in a second if it was both sent and has arrived in it.
+//! Each gateway receives heartbeats of all gateways that can reach it, ten times a second. A request
+//! takes up to 60 ms to the head, and counts in a second if it was both sent and received in that
+//! second.
 
 use std::collections::VecDeque;
 
@@ -15,56 +16,59 @@
 
 use crate::{BOUND, CONFIG, HEAD, TERMS};
 
-/// Callers come from then on.
+/// Time of the first call, in ms.
 const BEGAN: u64 = 10_000;
-/// Callers who were refused while the head was away return then, all at once.
+/// Time at which callers that were rejected while the head was unavailable return all at once, in ms.
 const RETURN: u64 = BEGAN + 1_000;
 const END: u64 = RETURN + 5_000;
+/// Maximum transit time of a request to the head, in ms.
 const WAY_MS: u64 = 60;
 const BEAT_MS: u64 = 100;
-/// Callers come to gateways unequally: half of them to the first third.
+/// Exponent of the distribution of callers over gateways: half of the callers use the first third of
+/// the gateways.
 const UNEQUAL: f64 = 1.7;
 
-/// Callers of the head.
+/// Load that callers put on the head.
 #[derive(Clone, Copy, Debug)]
 struct Load {
-    /// Those who return all at once.
+    /// Number of callers that return all at once.
     returning: usize,
-    /// Others in a second.
+    /// Other callers per second.
     per_s: u32,
 }
 
-/// Far more than the head may be sent, from each gateway.
+/// Load at which callers of each gateway ask for far more than the head may be sent.
 const CROWD: Load = Load { returning: 300, per_s: 400 };
-/// Less than it may be sent.
+/// Load below the limit of the head.
 const CALM: Load = Load { returning: 0, per_s: 20 };
 
-/// How the bound is shared out.
+/// Ways to divide the limit among the gateways.
 #[derive(Clone, Copy, Debug)]
 enum Way {
-    /// What is built.
+    /// The implemented way.
     Built,
-    /// Equal parts of few gateways.
+    /// Equal shares for the given number of gateways, and none for the others.
     Few(u32),
-    /// Parts in proportion to the callers that each gateway had in the last second, as others know it 100 ms
-    /// later.
+    /// Shares in proportion to the callers of each gateway in the last second, which peers learn
+    /// 100 ms later.
     ByCallers,
-    /// Nothing binds what is sent.
+    /// No limit.
     Unbound,
 }
 
 struct Gateway {
     slow_starts: SlowStarts,
     members: Members,
-    /// What it has sent, for the ways that are not built.
+    /// Sends of this gateway, for the alternatives that are not implemented.
     sends: Sends,
-    /// Its callers of the last second and a bit.
+    /// Call times within the last 1.1 s.
     callers: VecDeque<u64>,
     starts_at: u64,
     cut_off: bool,
 }
 
-/// Gateways that know each other, and of these some that are cut off; others that start.
+/// Numbers of gateways: `known` gateways that know each other, `cut_off` of which are partitioned, and
+/// `new` gateways that start when callers return.
 #[derive(Clone, Copy, Debug)]
 struct Fleet {
     known: usize,
@@ -80,22 +84,22 @@
     way: Way,
     gateways: Vec<Gateway>,
     rng: ChaCha8Rng,
-    /// When requests were sent and arrived.
+    /// Send and arrival time of each request.
     sent: Vec<(u64, u64)>,
-    /// Callers, once the head is there.
+    /// Number of callers since the head is available.
     callers: usize,
 }
 
-/// How it went.
-struct Found {
-    /// The most requests that were sent and arrived in one second.
+/// Result of a replay.
+struct Outcome {
+    /// Maximum number of requests that were both sent and received in one second.
     most: usize,
     sent: usize,
     callers: usize,
 }
 
-impl Found {
-    /// The part of callers whose request was sent, in hundredths.
+impl Outcome {
+    /// Returns the share of callers whose request was sent, in percent.
     fn sent_percent(&self) -> usize {
         self.sent * 100 / self.callers
     }
@@ -109,7 +113,7 @@
         Replay { way, gateways, rng, sent: Vec::new(), callers: 0 }
     }
 
-    fn run(mut self, load: Load) -> Found {
+    fn run(mut self, load: Load) -> Outcome {
         for now in BEGAN..END {
             if now % BEAT_MS == 0 {
                 self.beat(now);
@@ -120,22 +124,22 @@
                 self.caller(now);
             }
         }
-        Found { most: most_in_a_second(&self.sent), sent: self.sent.len(), callers: self.callers }
+        Outcome { most: most_in_a_second(&self.sent), sent: self.sent.len(), callers: self.callers }
     }
 
     fn beat(&mut self, now: u64) {
-        let in_touch = |gateway: &Gateway| now >= gateway.starts_at && !gateway.cut_off;
+        let is_connected = |gateway: &Gateway| now >= gateway.starts_at && !gateway.cut_off;
         let all = self.gateways.iter().enumerate();
         let mut heard: Vec<(u64, u64)> = all
-            .filter(|(_, gateway)| in_touch(gateway))
+            .filter(|(_, gateway)| is_connected(gateway))
             .map(|(index, _)| (index as u64, now))
             .collect();
-        let told = self.gateways.iter().filter(|gateway| in_touch(gateway));
-        heard.extend(told.flat_map(|gateway| gateway.members.silent(now)));
+        let reachable = self.gateways.iter().filter(|gateway| is_connected(gateway));
+        heard.extend(reachable.flat_map(|gateway| gateway.members.silent(now)));
         heard.sort_unstable();
         heard.dedup_by_key(|(gateway, _)| *gateway);
         for gateway in &mut self.gateways {
-            if in_touch(gateway) {
+            if is_connected(gateway) {
                 heard.iter().for_each(|(other, at)| gateway.members.heard(*other, *at));
             }
             gateway.slow_starts.retain(now, |_| true);
@@ -143,7 +147,7 @@
         }
     }
 
-    /// A caller comes to a gateway, which sends the request if it may.
+    /// Simulates a call to a random gateway, which sends the request if its share allows that.
     fn caller(&mut self, now: u64) {
         let drawn = self.rng.random::<f64>().powf(UNEQUAL) * self.gateways.len() as f64;
         let index = drawn as usize;
@@ -228,12 +232,12 @@
     (0..sent.len()).map(from).max().unwrap_or(0)
 }
 
-fn replay(way: Way, fleet: Fleet, load: Load) -> Found {
-    let runs: Vec<Found> = (0..3).map(|seed| Replay::new(way, fleet, seed).run(load)).collect();
-    Found {
-        most: runs.iter().map(|found| found.most).max().unwrap_or(0),
-        sent: runs.iter().map(|found| found.sent).sum(),
-        callers: runs.iter().map(|found| found.callers).sum(),
+fn replay(way: Way, fleet: Fleet, load: Load) -> Outcome {
+    let runs: Vec<Outcome> = (0..3).map(|seed| Replay::new(way, fleet, seed).run(load)).collect();
+    Outcome {
+        most: runs.iter().map(|outcome| outcome.most).max().unwrap_or(0),
+        sent: runs.iter().map(|outcome| outcome.sent).sum(),
+        callers: runs.iter().map(|outcome| outcome.callers).sum(),
     }
 }
 
@@ -242,25 +246,27 @@
 #[test_case(fleet(15, 5, 5); "a third cut off and as many new")]
 #[test_case(fleet(53, 10, 10); "more gateways than requests")]
 fn the_bound_holds_in_any_second(fleet: Fleet) {
-    let found = replay(Way::Built, fleet, CROWD);
-    assert!(found.most <= BOUND, "{} in a second", found.most);
+    let outcome = replay(Way::Built, fleet, CROWD);
+    assert!(outcome.most <= BOUND, "{} in a second", outcome.most);
 }
 
-/// Of what may be sent, only the margin is left, and what a second of 1.1 s leaves.
+/// Only the safety margin of the limit remains unused, plus the loss from counting sends over 1.1 s
+/// instead of one second.
 #[test]
 fn most_of_the_bound_is_used() {
-    let found = replay(Way::Built, fleet(15, 0, 0), CROWD);
+    let outcome = replay(Way::Built, fleet(15, 0, 0), CROWD);
     let all = 3 * BOUND * (END - RETURN) as usize / 1_000;
-    assert!(found.sent * 100 >= all * 75, "{} of {all} sent", found.sent);
+    assert!(outcome.sent * 100 >= all * 75, "{} of {all} sent", outcome.sent);
 }
 
-/// Why parts are equal: each other way either breaks the bound or leaves callers out that it has room for.
+/// Reason for equal shares: each alternative either exceeds the limit or rejects callers although the
+/// limit is not reached.
 #[test_case(Way::Unbound, fleet(15, 0, 0); "nothing binds")]
 #[test_case(Way::ByCallers, fleet(15, 0, 0); "parts in proportion to callers")]
 #[test_case(Way::ByCallers, fleet(53, 0, 0); "the same with more gateways than requests")]
 fn other_ways_break_the_bound(way: Way, fleet: Fleet) {
-    let found = replay(way, fleet, CROWD);
-    assert!(found.most > BOUND, "{} in a second", found.most);
+    let outcome = replay(way, fleet, CROWD);
+    assert!(outcome.most > BOUND, "{} in a second", outcome.most);
 }
 
 #[test_case(4; "four")]
--- a/crates/oliveworks-gateway-core/tests/timeliness.rs
+++ b/crates/oliveworks-gateway-core/tests/timeliness.rs
@@ -1,4 +1,4 @@
-//! Whether an answer came in time, and if not, why.
+//! Classification of answers as in time or late, with the cause of the delay.
 
 use oliveworks_gateway_core::timeliness::{Goal, Served, Timeliness};
 use test_case::test_case;
