--- a/crates/oliveworks-gateway-core/tests/crashers.rs
+++ b/crates/oliveworks-gateway-core/tests/crashers.rs
@@ -94,8 +94,8 @@
     assert!(is_convicted(&mut crashers, 4_500, GUILTY));
 }
 
-/// Two gateways each observe a concurrent end of the same request as its third end, while an innocent
-/// request runs at one of the two hosts.
+/// Two gateways each observe a concurrent end of the same request as its third end, while an
+/// innocent request runs at one of the two hosts.
 #[test]
 fn ends_side_by_side_are_explained_too() {
     let (mut one, mut other) = (Crashers::default(), Crashers::default());
@@ -139,8 +139,8 @@
     assert!(is_convicted(&mut crashers, until + 900, GUILTY));
 }
 
-/// Copies of a request that arrive concurrently after the conviction expires wait for the trial run,
-/// at all gateways.
+/// Copies of a request that arrive concurrently after the conviction expires wait for the trial
+/// run, at all gateways.
 #[test]
 fn the_trial_is_a_single_run() {
     let (mut one, mut other) = (Crashers::default(), Crashers::default());
@@ -252,7 +252,8 @@
     assert_eq!(other.chains_to_report(600), Vec::<Chain>::new());
 }
 
-/// A pool in which requests run at hosts, hosts end, and the requests that ran there are sent again.
+/// A pool in which requests run at hosts, hosts end, and the requests that ran there are sent
+/// again.
 struct World {
     rng: ChaCha8Rng,
     gateways: Vec<Crashers>,
@@ -320,8 +321,8 @@
         Some(run)
     }
 
-    /// Ends a host. Each request that ran there is sent again 5 ms later: by the same gateway, or by a
-    /// random gateway when the caller begins a new attempt.
+    /// Ends a host. Each request that ran there is sent again 5 ms later: by the same gateway, or
+    /// by a random gateway when the caller begins a new attempt.
     fn end(&mut self, now: u64, host: Target) {
         self.ended.insert(host);
         let interrupted: Vec<u64> =
@@ -373,9 +374,9 @@
 /// Number of hosts in one failure domain of the largest deployment.
 const LARGE_DOMAIN: usize = 273;
 
-/// Simulates 29 seconds of traffic. Each of the `guilty` requests ends the host where it runs once a
-/// second, and every ten seconds `crashes` hosts end for a reason unrelated to any request. Returns
-/// the number of hosts that the guilty requests ended, and the convicted requests.
+/// Simulates 29 seconds of traffic. Each of the `guilty` requests ends the host where it runs once
+/// a second, and every ten seconds `crashes` hosts end for a reason unrelated to any request.
+/// Returns the number of hosts that the guilty requests ended, and the convicted requests.
 fn simulate(seed: u64, size: Size, guilty: u64, crashes: usize) -> (usize, BTreeSet<u64>) {
     let Size { gateways, hosts, requests_per_s } = size;
     let mut world = World::new(seed, gateways, hosts);
@@ -426,10 +427,10 @@
     }
 }
 
-/// Either one of forty hosts ends every ten seconds, a rate per host about 40,000 times that of a pool
-/// that loses 49 of 4,100 hosts a day, or a third of the hosts end at once, as in the loss of a failure
-/// domain. At the far higher rate of one host a second, three ends in a row happen by chance with
-/// some seeds and cannot be distinguished from a guilty request.
+/// Either one of forty hosts ends every ten seconds, a rate per host about 40,000 times that of a
+/// pool that loses 49 of 4,100 hosts a day, or a third of the hosts end at once, as in the loss of
+/// a failure domain. At the far higher rate of one host a second, three ends in a row happen by
+/// chance with some seeds and cannot be distinguished from a guilty request.
 #[test_case(1; "one host")]
 #[test_case(13; "a failure domain")]
 fn crashes_that_nobody_caused_convict_nobody(crashes: usize) {
--- a/crates/oliveworks-gateway-core/tests/crashers_under_load.rs
+++ b/crates/oliveworks-gateway-core/tests/crashers_under_load.rs
@@ -1,10 +1,13 @@
-//! A request that crashes its hosts comes again and again while each of them runs thirty others.
+//! A request that crashes its hosts arrives repeatedly while each host runs about thirty other
+//! requests.
 //!
-//! Callers saw one such request go on after three hosts had ended under it: 12 sends more in ten seconds and 25 hosts in a
-//! day, with each of them the streams of some thirty callers. It was told apart and its chain of ends grew to 7, but the
-//! number of ends that convict it grew with it: `ends_in_a_row` 4 beside `ends_needed` 5 and more, since each moment at
-//! which a host ended for another reason, and each end of its own chain that was no longer remembered, asked for one more.
-//! Its copies came to several gateways, and one that saw a single end told nobody.
+//! Guards against a conviction that comes too late. After three hosts had ended under one such
+//! request, the request was sent 12 more times in ten seconds. In a day 25 hosts ended, each with
+//! the streams of about thirty callers. The request was suspected and its chain of ends grew to 7,
+//! but the number of ends needed for a conviction grew as well (`ends_in_a_row` 4 with
+//! `ends_needed` 5 and more): each moment at which a host ended for another reason, and each
+//! forgotten end of the request's own chain, required one more end. Copies of the request arrived
+//! at several gateways, and a gateway that had observed a single end did not report it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,26 +20,27 @@
 
 const GATEWAYS: usize = 5;
 const HEADS: usize = 6;
-/// Requests that one head takes.
+/// Maximum number of concurrent requests at one head.
 const SLOTS: usize = 34;
-/// How long a place has no head after one has ended, in ms.
-const BACK_AFTER_MS: u64 = 4_000;
+/// Time from the end of a head to the start of its replacement, in ms.
+const REPLACEMENT_MS: u64 = 4_000;
 const STEP_MS: u64 = 10;
 const HEARTBEAT_MS: u64 = 100;
-/// Requests a second that harm nobody.
+/// Rate of harmless requests, per second.
 const HARMLESS_PER_S: u64 = 200;
-/// The time between two comings of a request that crashes its hosts, in ms.
-const COMES_EACH_MS: u64 = 110;
-/// From when to when it comes, in ms.
-const COMES: std::ops::Range<u64> = 2_000..11_000;
-const DAY_MS: u64 = 14_000;
-/// Sends of one try, and tries of one caller.
+/// Interval between two arrivals of a request that crashes its hosts, in ms.
+const ARRIVAL_INTERVAL_MS: u64 = 110;
+/// Period in which such a request arrives, in ms.
+const ARRIVALS: std::ops::Range<u64> = 2_000..11_000;
+const DURATION_MS: u64 = 14_000;
+/// Number of sends of one attempt of a caller.
 const SENDS: u32 = 2;
-const TRIES: u32 = 2;
-/// Hosts that one such request may end.
-const ENDS: usize = 5;
-/// Sends that may follow, from a while after its third end on.
-const LATE_SENDS: usize = 3;
+/// Number of attempts of one caller.
+const ATTEMPTS: u32 = 2;
+/// Maximum average number of hosts that one such request may end.
+const ENDS_MAX: usize = 5;
+/// Maximum number of sends of such a request more than `LATE_AFTER_MS` after its third end.
+const LATE_SENDS_MAX: usize = 3;
 const LATE_AFTER_MS: u64 = 3_000;
 
 fn fingerprint(number: u64) -> Fingerprint {
@@ -56,7 +60,7 @@
     gateway: usize,
     head: usize,
     first_event_at: u64,
-    /// When it comes to its end, or its host does.
+    /// Time at which the request finishes, or ends its host, in ms.
     until: u64,
     sends: u32,
     standing: Standing,
@@ -75,15 +79,15 @@
     hosts: u64,
     runs: BTreeMap<u64, Run>,
     copies: u64,
-    /// Requests that crash their hosts have the lowest numbers.
+    /// Number of requests that crash their hosts. These requests have the lowest numbers.
     guilty: u64,
-    /// When hosts ended under each of these.
+    /// Times at which hosts ended under each of these requests.
     ends: BTreeMap<u64, Vec<u64>>,
-    /// When each of these was sent.
+    /// Send times of each of these requests.
     sent: BTreeMap<u64, Vec<u64>>,
     convicted: BTreeSet<u64>,
-    tell_at: u64,
-    /// What is sent again, and when.
+    report_at: u64,
+    /// Requests to send again, with their send times.
     resends: Vec<(u64, Resend)>,
 }
 
@@ -110,7 +114,7 @@
             ends: BTreeMap::new(),
             sent: BTreeMap::new(),
             convicted: BTreeSet::new(),
-            tell_at: 0,
+            report_at: 0,
             resends: Vec::new(),
         }
     }
@@ -119,7 +123,8 @@
         self.runs.values().filter(|run| run.head == head).count()
     }
 
-    /// The least busy of some heads that take one more; which of equals is chance.
+    /// Returns the least loaded of the given heads, if that head has a free slot. Ties are broken
+    /// at random.
     fn least_busy(&mut self, heads: &[usize]) -> Option<usize> {
         let load = |head: &&usize| self.load(**head);
         let least = heads.iter().map(|head| self.load(*head)).min().filter(|load| *load < SLOTS)?;
@@ -127,20 +132,23 @@
         equals.choose(&mut self.rng).copied()
     }
 
-    /// Where a request goes: apart from suspects of its gateway, if it is one.
+    /// Returns the head for a request. A suspect is kept apart from other suspects of its gateway
+    /// if possible.
     fn place(&mut self, gateway: usize, standing: Standing) -> Option<usize> {
-        let up: Vec<usize> = (0..HEADS).filter(|n| self.heads[*n].up_at <= self.now).collect();
+        let live_heads: Vec<usize> =
+            (0..HEADS).filter(|n| self.heads[*n].up_at <= self.now).collect();
         if standing != Standing::Clear {
-            for is_there in [Crashers::has_suspects, Crashers::has_strong_suspects] {
+            for is_present in [Crashers::has_suspects, Crashers::has_strong_suspects] {
                 let crashers = &self.gateways[gateway];
-                let apart = up.iter().filter(|n| !is_there(crashers, self.heads[**n].host));
-                let apart: Vec<usize> = apart.copied().collect();
-                if let Some(head) = self.least_busy(&apart) {
+                let candidates =
+                    live_heads.iter().filter(|n| !is_present(crashers, self.heads[**n].host));
+                let candidates: Vec<usize> = candidates.copied().collect();
+                if let Some(head) = self.least_busy(&candidates) {
                     return Some(head);
                 }
             }
         }
-        self.least_busy(&up)
+        self.least_busy(&live_heads)
     }
 
     fn send(&mut self, number: u64, gateway: usize, sends: u32) {
@@ -162,7 +170,7 @@
         if standing != Standing::Clear {
             let host = self.heads[head].host;
             self.gateways[gateway].placed(self.now, host, fingerprint(number), standing);
-            self.tell_at = self.now + STEP_MS;
+            self.report_at = self.now + STEP_MS;
         }
         if number < self.guilty {
             self.sent.entry(number).or_default().push(self.now);
@@ -172,7 +180,8 @@
         self.copies += 1;
     }
 
-    fn take(&mut self, copy: u64) -> Option<Run> {
+    /// Removes the run of a copy and releases its place at the gateway.
+    fn remove_run(&mut self, copy: u64) -> Option<Run> {
         let run = self.runs.remove(&copy)?;
         if run.standing != Standing::Clear {
             let host = self.heads[run.head].host;
@@ -181,28 +190,29 @@
         Some(run)
     }
 
-    /// The host of a head ends, and with it all that runs there.
+    /// Ends the host of a head, together with all runs there.
     fn end(&mut self, head: usize) {
-        let there: Vec<u64> =
+        let interrupted: Vec<u64> =
             self.runs.iter().filter(|(_, run)| run.head == head).map(|(copy, _)| *copy).collect();
-        let lost: Vec<Run> = there.into_iter().filter_map(|copy| self.take(copy)).collect();
+        let lost: Vec<Run> =
+            interrupted.into_iter().filter_map(|copy| self.remove_run(copy)).collect();
         let host = self.heads[head].host;
-        self.heads[head] = Head { host: Target(self.hosts), up_at: self.now + BACK_AFTER_MS };
+        self.heads[head] = Head { host: Target(self.hosts), up_at: self.now + REPLACEMENT_MS };
         self.hosts += 1;
         for run in &lost {
             let delivered_ms = self.now.saturating_sub(run.first_event_at);
             let crashers = &mut self.gateways[run.gateway];
             crashers.host_ended(self.now, fingerprint(run.number), host, delivered_ms);
         }
-        // What hosts that ended are told at once.
-        self.tell_at = self.now + STEP_MS;
+        // Ends of hosts are reported at once.
+        self.report_at = self.now + STEP_MS;
         for run in lost {
             let Run { number, sends, .. } = run;
             let gateway = match sends % SENDS > 0 {
                 true => run.gateway,
                 false => self.rng.random_range(0..GATEWAYS),
             };
-            if sends < SENDS * TRIES {
+            if sends < SENDS * ATTEMPTS {
                 self.resends.push((self.now + SETTLED_MS, Resend { number, gateway, sends }));
             }
         }
@@ -216,20 +226,21 @@
         }
     }
 
-    fn tell(&mut self) {
+    /// Delivers the chains of every gateway to all other gateways, 2 ms later.
+    fn exchange_chains(&mut self) {
         let now = self.now;
-        let told: Vec<Vec<Chain>> =
+        let chains_by_gateway: Vec<Vec<Chain>> =
             self.gateways.iter_mut().map(|g| g.chains_to_report(now)).collect();
         for (to, gateway) in self.gateways.iter_mut().enumerate() {
-            let from_others = told.iter().enumerate().filter(|(from, _)| *from != to);
+            let from_others = chains_by_gateway.iter().enumerate().filter(|(from, _)| *from != to);
             for chain in from_others.flat_map(|(_, chains)| chains) {
                 gateway.apply_report(now + 2, chain.clone());
             }
         }
     }
 
-    /// A gateway takes back what it has sent of a request that is convicted.
-    fn recall(&mut self) {
+    /// Cancels the runs of convicted requests at each gateway that knows of the conviction.
+    fn cancel_convicted(&mut self) {
         let sent: Vec<(u64, Run)> = self
             .runs
             .iter()
@@ -238,18 +249,18 @@
             .collect();
         for (copy, run) in sent {
             if is_convicted(&mut self.gateways[run.gateway], self.now, run.number) {
-                self.take(copy);
+                self.remove_run(copy);
             }
         }
     }
 
-    fn step(&mut self, crashes_each_ms: Option<u64>) {
+    fn step(&mut self, crash_interval_ms: Option<u64>) {
         self.now += STEP_MS;
-        if self.now >= self.tell_at {
-            self.tell();
-            self.tell_at = self.now + HEARTBEAT_MS;
+        if self.now >= self.report_at {
+            self.exchange_chains();
+            self.report_at = self.now + HEARTBEAT_MS;
         }
-        self.recall();
+        self.cancel_convicted();
         self.resend();
         let due: Vec<u64> =
             self.runs.iter().filter(|(_, run)| run.until <= self.now).map(|(c, _)| *c).collect();
@@ -258,17 +269,17 @@
             if run.number < self.guilty {
                 self.ends.entry(run.number).or_default().push(self.now);
                 self.end(run.head);
-            } else if let Some(run) = self.take(copy) {
+            } else if let Some(run) = self.remove_run(copy) {
                 self.gateways[run.gateway].survived(self.now, fingerprint(run.number));
             }
         }
-        if crashes_each_ms.is_some_and(|each| self.now.is_multiple_of(each)) {
+        if crash_interval_ms.is_some_and(|interval_ms| self.now.is_multiple_of(interval_ms)) {
             let head = self.rng.random_range(0..HEADS);
             self.end(head);
         }
         for number in 0..self.guilty {
-            let comes = COMES.contains(&self.now) && self.now % COMES_EACH_MS < STEP_MS;
-            if comes {
+            let arrives = ARRIVALS.contains(&self.now) && self.now % ARRIVAL_INTERVAL_MS < STEP_MS;
+            if arrives {
                 let gateway = self.rng.random_range(0..GATEWAYS);
                 self.send(number, gateway, 0);
             }
@@ -280,21 +291,22 @@
     }
 }
 
-/// Plays a while; `crashes_each_ms` is how often a host ends for no reason of a request's.
-fn play(seed: u64, guilty: u64, crashes_each_ms: Option<u64>) -> World {
+/// Simulates `DURATION_MS` of traffic. `crash_interval_ms` is the interval at which hosts end for a
+/// reason unrelated to any request.
+fn simulate(seed: u64, guilty: u64, crash_interval_ms: Option<u64>) -> World {
     let mut world = World::new(seed, guilty);
-    while world.now < DAY_MS {
-        world.step(crashes_each_ms);
+    while world.now < DURATION_MS {
+        world.step(crash_interval_ms);
     }
     world
 }
 
-/// Seeds that are played; `OLIVEWORKS_SEEDS` says how many by hand.
+/// Returns the number of seeds to simulate: `OLIVEWORKS_SEEDS` if set, otherwise 60.
 fn seeds() -> u64 {
     std::env::var("OLIVEWORKS_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(60)
 }
 
-/// Sends of a request from a while after its third end on.
+/// Returns the number of sends of a request more than `LATE_AFTER_MS` after its third end.
 fn late_sends(world: &World, number: u64) -> usize {
     let Some(third) = world.ends.get(&number).and_then(|ends| ends.get(2)) else { return 0 };
     world.sent[&number].iter().filter(|at| **at > third + LATE_AFTER_MS).count()
@@ -303,35 +315,39 @@
 #[test_case(1, None; "one")]
 #[test_case(2, None; "two at once")]
 #[test_case(1, Some(2_000); "one beside crashes")]
-fn it_is_convicted_in_time(guilty: u64, crashes_each_ms: Option<u64>) {
+fn it_is_convicted_in_time(guilty: u64, crash_interval_ms: Option<u64>) {
     let mut ended = 0;
     for seed in 0..seeds() {
-        let world = play(seed, guilty, crashes_each_ms);
+        let world = simulate(seed, guilty, crash_interval_ms);
         for number in 0..guilty {
             let late = late_sends(&world, number);
-            assert!(late <= LATE_SENDS, "seed {seed}: {number} was sent {late} times more");
+            assert!(
+                late <= LATE_SENDS_MAX,
+                "seed {seed}: request {number} was sent {late} times too late"
+            );
             ended += world.ends.get(&number).map_or(0, Vec::len);
         }
         let innocent: Vec<u64> = world.convicted.range(guilty..).copied().collect();
         assert_eq!(innocent, Vec::<u64>::new(), "seed {seed}");
     }
-    let plays = (seeds() * guilty) as usize;
-    assert!(ended <= ENDS * plays, "{ended} hosts ended in {plays} plays");
+    let simulations = (seeds() * guilty) as usize;
+    assert!(ended <= ENDS_MAX * simulations, "{ended} hosts ended in {simulations} simulations");
 }
 
 #[test_case(None; "no crash")]
 #[test_case(Some(1_000); "a crash a second")]
-fn nobody_is_convicted_without_one(crashes_each_ms: Option<u64>) {
+fn nobody_is_convicted_without_one(crash_interval_ms: Option<u64>) {
     for seed in 0..seeds() {
-        assert_eq!(play(seed, 0, crashes_each_ms).convicted, BTreeSet::new(), "seed {seed}");
+        assert_eq!(simulate(seed, 0, crash_interval_ms).convicted, BTreeSet::new(), "seed {seed}");
     }
 }
 
-/// Hosts that end for other reasons ask for a longer chain, but not without end.
+/// Hosts that end for other reasons raise the number of ends needed for a conviction, but not
+/// without bound.
 #[test]
 fn other_ends_put_a_conviction_off_for_a_while_only() {
     let mut crashers = Crashers::default();
-    for end in 0..ENDS as u64 {
+    for end in 0..ENDS_MAX as u64 {
         let now = 1_000 + end * 1_500;
         crashers.host_ended(now, fingerprint(0), Target(end), 0);
         crashers.host_ended(now + 700, fingerprint(100 + end), Target(100 + end), 0);
@@ -339,7 +355,8 @@
     assert!(is_convicted(&mut crashers, 9_000, 0));
 }
 
-/// A request was refused and, when a host had ended for another reason, sent again.
+/// Guards against the end of a conviction when a host ends for another reason: the request was
+/// rejected and then sent again.
 #[test]
 fn a_conviction_lasts_whatever_ends_afterwards() {
     let mut crashers = Crashers::default();
@@ -350,20 +367,21 @@
     for end in 0..10 {
         let now = 4_000 + end * 1_000;
         crashers.host_ended(now, fingerprint(1 + end), Target(100 + end), 0);
-        assert!(is_convicted(&mut crashers, now, 0), "after {end} more");
+        assert!(is_convicted(&mut crashers, now, 0), "after {end} more ends");
     }
 }
 
-/// Each of its copies came to another gateway, and ended one host there.
+/// Each copy of the request arrives at a different gateway and ends one host there.
 #[test]
 fn gateways_that_saw_one_end_each_convict_it_together() {
     let mut gateways = vec![Crashers::default(); 3];
     for end in 0..3 {
         let now = 1_000 + end * 500;
         gateways[end as usize].host_ended(now, fingerprint(0), Target(end), 0);
-        let told: Vec<Chain> = gateways.iter_mut().flat_map(|g| g.chains_to_report(now)).collect();
+        let reported: Vec<Chain> =
+            gateways.iter_mut().flat_map(|g| g.chains_to_report(now)).collect();
         for gateway in &mut gateways {
-            told.iter().for_each(|chain| {
+            reported.iter().for_each(|chain| {
                 gateway.apply_report(now + 2, chain.clone());
             });
         }
--- a/crates/oliveworks-gateway-core/tests/fan_out.rs
+++ b/crates/oliveworks-gateway-core/tests/fan_out.rs
@@ -19,8 +19,8 @@
     (0..domains).map(domain).collect()
 }
 
-/// Returns the number of gateways that hold the information of one gateway after the given number of
-/// rounds in which every gateway that holds the information sends a heartbeat with it.
+/// Returns the number of gateways that hold the information of one gateway after the given number
+/// of rounds in which every gateway that holds the information sends a heartbeat with it.
 fn reached_after(domains: usize, each: usize, rounds: usize, rng: &mut ChaCha8Rng) -> usize {
     let all = gateways(domains, each);
     let mut reached = BTreeSet::from([address(0, 0)]);
--- a/crates/oliveworks-gateway-core/tests/load_report.rs
+++ b/crates/oliveworks-gateway-core/tests/load_report.rs
@@ -15,8 +15,8 @@
     Load { requests, tokens: 0 }
 }
 
-/// Returns the load of a failure domain that has one outstanding request at each of `targets` targets
-/// and has just received data from all of them.
+/// Returns the load of a failure domain that has one outstanding request at each of `targets`
+/// targets and has just received data from all of them.
 fn domain_load(targets: u64) -> DomainLoad {
     DomainLoad {
         open: (0..targets).map(|target| (Target(target), load(1))).collect(),
@@ -24,8 +24,8 @@
     }
 }
 
-/// Returns the number of bytes that one gateway sends to a gateway of a remote failure domain within
-/// a second.
+/// Returns the number of bytes that one gateway sends to a gateway of a remote failure domain
+/// within a second.
 fn bytes_per_second(targets: u64) -> usize {
     let (balance, domain_load, mut intervals) =
         (Balance::default(), domain_load(targets), ReportIntervals::default());
@@ -65,8 +65,8 @@
     assert_eq!(due_count, 20, "the load of few targets is reported with each heartbeat");
 }
 
-/// The load of the recipient's own targets is reported with each heartbeat. Other targets from which
-/// data was received are reported only if the recipient has outstanding requests there.
+/// The load of the recipient's own targets is reported with each heartbeat. Other targets from
+/// which data was received are reported only if the recipient has outstanding requests there.
 #[test]
 fn a_domain_is_told_what_matters_to_it_at_once() {
     let mut balance = Balance::default();
--- a/crates/oliveworks-gateway-core/tests/obstacles.rs
+++ b/crates/oliveworks-gateway-core/tests/obstacles.rs
@@ -1,5 +1,5 @@
-//! Results of the obstacles that exclude a request from every place: the reported reason, and the time
-//! at which a place may become available.
+//! Results of the obstacles that exclude a request from every place: the reported reason, and the
+//! time at which a place may become available.
 
 use oliveworks_gateway_core::balance::NoTarget;
 use oliveworks_gateway_core::obstacles::{FreeAt, NoPlace, Obstacle, describe, is_kept_by_region};
--- a/crates/oliveworks-gateway-core/tests/rate_limits/limits.rs
+++ b/crates/oliveworks-gateway-core/tests/rate_limits/limits.rs
@@ -1,4 +1,4 @@
-//! Which limits are in force.
+//! Limits in force, from answers and from reports of other gateways.
 
 use oliveworks_gateway_core::backend_servers::Born;
 use oliveworks_gateway_core::balance::Target;
@@ -14,7 +14,7 @@
     Rate::from_per_s(per_s)
 }
 
-fn answer(sent_at: u64, per_s: Option<f64>) -> RateObservation {
+fn observation(sent_at: u64, per_s: Option<f64>) -> RateObservation {
     RateObservation {
         target: HOST,
         life: FIRST,
@@ -28,7 +28,7 @@
     Limit { target: HOST, life, revision, rate: per_s.and_then(Rate::from_per_s) }
 }
 
-/// Each answer: when its request was sent, when it came, what it names.
+/// Each answer consists of the send time of its request, its arrival time, and the named rate.
 #[test_case(&[(0, 10, Some(4.2))], Some(4.2); "named")]
 #[test_case(&[(0, 10, None)], None; "none is named")]
 #[test_case(&[(0, 10, Some(4.2)), (11, 20, None)], None; "named no more")]
@@ -40,7 +40,7 @@
 fn answers_tell_the_limit(answers: &[(u64, u64, Option<f64>)], expected: Option<f64>) {
     let mut limits = Limits::default();
     for (sent_at, at, named) in answers {
-        limits.observe(*at, answer(*sent_at, *named));
+        limits.observe(*at, observation(*sent_at, *named));
     }
     assert_eq!(limits.rate(HOST), expected.and_then(Rate::from_per_s));
 }
@@ -51,9 +51,9 @@
 #[test_case(&[limit(FIRST, 1, Some(2.0)), limit(FIRST, 1, Some(4.2))], Some(2.0); "whichever comes first")]
 #[test_case(&[limit(FIRST, 7, Some(4.2)), limit(SECOND, 1, None)], None; "another life")]
 #[test_case(&[limit(SECOND, 1, None), limit(FIRST, 7, Some(4.2))], None; "an earlier life")]
-fn gateways_agree(told: &[Limit], expected: Option<f64>) {
+fn gateways_agree(reports: &[Limit], expected: Option<f64>) {
     let mut limits = Limits::default();
-    for limit in told {
+    for limit in reports {
         limits.apply_report(10, *limit);
     }
     assert_eq!(limits.rate(HOST), expected.and_then(Rate::from_per_s));
@@ -63,16 +63,17 @@
 fn an_answer_of_an_earlier_life_says_nothing() {
     let mut limits = Limits::default();
     limits.apply_report(10, limit(SECOND, 1, Some(4.2)));
-    assert!(!limits.observe(20, answer(15, None)));
+    assert!(!limits.observe(20, observation(15, None)));
     assert_eq!(limits.rate(HOST), rate(4.2));
 }
 
-/// The leader's call to a host in need took its limit back.
+/// Guards against an early end of a limit: the answer to the leader's call to a host in need may
+/// omit the limit, and ended the limit of that host.
 #[test]
 fn an_answer_that_may_lack_the_limit_ends_nothing() {
     let mut limits = Limits::default();
-    limits.observe(10, answer(0, Some(4.2)));
-    limits.observe(30, RateObservation { would_name: false, ..answer(20, None) });
+    limits.observe(10, observation(0, Some(4.2)));
+    limits.observe(30, RateObservation { would_name: false, ..observation(20, None) });
     assert_eq!(limits.rate(HOST), rate(4.2));
 }
 
@@ -82,10 +83,10 @@
     for host in 0..100 {
         limits.apply_report(0, Limit { target: Target(host), ..limit(FIRST, 1, Some(4.2)) });
     }
-    limits.observe(5_000, answer(4_900, Some(1.0)));
-    let told = limits.limits_to_report(5_100, 17);
-    assert_eq!(told[0].rate, rate(1.0));
-    assert_eq!(told.len(), 3);
+    limits.observe(5_000, observation(4_900, Some(1.0)));
+    let reported = limits.limits_to_report(5_100, 17);
+    assert_eq!(reported[0].rate, rate(1.0));
+    assert_eq!(reported.len(), 3);
     let all: std::collections::HashSet<Target> = (0..100)
         .flat_map(|draw| limits.limits_to_report(9_000, draw))
         .map(|limit| limit.target)
@@ -103,7 +104,7 @@
     assert_eq!(Rate::from_per_s(per_s).map(Rate::per_s), expected);
 }
 
-/// Its end is forgotten after a minute, and a limit that is in force is not.
+/// The end of a limit is forgotten after a minute; a limit in force is kept.
 #[test_case(Some(4.2), rate(4.2))]
 #[test_case(None, None)]
 fn limits_in_force_are_kept(named: Option<f64>, expected: Option<Rate>) {
--- a/crates/oliveworks-gateway-core/tests/rate_limits/main.rs
+++ b/crates/oliveworks-gateway-core/tests/rate_limits/main.rs
@@ -1,4 +1,4 @@
-//! Backend servers that name a rate limit.
+//! Enforcement of rate limits that backend servers name in their answers.
 
 mod limits;
 mod permits;
--- a/crates/oliveworks-gateway-core/tests/rate_limits/permits.rs
+++ b/crates/oliveworks-gateway-core/tests/rate_limits/permits.rs
@@ -1,4 +1,4 @@
-//! What a limiter grants, and what a gateway holds.
+//! Permits granted by a limiter, and permits held by a gateway.
 
 use oliveworks_gateway_core::balance::{Candidate, Target};
 use oliveworks_gateway_core::members::Members;
@@ -13,8 +13,8 @@
     Limit { target: HOST, life: None, revision, rate: per_s.and_then(Rate::from_per_s) }
 }
 
-/// One that knows no other, and a limit of two requests a second.
-fn alone() -> (RateLimits, Members) {
+/// Returns the state of a gateway without peers, with a limit of two requests per second.
+fn without_peers() -> (RateLimits, Members) {
     let mut rate_limits = RateLimits::default();
     rate_limits.limits.apply_report(0, limit(1, Some(2.0)));
     (rate_limits, Members::new(1, true, 0))
@@ -29,7 +29,7 @@
     assert_eq!([granted(), granted(), granted()], [true, true, false]);
 }
 
-/// The last permit is kept for a request that has no other place.
+/// The last permit is reserved for a request that has no other place.
 #[test]
 fn requests_that_could_go_elsewhere_leave_one() {
     let mut buckets = Buckets::default();
@@ -38,7 +38,8 @@
     assert_eq!(buckets.ask(500, HOST, 2.0, Need::Only), Grant::Permit);
 }
 
-/// A host that takes nothing is tried now and then: its answers alone tell that it takes some again.
+/// A host with a limit of zero is probed occasionally, because only its answers show that the limit
+/// has been raised.
 #[test]
 fn a_host_that_takes_nothing_is_tried() {
     let mut buckets = Buckets::default();
@@ -57,7 +58,7 @@
 
 #[test]
 fn a_permit_serves_one_request_and_ends() {
-    let (mut rate_limits, members) = alone();
+    let (mut rate_limits, members) = without_peers();
     assert!(rate_limits.check(0, HOST, Need::Only).is_err());
     assert!(matches!(
         rate_limits.want(0, HOST, Need::Only, &members),
@@ -69,7 +70,8 @@
     assert_eq!(rate_limits.take(500, HOST), None);
 }
 
-/// A request was given to its place before the limit was named, and its connection has come up since.
+/// A request was assigned to its place before the limit was named, and its connection was
+/// established afterwards.
 #[test]
 fn a_request_that_was_placed_before_the_limit_needs_a_permit() {
     let mut rate_limits = RateLimits::default();
@@ -81,12 +83,12 @@
 
 #[test]
 fn a_limit_that_has_ended_needs_none() {
-    let (mut rate_limits, _) = alone();
+    let (mut rate_limits, _) = without_peers();
     rate_limits.limits.apply_report(10, limit(2, None));
     assert!(rate_limits.check(10, HOST, Need::Only).is_ok());
 }
 
-/// All gateways that hear each other take the same one for the limiter.
+/// All gateways that receive each other's heartbeats choose the same limiter.
 #[test]
 fn gateways_agree_on_the_limiter() {
     let limiters = (0..20).map(|own| {
@@ -106,7 +108,8 @@
     assert_eq!(members.heard_part(now), expected);
 }
 
-/// Two open requests at a host of eight slots that takes two requests a second weigh as much as eight elsewhere.
+/// Two outstanding requests at a host with eight slots and a limit of two requests per second count
+/// as much as eight at a host without a limit.
 #[test]
 fn a_host_that_takes_little_is_as_busy_as_that() {
     let host = Candidate { target: HOST, slots: 8, is_local: true, open_ms: 10.0, token_ms: 1.0 };
--- a/crates/oliveworks-gateway-core/tests/replay.rs
+++ b/crates/oliveworks-gateway-core/tests/replay.rs
@@ -1,6 +1,6 @@
 //! Replay of store records and freshness proofs between gateways: a revoked key is accepted nowhere
-//! beyond its bound, whichever gateways are partitioned from each other, and no gateway returns to an
-//! older version.
+//! beyond its bound, whichever gateways are partitioned from each other, and no gateway returns to
+//! an older version.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -215,8 +215,8 @@
             Some(InFlightAnswer { at: now + delay, sent: now, held_ms: 0, content, age_ms: None });
     }
 
-    /// Sends a request to another gateway, which answers from its state at that time. Delivery of the
-    /// answer can take up to `DELAY_MAX_MS`.
+    /// Sends a request to another gateway, which answers from its state at that time. Delivery of
+    /// the answer can take up to `DELAY_MAX_MS`.
     fn ask_gateway(&mut self, index: usize, other: usize) {
         let delay = self.rng.random_range(0..DELAY_MAX_MS);
         let partitioned = self.partitioned.contains(&(index, other));
@@ -240,7 +240,8 @@
         });
     }
 
-    /// Checks that a gateway that accepts keys holds every version accepted at least `REVOKE_MS` ago.
+    /// Checks that a gateway that accepts keys holds every version accepted at least `REVOKE_MS`
+    /// ago.
     fn check(&mut self, index: usize) {
         let gateway = &self.gateways[index];
         if !gateway.freshness.accepts_keys(self.now, Some(REVOKE_MS)) {
@@ -383,9 +384,9 @@
     assert_eq!(next_source(this, &[silent], 0, 0), ReadFrom::Store);
 }
 
-/// A store that does not respond leaves its reader without an answer for seconds. Meanwhile the other
-/// gateways ask a gateway with a recent proof, and the next gateway by name takes over once the reader
-/// reports that the store does not answer.
+/// A store that does not respond leaves its reader without an answer for seconds. Meanwhile the
+/// other gateways ask a gateway with a recent proof, and the next gateway by name takes over once
+/// the reader reports that the store does not answer.
 #[test]
 fn a_reader_whose_proof_is_old_is_not_asked() {
     let old = PeerState { has_recent_proof: false, ..peer("b1", true, true) };
@@ -457,8 +458,8 @@
     assert_eq!(first_source(&[avoided, others[1].clone()], 0), Some(address(b'2'.into())));
 }
 
-/// The first gateway by name was treated as the reader before it had read anything, and meanwhile no
-/// gateway read the store.
+/// The first gateway by name was treated as the reader before it had read anything, and meanwhile
+/// no gateway read the store.
 #[test]
 fn the_reader_reads_on_until_the_first_by_name_has_read_the_store() {
     let reader = LocalState { reads_store: true, ..own("b", true) };
--- a/crates/oliveworks-gateway-core/tests/restored_store/gateway.rs
+++ b/crates/oliveworks-gateway-core/tests/restored_store/gateway.rs
@@ -1,4 +1,5 @@
-//! One life of a gateway in the world: it follows three topics as the real one does, without its I/O.
+//! One incarnation of a simulated gateway. It follows three topics with the same logic as the real
+//! gateway, without I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,59 +17,61 @@
 use oliveworks_gateway_core::sources::{LocalState, PeerState};
 use oliveworks_gateway_core::versions::Lag;
 
-use crate::platform::{HostRecord, Wish};
+use crate::platform::{HostRecord, OperatorRecord};
 use crate::world::Variant;
 
-/// How long a gateway that starts waits to hear another one that holds a version, in ms.
-const HEAR_OTHERS_MS: u64 = 400;
-/// How long another gateway counts as heard, in ms.
-const HEARD_MS: u64 = 3_000;
-/// How long one that did not answer is not asked, and the time between two calls to a store that does not answer, in ms.
+/// Time for which a starting gateway waits for a heartbeat of a peer that holds a version, in ms.
+const PEER_WAIT_MS: u64 = 400;
+/// Time after its last heartbeat for which a peer counts as observed, in ms.
+const PEER_TIMEOUT_MS: u64 = 3_000;
+/// Time for which a gateway that did not answer is not asked, in ms.
 const AVOID_MS: u64 = 2_000;
-const STORE_AGAIN_MS: u64 = 1_500;
-/// The age of a proof up to which a gateway counts as informed, in ms.
-const INFORMED_MS: u64 = 2_350;
+/// Interval between two calls to a store that does not answer, in ms.
+const STORE_RETRY_MS: u64 = 1_500;
+/// Maximum age of a proof that counts as recent, in ms.
+const RECENT_PROOF_MS: u64 = 2_350;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Topic {
-    Wishes,
+    OperatorRecords,
     Hosts,
     Claims,
 }
 
-pub const TOPICS: [Topic; 3] = [Topic::Wishes, Topic::Hosts, Topic::Claims];
+pub const TOPICS: [Topic; 3] = [Topic::OperatorRecords, Topic::Hosts, Topic::Claims];
 
 /// A record of any topic.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
-    Wish(Wish),
+    OperatorRecord(OperatorRecord),
     Host(HostRecord),
     Claim(Claim),
 }
 
-/// What an answer told.
+/// Content of an answer.
 #[derive(Clone, Debug)]
-pub enum Told {
-    /// All newest records, or those that follow the place asked for, and the offset after them.
+pub enum AnswerContent {
+    /// The newest record of each key if `newest` is set, otherwise the records after the requested
+    /// position; `next` is the offset after them.
     Records { records: Vec<Record>, newest: bool, next: u64 },
-    /// The place is not kept.
+    /// The requested position is not kept.
     Expired,
 }
 
-/// Who told, with its proof.
+/// Origin of an answer, with the proof of an answering gateway.
 #[derive(Clone, Copy, Debug)]
-pub enum ToldBy {
+pub enum AnsweredBy {
     Store,
     Gateway { age_ms: Option<u64>, stored: Option<u64> },
 }
 
-/// Another gateway, as its heartbeats say.
+/// State of another gateway, as reported by its heartbeats.
 #[derive(Clone, Copy, Debug)]
 pub struct Peer {
     pub heard_at: u64,
-    pub near: bool,
+    pub is_local: bool,
     pub store_answers: bool,
-    pub reads: bool,
+    pub reads_store: bool,
     pub proved_at: Option<u64>,
     pub era: Era,
     pub version: Option<u64>,
@@ -79,8 +82,8 @@
     pub index: usize,
     pub started_at: u64,
     pub era: StoreEra,
-    pub following: BTreeMap<Topic, ReadCursor>,
-    pub passing: BTreeMap<Topic, ReplayBuffer<Record>>,
+    pub cursors: BTreeMap<Topic, ReadCursor>,
+    pub replay_buffers: BTreeMap<Topic, ReplayBuffer<Record>>,
     pub version: Option<u64>,
     pub stored: Option<u64>,
     store_lag: Lag,
@@ -94,14 +97,14 @@
     avoided: BTreeMap<usize, u64>,
     pub store_answers: bool,
     pub store_failed_at: Option<u64>,
-    tried_at: u64,
-    store_told_at: Option<u64>,
+    store_called_at: u64,
+    store_answered_at: Option<u64>,
     list_read_at: u64,
-    /// Hosts that it saw leave or go, by id and life.
+    /// Hosts that this gateway has observed leaving or gone, by id and incarnation.
     pub left: BTreeSet<(String, Option<Born>)>,
 }
 
-/// The one failure domain that is drained.
+/// The only failure domain that is drained.
 pub const DRAINED: &str = "west";
 
 pub fn address(gateway: usize) -> SocketAddr {
@@ -128,14 +131,17 @@
 }
 
 impl Gateway {
-    pub fn new(index: usize, now: u64, life: u64, variant: Variant) -> Gateway {
+    pub fn new(index: usize, now: u64, incarnation: u64, variant: Variant) -> Gateway {
         Gateway {
             variant,
             index,
             started_at: now,
             era: StoreEra::default(),
-            following: TOPICS.into_iter().map(|topic| (topic, ReadCursor::default())).collect(),
-            passing: TOPICS.into_iter().map(|topic| (topic, ReplayBuffer::default())).collect(),
+            cursors: TOPICS.into_iter().map(|topic| (topic, ReadCursor::default())).collect(),
+            replay_buffers: TOPICS
+                .into_iter()
+                .map(|topic| (topic, ReplayBuffer::default()))
+                .collect(),
             version: None,
             stored: None,
             store_lag: Lag::default(),
@@ -144,82 +150,85 @@
             drains: Drains::default(),
             directory: Directory::default(),
             missing: Missing::default(),
-            election: Election::new(ElectionConfig::default(), life, now),
+            election: Election::new(ElectionConfig::default(), incarnation, now),
             peers: BTreeMap::new(),
             avoided: BTreeMap::new(),
             store_answers: true,
             store_failed_at: None,
-            tried_at: 0,
-            store_told_at: None,
+            store_called_at: 0,
+            store_answered_at: None,
             list_read_at: 0,
             left: BTreeSet::new(),
         }
     }
 
-    pub fn newest_told(&self, now: u64) -> Option<u64> {
-        let young = self.peers.values().filter(|peer| now < peer.heard_at + HEARD_MS);
+    pub fn newest_reported_version(&self, now: u64) -> Option<u64> {
+        let young = self.peers.values().filter(|peer| now < peer.heard_at + PEER_TIMEOUT_MS);
         young.filter_map(|peer| peer.version).max()
     }
 
-    /// Whether it waits to hear others before it reads anything.
-    pub fn waits(&self, now: u64) -> bool {
+    /// Returns whether the gateway waits for heartbeats of peers before its first read.
+    pub fn waits_for_peers(&self, now: u64) -> bool {
         let starts_alone = self.variant == Variant::StartsFromStore;
-        !starts_alone && now < self.started_at + HEAR_OTHERS_MS && self.newest_told(now).is_none()
+        !starts_alone
+            && now < self.started_at + PEER_WAIT_MS
+            && self.newest_reported_version(now).is_none()
     }
 
-    pub fn own(&self, now: u64) -> LocalState<'static> {
+    pub fn local_state(&self, now: u64) -> LocalState<'static> {
         LocalState {
             name: name(self.index),
             store_answers: self.store_answers,
-            reads_store: self.reads(now),
-            retry_due: now >= self.tried_at + STORE_AGAIN_MS,
+            reads_store: self.reads_store(now),
+            retry_due: now >= self.store_called_at + STORE_RETRY_MS,
             era: self.era.era(),
         }
     }
 
-    pub fn known(&self, now: u64) -> Vec<PeerState<'static>> {
-        let heard = self.peers.iter().filter(|(_, peer)| now < peer.heard_at + HEARD_MS);
-        let known = heard.map(|(index, peer)| PeerState {
+    pub fn peer_states(&self, now: u64) -> Vec<PeerState<'static>> {
+        let heard = self.peers.iter().filter(|(_, peer)| now < peer.heard_at + PEER_TIMEOUT_MS);
+        let states = heard.map(|(index, peer)| PeerState {
             name: name(*index),
             address: address(*index),
-            is_local: peer.near,
+            is_local: peer.is_local,
             store_answers: peer.store_answers,
-            reads_store: peer.reads,
-            has_recent_proof: peer.proved_at.is_some_and(|at| now < at + INFORMED_MS),
+            reads_store: peer.reads_store,
+            has_recent_proof: peer.proved_at.is_some_and(|at| now < at + RECENT_PROOF_MS),
             is_unresponsive: self.avoided.get(index).is_some_and(|at| now < at + AVOID_MS),
             era: peer.era,
             version: peer.version.filter(|_| self.variant != Variant::StartsFromStore),
         });
-        known.collect()
+        states.collect()
     }
 
-    /// A gateway that holds the newest version told, if it is time to ask it beside the log.
-    pub fn asks_beside(&mut self, now: u64, draw: usize) -> Option<usize> {
-        let told = self.newest_told(now);
-        let is_due = self.own_lag.should_ask(now, self.version, told);
-        let holds = |peer: &Peer| now < peer.heard_at + HEARD_MS && peer.version == told;
+    /// Returns a gateway that holds the newest reported version, if this gateway is due to ask for
+    /// that version in addition to its reads of the log.
+    pub fn version_source(&mut self, now: u64, draw: usize) -> Option<usize> {
+        let reported = self.newest_reported_version(now);
+        let is_due = self.own_lag.should_ask(now, self.version, reported);
+        let holds = |peer: &Peer| now < peer.heard_at + PEER_TIMEOUT_MS && peer.version == reported;
         let holders: Vec<usize> =
             self.peers.iter().filter(|(_, peer)| holds(peer)).map(|(index, _)| *index).collect();
         let asks = is_due && self.variant != Variant::StartsFromStore && !holders.is_empty();
         asks.then(|| holders[draw % holders.len()])
     }
 
-    /// The era of an answer of the store; nothing if the answer is not to be used.
-    pub fn hear_era(&mut self, now: u64, sent: u64, era: u64) -> Option<Era> {
+    /// Returns the era of an answer of the store, or `None` if the answer must be discarded.
+    pub fn observe_era(&mut self, now: u64, sent: u64, era: u64) -> Option<Era> {
         let era = if self.variant == Variant::OffsetsWithoutEras { Era(0) } else { Era(era) };
         match self.era.observe(now, sent, era) {
             EraChange::Known => {}
             EraChange::New { .. } => {
                 self.stored = None;
-                self.passing.values_mut().for_each(ReplayBuffer::clear);
+                self.replay_buffers.values_mut().for_each(ReplayBuffer::clear);
             }
             EraChange::Late => return None,
         }
         Some(era)
     }
 
-    pub fn calls_store(&mut self, now: u64) {
-        self.tried_at = now;
+    pub fn record_store_call(&mut self, now: u64) {
+        self.store_called_at = now;
     }
 
     pub fn store_failed(&mut self, now: u64) {
@@ -228,76 +237,79 @@
         self.election.store_failed();
     }
 
-    /// Whether it reads the store itself, as its heartbeats say.
-    pub fn reads(&self, now: u64) -> bool {
-        self.store_answers && self.store_told_at.is_some_and(|at| now < at + INFORMED_MS)
+    /// Returns whether the gateway reads the store itself, as reported by its heartbeats.
+    pub fn reads_store(&self, now: u64) -> bool {
+        self.store_answers && self.store_answered_at.is_some_and(|at| now < at + RECENT_PROOF_MS)
     }
 
     pub fn store_answered(&mut self, now: u64) {
-        self.store_told_at = Some(now);
+        self.store_answered_at = Some(now);
         self.store_answers = true;
         self.election.store_answered(now);
     }
 
     pub fn gateway_did_not_answer(&mut self, now: u64, topic: Topic, asked: usize) {
-        self.following_of(topic).gateway_did_not_answer();
+        self.cursor(topic).gateway_did_not_answer();
         self.avoided.insert(asked, now);
     }
 
-    pub fn following_of(&mut self, topic: Topic) -> &mut ReadCursor {
-        self.following.get_mut(&topic).expect("all topics")
+    pub fn cursor(&mut self, topic: Topic) -> &mut ReadCursor {
+        self.cursors.get_mut(&topic).expect("every topic has a cursor")
     }
 
-    fn passing_of(&mut self, topic: Topic) -> &mut ReplayBuffer<Record> {
-        self.passing.get_mut(&topic).expect("all topics")
+    fn replay_buffer(&mut self, topic: Topic) -> &mut ReplayBuffer<Record> {
+        self.replay_buffers.get_mut(&topic).expect("every topic has a replay buffer")
     }
 
-    /// Takes in what a step brought; the place after it is known to the topic's `ReadCursor`.
-    pub fn take(
+    /// Applies the records of an answer. The topic's `ReadCursor` already holds the position after
+    /// them.
+    pub fn apply(
         &mut self,
         now: u64,
         sent: u64,
         topic: Topic,
         records: Vec<Record>,
         newest: bool,
-        told_by: ToldBy,
+        answered_by: AnsweredBy,
     ) {
-        let Some(next) = self.following[&topic].place() else { return };
+        let Some(next) = self.cursors[&topic].place() else { return };
         match newest {
-            true => self.passing_of(topic).restart_at(next),
-            false => self.passing_of(topic).append(records.clone(), next),
+            true => self.replay_buffer(topic).restart_at(next),
+            false => self.replay_buffer(topic).append(records.clone(), next),
         }
         match topic {
-            Topic::Wishes => self.take_wishes(now, sent, records, newest, told_by),
+            Topic::OperatorRecords => {
+                self.apply_operator_records(now, sent, records, newest, answered_by)
+            }
             Topic::Hosts => {
-                self.note_list_read(sent, told_by);
-                self.take_hosts(now, &records, newest, told_by);
+                self.record_list_read(sent, answered_by);
+                self.apply_hosts(now, &records, newest, answered_by);
             }
-            Topic::Claims => self.take_claims(now, &records, next),
+            Topic::Claims => self.apply_claims(now, &records, next),
         }
     }
 
-    fn take_wishes(
+    fn apply_operator_records(
         &mut self,
         now: u64,
         sent: u64,
         records: Vec<Record>,
         newest: bool,
-        told_by: ToldBy,
+        answered_by: AnsweredBy,
     ) {
         let versions = records.iter().filter_map(|record| match record {
-            Record::Wish(Wish::Version(version)) => Some(*version),
+            Record::OperatorRecord(OperatorRecord::Version(version)) => Some(*version),
             _ => None,
         });
-        let told = versions.max();
-        let stored = match told_by {
-            ToldBy::Store => told,
-            ToldBy::Gateway { stored, .. } => stored,
+        let received = versions.max();
+        let stored = match answered_by {
+            AnsweredBy::Store => received,
+            AnsweredBy::Gateway { stored, .. } => stored,
         };
         self.stored = stored.max(self.stored.filter(|_| !newest));
-        self.version = self.version.max(told);
-        self.take_drains(now, &records, newest, told_by);
-        let known = self.version.max(self.newest_told(now));
+        self.version = self.version.max(received);
+        self.apply_drains(now, &records, newest, answered_by);
+        let known = self.version.max(self.newest_reported_version(now));
         let since = self.era.known_since().filter(|_| self.era.may_lack_records(now));
         let heard_at = self.peers.values().map(|peer| peer.heard_at).max();
         let is_deaf = heard_at.zip(since).is_some_and(|(heard_at, since)| heard_at < since);
@@ -305,24 +317,30 @@
         if !proves && self.variant != Variant::CopiesProve {
             return;
         }
-        match told_by {
-            ToldBy::Store => self.freshness.proved(sent, 0),
-            ToldBy::Gateway { age_ms: Some(age_ms), .. } => {
+        match answered_by {
+            AnsweredBy::Store => self.freshness.proved(sent, 0),
+            AnsweredBy::Gateway { age_ms: Some(age_ms), .. } => {
                 self.freshness.proved_by_peer(sent, 0, age_ms);
             }
-            ToldBy::Gateway { age_ms: None, .. } => {}
+            AnsweredBy::Gateway { age_ms: None, .. } => {}
         }
     }
 
-    fn take_drains(&mut self, now: u64, records: &[Record], newest: bool, told_by: ToldBy) {
+    fn apply_drains(
+        &mut self,
+        now: u64,
+        records: &[Record],
+        newest: bool,
+        answered_by: AnsweredBy,
+    ) {
         let mut drained = BTreeSet::new();
         for record in records {
             match record {
-                Record::Wish(Wish::Drain(true)) => {
+                Record::OperatorRecord(OperatorRecord::Drain(true)) => {
                     self.drains.begin(now, DRAINED);
                     drained.insert(DRAINED.to_owned());
                 }
-                Record::Wish(Wish::Drain(false)) => {
+                Record::OperatorRecord(OperatorRecord::Drain(false)) => {
                     self.drains.end(now, DRAINED);
                 }
                 _ => {}
@@ -332,11 +350,11 @@
             return;
         }
         let sound = self.variant != Variant::CopiesEndDrains;
-        match told_by {
-            ToldBy::Store if sound && self.era.may_lack_records(now) => {
+        match answered_by {
+            AnsweredBy::Store if sound && self.era.may_lack_records(now) => {
                 self.drains.read_in_part(&drained);
             }
-            ToldBy::Gateway { .. } if sound && now < self.era.others_lack_records_until() => {
+            AnsweredBy::Gateway { .. } if sound && now < self.era.others_lack_records_until() => {
                 self.drains.read_in_part(&BTreeSet::new());
             }
             _ => {
@@ -345,23 +363,23 @@
         }
     }
 
-    /// Reads drains anew once what the store lacked has been written again.
-    pub fn settle_drains(&mut self, now: u64) {
+    /// Rereads the drains once the records that the store lacked have been rewritten.
+    pub fn reread_unconfirmed_drains(&mut self, now: u64) {
         if self.drains.any_unconfirmed() && !self.era.may_lack_records(now) && self.store_answers {
-            self.following_of(Topic::Wishes).restart();
+            self.cursor(Topic::OperatorRecords).restart();
         }
     }
 
-    fn note_list_read(&mut self, sent: u64, told_by: ToldBy) {
-        let read_at = match told_by {
-            ToldBy::Store => sent,
-            ToldBy::Gateway { age_ms: Some(age_ms), .. } => sent.saturating_sub(age_ms),
-            ToldBy::Gateway { age_ms: None, .. } => return,
+    fn record_list_read(&mut self, sent: u64, answered_by: AnsweredBy) {
+        let read_at = match answered_by {
+            AnsweredBy::Store => sent,
+            AnsweredBy::Gateway { age_ms: Some(age_ms), .. } => sent.saturating_sub(age_ms),
+            AnsweredBy::Gateway { age_ms: None, .. } => return,
         };
         self.list_read_at = self.list_read_at.max(read_at);
     }
 
-    fn take_hosts(&mut self, now: u64, records: &[Record], newest: bool, told_by: ToldBy) {
+    fn apply_hosts(&mut self, now: u64, records: &[Record], newest: bool, answered_by: AnsweredBy) {
         let mut listed = BTreeSet::new();
         for record in records {
             let Record::Host(record) = record else { continue };
@@ -384,7 +402,7 @@
             self.directory.put(host);
         }
         if newest {
-            let by_store = matches!(told_by, ToldBy::Store);
+            let by_store = matches!(answered_by, AnsweredBy::Store);
             let known: Vec<Rc<str>> = self.directory.iter().map(|host| host.id.clone()).collect();
             for id in known.into_iter().filter(|id| !listed.contains(id)) {
                 match self.variant {
@@ -398,15 +416,16 @@
 
     pub fn sweep(&mut self, now: u64) {
         self.missing.forget_gone(now);
-        let look = StoreState { store_failed_at: self.store_failed_at, read_at: self.list_read_at };
-        let left = self.missing.sweep(now, look, &self.directory);
+        let store_state =
+            StoreState { store_failed_at: self.store_failed_at, read_at: self.list_read_at };
+        let left = self.missing.sweep(now, store_state, &self.directory);
         for left in left {
             let born = self.directory.remove(&left.id).and_then(|host| host.holding.born);
             self.left.insert((left.id.to_string(), born));
         }
     }
 
-    fn take_claims(&mut self, now: u64, records: &[Record], next: Place) {
+    fn apply_claims(&mut self, now: u64, records: &[Record], next: Place) {
         let mut claims = records.iter().rev().filter_map(|record| match record {
             Record::Claim(claim) => Some(claim.clone()),
             _ => None,
@@ -414,12 +433,17 @@
         self.election.read(now, claims.next(), next);
     }
 
-    /// The newest record of each key, as it tells those who ask.
+    /// Returns the newest record of each key, for gateways that ask for all newest records.
     pub fn newest(&self, topic: Topic) -> Vec<Record> {
         match topic {
-            Topic::Wishes => {
-                let version = self.version.map(|version| Record::Wish(Wish::Version(version)));
-                let drain = self.drains.holds(DRAINED).then_some(Record::Wish(Wish::Drain(true)));
+            Topic::OperatorRecords => {
+                let version = self
+                    .version
+                    .map(|version| Record::OperatorRecord(OperatorRecord::Version(version)));
+                let drain = self
+                    .drains
+                    .holds(DRAINED)
+                    .then_some(Record::OperatorRecord(OperatorRecord::Drain(true)));
                 version.into_iter().chain(drain).collect()
             }
             Topic::Hosts => {
@@ -435,7 +459,13 @@
         self.election.heartbeat()
     }
 
-    pub fn hear(&mut self, now: u64, from: usize, peer: Peer, leader: Option<Heartbeat>) {
+    pub fn observe_heartbeat(
+        &mut self,
+        now: u64,
+        from: usize,
+        peer: Peer,
+        leader: Option<Heartbeat>,
+    ) {
         self.peers.insert(from, peer);
         if let Some(heartbeat) = leader {
             self.election.observe_heartbeat(now, heartbeat);
@@ -445,7 +475,7 @@
 
 fn record_of(host: &BackendServer) -> HostRecord {
     HostRecord {
-        id: host.id[1..].parse().expect("a number"),
+        id: host.id[1..].parse().expect("the id ends with a number"),
         born: host.holding.born.map_or(0, |born| born.0),
         number: host.number.unwrap_or(0),
         draining: host.draining,
--- a/crates/oliveworks-gateway-core/tests/restored_store/main.rs
+++ b/crates/oliveworks-gateway-core/tests/restored_store/main.rs
@@ -1,5 +1,6 @@
-//! A store that is away and comes back from older copies, beside gateways that are killed, paused and cut off: what was
-//! acknowledged stays in force, nobody goes back, and no two leaders' orders pass under one fence.
+//! Simulation of a store that fails and is restored from older copies, while gateways are killed,
+//! paused and partitioned. Acknowledged changes stay in force, no gateway returns to an older
+//! state, and hosts accept the orders of at most one leader under each fence.
 
 mod gateway;
 mod judge;
@@ -9,9 +10,9 @@
 use test_case::test_case;
 use world::{Variant, World};
 
-/// Worlds in which a wrong variant has to be seen.
+/// Number of runs within which the checks must detect a faulty variant.
 const VARIANT_SEEDS: u64 = 60;
-/// How long a world runs, in ms.
+/// Simulated time of a run, in ms.
 const RUN_MS: u64 = 60_000;
 
 fn run(seed: u64, variant: Variant) -> World {
@@ -22,7 +23,7 @@
     world
 }
 
-/// Worlds that are run; `OLIVEWORKS_SEEDS` sets another number.
+/// Returns the number of runs: `OLIVEWORKS_SEEDS` if set, otherwise 40.
 fn seeds() -> u64 {
     std::env::var("OLIVEWORKS_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(40)
 }
@@ -30,19 +31,22 @@
 #[test]
 fn what_was_acknowledged_stays_in_force_when_the_store_comes_back_from_a_copy() {
     let mut returns = 0;
-    let mut honoured = 0;
+    let mut accepted_checks = 0;
     let mut claims = 0;
     for seed in 0..seeds() {
         let world = run(seed, Variant::Sound);
         assert_eq!(world.breaches(), Vec::<String>::new(), "seed {seed}");
         returns += world.platform.era;
-        honoured += world.honoured;
+        accepted_checks += world.accepted_checks;
         claims += world.claims;
     }
-    assert!(returns > seeds() && honoured > 0 && claims > seeds(), "{returns} {honoured} {claims}");
+    assert!(
+        returns > seeds() && accepted_checks > 0 && claims > seeds(),
+        "{returns} {accepted_checks} {claims}"
+    );
 }
 
-/// The checks see each fault that the rules prevent.
+/// The checks detect each fault that the rules prevent.
 #[test_case(Variant::OffsetsWithoutEras; "offsets are taken for places")]
 #[test_case(Variant::CopiesProve; "a copy proves that nothing is newer")]
 #[test_case(Variant::StartsFromStore; "a gateway that starts asks nobody")]
--- a/crates/oliveworks-gateway-core/tests/restored_store/platform.rs
+++ b/crates/oliveworks-gateway-core/tests/restored_store/platform.rs
@@ -1,41 +1,43 @@
-//! The platform of the world: a store with copies, operators and hosts that write to it.
+//! Simulated platform: a store with copies, and the operators and hosts that write to the store.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// The time between two records of a host, and the silence after which the store drops its record, in ms.
+/// Interval between two records of a host, in ms.
 const HEARTBEAT_MS: u64 = 1_200;
-const LAPSE_MS: u64 = 3 * HEARTBEAT_MS;
-/// How old a copy may be, and the time between two, in ms.
+/// Silence after which the store drops the record of a host, in ms.
+const RECORD_TIMEOUT_MS: u64 = 3 * HEARTBEAT_MS;
+/// Maximum age of a copy, in ms.
 const COPY_AGE_MS: u64 = 6_000;
-const COPY_EVERY_MS: u64 = 250;
-/// The longest that operators take to write again, in ms.
-const WRITE_AGAIN_MS: u64 = 2_000;
-/// The time between two changes of the drain, in ms.
-const DRAIN_LASTS_MS: u64 = 1_500;
+/// Interval between two copies, in ms.
+const COPY_INTERVAL_MS: u64 = 250;
+/// Maximum time until operators rewrite records that a restored store lacks, in ms.
+const REWRITE_MAX_MS: u64 = 2_000;
+/// Minimum time between two changes of the drain, in ms.
+const DRAIN_INTERVAL_MS: u64 = 1_500;
 pub const HOSTS: u64 = 8;
 
-/// What operators write.
+/// A record written by operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wish {
+pub enum OperatorRecord {
     Version(u64),
     Drain(bool),
 }
 
-/// What a host writes of itself.
+/// A record that a host writes about itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostRecord {
     pub id: u64,
     pub born: u64,
     pub number: u64,
     pub draining: bool,
-    /// Whether it is dropped.
+    /// Whether the record states that the host is gone.
     pub gone: bool,
 }
 
-/// A claim to lead.
+/// A claim to leadership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClaimRecord {
     pub era: u64,
@@ -45,23 +47,23 @@
 /// The topics of the store.
 #[derive(Clone, Debug, Default)]
 pub struct Topics {
-    pub wishes: Vec<Wish>,
+    pub operator_records: Vec<OperatorRecord>,
     pub hosts: Vec<HostRecord>,
     pub claims: Vec<ClaimRecord>,
 }
 
-/// A host as it is.
+/// Actual state of a host.
 #[derive(Clone, Copy, Debug)]
 pub struct Host {
     pub born: u64,
     number: u64,
     pub draining: bool,
-    /// Whether the store is to list it.
+    /// Whether the store should list the host.
     pub listed: bool,
-    writes_at: u64,
-    /// When it leaves for good, if it does.
-    ends_at: Option<u64>,
-    /// The highest fence that it has seen.
+    next_write_at: u64,
+    /// Time at which the host leaves permanently, if it does.
+    leaves_at: Option<u64>,
+    /// Highest fence that the host has received.
     pub fence: u64,
 }
 
@@ -69,13 +71,13 @@
     pub era: u64,
     pub topics: Topics,
     copies: VecDeque<(u64, Topics)>,
-    away_until: Option<u64>,
-    /// When the store last came back or had trouble.
-    pub troubled_at: u64,
+    unavailable_until: Option<u64>,
+    /// Time at which the store last failed or was restored.
+    pub last_fault_at: u64,
     pub version: u64,
-    /// When each version was acknowledged, or written once more after the store had lost it.
+    /// Time at which each version was acknowledged.
     pub acknowledged: BTreeMap<u64, u64>,
-    /// Versions that the store lacked at some time since they were acknowledged.
+    /// Versions that were missing from the store at some time after their acknowledgement.
     pub lost: BTreeSet<u64>,
     pub drained: bool,
     pub drain_changed_at: u64,
@@ -83,7 +85,7 @@
     write_drain_at: Option<u64>,
     pub hosts: BTreeMap<u64, Host>,
     pub hosts_changed_at: u64,
-    heard: BTreeMap<u64, u64>,
+    last_written_at: BTreeMap<u64, u64>,
 }
 
 impl Platform {
@@ -93,16 +95,19 @@
             number: 0,
             draining: false,
             listed: true,
-            writes_at: id * 100,
-            ends_at: None,
+            next_write_at: id * 100,
+            leaves_at: None,
             fence: 0,
         };
         Platform {
             era: 1,
-            topics: Topics { wishes: vec![Wish::Version(1)], ..Topics::default() },
+            topics: Topics {
+                operator_records: vec![OperatorRecord::Version(1)],
+                ..Topics::default()
+            },
             copies: VecDeque::new(),
-            away_until: None,
-            troubled_at: 0,
+            unavailable_until: None,
+            last_fault_at: 0,
             version: 1,
             acknowledged: BTreeMap::from([(1, 0)]),
             lost: BTreeSet::new(),
@@ -112,26 +117,27 @@
             write_drain_at: None,
             hosts: (0..HOSTS).map(|id| (id, host(id))).collect(),
             hosts_changed_at: 0,
-            heard: BTreeMap::new(),
+            last_written_at: BTreeMap::new(),
         }
     }
 
-    pub fn is_away(&self) -> bool {
-        self.away_until.is_some()
+    pub fn is_unavailable(&self) -> bool {
+        self.unavailable_until.is_some()
     }
 
-    /// The newest version that the store holds.
+    /// Returns the newest version in the store.
     pub fn stored_version(&self) -> u64 {
-        let versions = self.topics.wishes.iter().filter_map(|wish| match wish {
-            Wish::Version(version) => Some(*version),
-            Wish::Drain(_) => None,
+        let versions = self.topics.operator_records.iter().filter_map(|record| match record {
+            OperatorRecord::Version(version) => Some(*version),
+            OperatorRecord::Drain(_) => None,
         });
         versions.max().unwrap_or(0)
     }
 
     pub fn stored_drain(&self) -> bool {
-        let drains = self.topics.wishes.iter().rev();
-        drains.clone().find(|wish| matches!(wish, Wish::Drain(_))) == Some(&Wish::Drain(true))
+        let drains = self.topics.operator_records.iter().rev();
+        drains.clone().find(|record| matches!(record, OperatorRecord::Drain(_)))
+            == Some(&OperatorRecord::Drain(true))
     }
 
     pub fn newest_hosts(&self) -> Vec<HostRecord> {
@@ -143,68 +149,68 @@
     }
 
     pub fn step(&mut self, now: u64, rng: &mut ChaCha8Rng) {
-        self.come_and_go(now, rng);
-        if self.is_away() {
+        self.change_availability(now, rng);
+        if self.is_unavailable() {
             return;
         }
-        if now.is_multiple_of(COPY_EVERY_MS) {
+        if now.is_multiple_of(COPY_INTERVAL_MS) {
             self.copies.push_back((now, self.topics.clone()));
             self.copies.retain(|(at, _)| now <= at + COPY_AGE_MS);
         }
-        self.operate(now, rng);
+        self.write_operator_records(now, rng);
         self.change_hosts(now, rng);
         self.write_hosts(now);
         let stored = self.stored_version();
         self.lost.extend((stored + 1..=self.version).filter(|v| self.acknowledged.contains_key(v)));
     }
 
-    fn come_and_go(&mut self, now: u64, rng: &mut ChaCha8Rng) {
-        match self.away_until {
+    fn change_availability(&mut self, now: u64, rng: &mut ChaCha8Rng) {
+        match self.unavailable_until {
             None if rng.random_bool(0.001) => {
-                self.away_until = Some(now + rng.random_range(0..2_500));
-                self.troubled_at = now;
+                self.unavailable_until = Some(now + rng.random_range(0..2_500));
+                self.last_fault_at = now;
             }
-            Some(until) if now >= until => self.come_back(now, rng),
+            Some(until) if now >= until => self.restore_from_copy(now, rng),
             _ => {}
         }
     }
 
-    fn come_back(&mut self, now: u64, rng: &mut ChaCha8Rng) {
-        self.away_until = None;
-        self.troubled_at = now;
+    fn restore_from_copy(&mut self, now: u64, rng: &mut ChaCha8Rng) {
+        self.unavailable_until = None;
+        self.last_fault_at = now;
         if !self.copies.is_empty() {
-            let which = rng.random_range(0..self.copies.len());
-            self.copies.truncate(which + 1);
-            self.topics = self.copies[which].1.clone();
+            let index = rng.random_range(0..self.copies.len());
+            self.copies.truncate(index + 1);
+            self.topics = self.copies[index].1.clone();
         }
         self.era += 1;
-        self.write_version_at = Some(now + rng.random_range(0..WRITE_AGAIN_MS));
-        self.write_drain_at = Some(now + rng.random_range(0..WRITE_AGAIN_MS));
-        // Times of hosts' records wait while the store is away.
-        self.heard = self.hosts.keys().map(|id| (*id, now)).collect();
+        self.write_version_at = Some(now + rng.random_range(0..REWRITE_MAX_MS));
+        self.write_drain_at = Some(now + rng.random_range(0..REWRITE_MAX_MS));
+        // Records of hosts do not expire while the store is unavailable.
+        self.last_written_at = self.hosts.keys().map(|id| (*id, now)).collect();
     }
 
-    fn operate(&mut self, now: u64, rng: &mut ChaCha8Rng) {
+    fn write_operator_records(&mut self, now: u64, rng: &mut ChaCha8Rng) {
         if self.write_version_at.take_if(|at| now >= *at).is_some()
             && self.stored_version() < self.version
         {
-            self.topics.wishes.push(Wish::Version(self.version));
+            self.topics.operator_records.push(OperatorRecord::Version(self.version));
         }
         if self.write_drain_at.take_if(|at| now >= *at).is_some()
             && self.stored_drain() != self.drained
         {
-            self.topics.wishes.push(Wish::Drain(self.drained));
+            self.topics.operator_records.push(OperatorRecord::Drain(self.drained));
         }
         if rng.random_bool(0.005) {
             self.version += 1;
-            self.topics.wishes.push(Wish::Version(self.version));
+            self.topics.operator_records.push(OperatorRecord::Version(self.version));
             self.acknowledged.insert(self.version, now);
             self.write_version_at = None;
         }
-        if rng.random_bool(0.0015) && now >= self.drain_changed_at + DRAIN_LASTS_MS {
+        if rng.random_bool(0.0015) && now >= self.drain_changed_at + DRAIN_INTERVAL_MS {
             self.drained = !self.drained;
             self.drain_changed_at = now;
-            self.topics.wishes.push(Wish::Drain(self.drained));
+            self.topics.operator_records.push(OperatorRecord::Drain(self.drained));
             self.write_drain_at = None;
         }
     }
@@ -212,32 +218,32 @@
     fn change_hosts(&mut self, now: u64, rng: &mut ChaCha8Rng) {
         if rng.random_bool(0.003) {
             let id = rng.random_range(0..HOSTS);
-            let says_so = rng.random_bool(0.5);
-            let host = self.hosts.get_mut(&id).expect("a host");
-            if host.ends_at.is_none() && now >= host.born + 2_000 {
-                host.draining = says_so;
-                host.listed = says_so;
-                host.writes_at = now;
-                host.ends_at = Some(now + rng.random_range(1_000..5_000));
+            let announces_leave = rng.random_bool(0.5);
+            let host = self.hosts.get_mut(&id).expect("every id has a host");
+            if host.leaves_at.is_none() && now >= host.born + 2_000 {
+                host.draining = announces_leave;
+                host.listed = announces_leave;
+                host.next_write_at = now;
+                host.leaves_at = Some(now + rng.random_range(1_000..5_000));
                 self.hosts_changed_at = now;
             }
         }
         for host in self.hosts.values_mut() {
-            // Some time after its end another life begins under the same id.
-            if host.ends_at.is_some_and(|at| now >= at + 1_500) {
+            // 1,500 ms after the end of a host, a new incarnation starts under the same id.
+            if host.leaves_at.is_some_and(|at| now >= at + 1_500) {
                 *host = Host {
                     born: now,
                     number: 0,
                     draining: false,
                     listed: true,
-                    writes_at: now,
-                    ends_at: None,
+                    next_write_at: now,
+                    leaves_at: None,
                     fence: 0,
                 };
                 self.hosts_changed_at = now;
-            } else if host.listed && host.ends_at.is_some_and(|at| now >= at) {
+            } else if host.listed && host.leaves_at.is_some_and(|at| now >= at) {
                 host.listed = false;
-                host.writes_at = now;
+                host.next_write_at = now;
                 self.hosts_changed_at = now;
             }
         }
@@ -255,14 +261,16 @@
                 gone: !host.listed,
             };
             let held = newest.get(id);
-            if host.listed && now >= host.writes_at {
+            if host.listed && now >= host.next_write_at {
                 host.number += 1;
-                host.writes_at = now + HEARTBEAT_MS;
-                self.heard.insert(*id, now);
+                host.next_write_at = now + HEARTBEAT_MS;
+                self.last_written_at.insert(*id, now);
                 self.topics.hosts.push(HostRecord { number: host.number, ..record });
-            } else if !host.listed && host.writes_at == now && held.is_some() {
+            } else if !host.listed && host.next_write_at == now && held.is_some() {
                 self.topics.hosts.push(record);
-            } else if held.is_some() && now >= self.heard.get(id).copied().unwrap_or(0) + LAPSE_MS {
+            } else if held.is_some()
+                && now >= self.last_written_at.get(id).copied().unwrap_or(0) + RECORD_TIMEOUT_MS
+            {
                 self.topics.hosts.push(HostRecord { gone: true, ..record });
             }
         }
--- a/crates/oliveworks-gateway-core/tests/slow_start/cold.rs
+++ b/crates/oliveworks-gateway-core/tests/slow_start/cold.rs
@@ -130,8 +130,8 @@
     assert!(!is_cold(&slow_starts, 20_100));
 }
 
-/// If the store does not answer after a pause, the doubt ends after the cold time plus the maximum age
-/// of records.
+/// If the store does not answer after a pause, the doubt ends after the cold time plus the maximum
+/// age of records.
 #[test]
 fn after_a_pause_what_was_missed_is_over_some_time() {
     let mut slow_starts = warm();
@@ -139,8 +139,8 @@
     assert!(!is_cold(&slow_starts, 20_000 + TERMS.lasts_ms + LAG_MS));
 }
 
-/// Returns whether backend servers count as cold at a gateway with two peers that last received data
-/// from the peers and the store at the given times.
+/// Returns whether backend servers count as cold at a gateway with two peers that last received
+/// data from the peers and the store at the given times.
 fn all_cold_after_silence(others_heard_at: u64, store_heard_at: u64, now: u64) -> bool {
     let mut slow_starts = warm();
     let mut members = no_peers();
@@ -154,11 +154,11 @@
 fn all_are_cold_to_a_gateway_that_is_cut_off() {
     assert!(all_cold_after_silence(10_000, 10_000, 14_000));
     assert!(!all_cold_after_silence(10_000, 13_500, 14_000), "the store answered recently");
-    assert!(!all_cold_after_silence(13_500, 10_000, 14_000), "peers were heard recently");
+    assert!(!all_cold_after_silence(13_500, 10_000, 14_000), "peers sent heartbeats recently");
 }
 
-/// A gateway that starts copies the list from a gateway that has observed a loss of the head, by which
-/// time the record of the head is outdated.
+/// A gateway that starts copies the list from a gateway that has observed a loss of the head, by
+/// which time the record of the head is outdated.
 #[test]
 fn what_is_doubted_is_told_to_who_takes_the_list_over() {
     let mut informed = warm();
@@ -176,8 +176,8 @@
     assert_eq!(warm().remaining_cold_ms(5_000, HEAD, TERMS.lasts_ms), 0);
 }
 
-/// A gateway starts while the store is unavailable and receives the list from a gateway that has lost
-/// the head since.
+/// A gateway starts while the store is unavailable and receives the list from a gateway that has
+/// lost the head since.
 #[test]
 fn a_list_of_a_gateway_without_the_store_does_not_say_that_one_is_warm() {
     let mut slow_starts = without_records();
@@ -208,8 +208,8 @@
     assert!(is_cold(&slow_starts, 60_000));
 }
 
-/// The store has dropped its history, so its complete list contains the last record of a host that has
-/// been unreachable for a long time.
+/// The store has dropped its history, so its complete list contains the last record of a host that
+/// has been unreachable for a long time.
 #[test]
 fn the_last_record_of_a_lost_one_does_not_clear_it() {
     let mut slow_starts = warm();
@@ -238,11 +238,11 @@
     assert_eq!(Listed::of(reading), expected);
 }
 
-/// A gateway that started just after the end of a drain sent a cold host the load of a warm host: 28
-/// requests in a second, where all gateways together may send 20. The gateway had received the end of
-/// the drain from a peer (`drain_ended_elsewhere`, 62 ms after the end) and read the list 129 ms later,
-/// but the configuration only 1 ms after the list. Without the ramp-up terms of the service, the
-/// gateway dropped the doubt.
+/// A gateway that started just after the end of a drain sent a cold host the load of a warm host:
+/// 28 requests in a second, where all gateways together may send 20. The gateway had received the
+/// end of the drain from a peer (`drain_ended_elsewhere`, 62 ms after the end) and read the list
+/// 129 ms later, but the configuration only 1 ms after the list. Without the ramp-up terms of the
+/// service, the gateway dropped the doubt.
 #[test]
 fn a_doubt_that_comes_before_the_configuration_is_kept() {
     let mut slow_starts = warm();
--- a/crates/oliveworks-gateway-core/tests/slow_start/replay.rs
+++ b/crates/oliveworks-gateway-core/tests/slow_start/replay.rs
@@ -1,8 +1,8 @@
 //! Simulation of gateways whose callers return to one cold head all at once.
 //!
-//! Each gateway receives heartbeats of all gateways that can reach it, ten times a second. A request
-//! takes up to 60 ms to the head, and counts in a second if it was both sent and received in that
-//! second.
+//! Each gateway receives heartbeats of all gateways that can reach it, ten times a second. A
+//! request takes up to 60 ms to the head, and counts in a second if it was both sent and received
+//! in that second.
 
 use std::collections::VecDeque;
 
@@ -18,14 +18,15 @@
 
 /// Time of the first call, in ms.
 const BEGAN: u64 = 10_000;
-/// Time at which callers that were rejected while the head was unavailable return all at once, in ms.
+/// Time at which callers that were rejected while the head was unavailable return all at once, in
+/// ms.
 const RETURN: u64 = BEGAN + 1_000;
 const END: u64 = RETURN + 5_000;
 /// Maximum transit time of a request to the head, in ms.
 const WAY_MS: u64 = 60;
 const BEAT_MS: u64 = 100;
-/// Exponent of the distribution of callers over gateways: half of the callers use the first third of
-/// the gateways.
+/// Exponent of the distribution of callers over gateways: half of the callers use the first third
+/// of the gateways.
 const UNEQUAL: f64 = 1.7;
 
 /// Load that callers put on the head.
@@ -67,8 +68,8 @@
     cut_off: bool,
 }
 
-/// Numbers of gateways: `known` gateways that know each other, `cut_off` of which are partitioned, and
-/// `new` gateways that start when callers return.
+/// Numbers of gateways: `known` gateways that know each other, `cut_off` of which are partitioned,
+/// and `new` gateways that start when callers return.
 #[derive(Clone, Copy, Debug)]
 struct Fleet {
     known: usize,
@@ -259,8 +260,8 @@
     assert!(outcome.sent * 100 >= all * 75, "{} of {all} sent", outcome.sent);
 }
 
-/// Reason for equal shares: each alternative either exceeds the limit or rejects callers although the
-/// limit is not reached.
+/// Reason for equal shares: each alternative either exceeds the limit or rejects callers although
+/// the limit is not reached.
 #[test_case(Way::Unbound, fleet(15, 0, 0); "nothing binds")]
 #[test_case(Way::ByCallers, fleet(15, 0, 0); "parts in proportion to callers")]
 #[test_case(Way::ByCallers, fleet(53, 0, 0); "the same with more gateways than requests")]
--- a/crates/oliveworks-gateway-core/tests/slow_start/sends.rs
+++ b/crates/oliveworks-gateway-core/tests/slow_start/sends.rs
@@ -27,8 +27,8 @@
     assert_eq!(Sends::default().free_at(1_000, HEAD, 0), None);
 }
 
-/// An assigned request counts against the share, because the gateway may still send it at the end of
-/// the second that is counted.
+/// An assigned request counts against the share, because the gateway may still send it at the end
+/// of the second that is counted.
 #[test]
 fn what_is_on_its_way_takes_the_part() {
     let mut sends = sent_at(&[1_000]);
