--- a/crates/oliveworks-gateway-core/tests/replay.rs
+++ b/crates/oliveworks-gateway-core/tests/replay.rs
@@ -51,14 +51,14 @@
     answer: Option<InFlightAnswer>,
     store_answers: bool,
     /// Send time of the latest call that the store answered.
-    store_answered_call_at: Option<u64>,
-    tried_at: u64,
+    store_answered_at: Option<u64>,
+    store_called_at: u64,
 }
 
 impl Gateway {
     /// Whether the heartbeats of this gateway report that it reads the store itself.
-    fn reads(&self, now: u64) -> bool {
-        self.store_answered_call_at.is_some_and(|at| now < at + 2_000)
+    fn reads_store(&self, now: u64) -> bool {
+        self.store_answered_at.is_some_and(|at| now < at + 2_000)
     }
 }
 
@@ -151,7 +151,7 @@
         gateway.from = Some(gateway.from.unwrap_or(0).max(next));
         match (answer.age_ms, self.variant) {
             (None, _) => {
-                gateway.store_answered_call_at = Some(answer.sent);
+                gateway.store_answered_at = Some(answer.sent);
                 gateway.freshness.proved(answer.sent, answer.held_ms);
             }
             (Some(age_ms), Variant::FromArrival) => {
@@ -175,7 +175,7 @@
                 address: address(other),
                 is_local: other % 2 == index % 2,
                 store_answers: self.gateways[other].store_answers,
-                reads_store: self.gateways[other].reads(self.now),
+                reads_store: self.gateways[other].reads_store(self.now),
                 has_recent_proof: self.gateways[other]
                     .freshness
                     .age_ms(self.now)
@@ -188,8 +188,8 @@
         let own = LocalState {
             name: &names[index],
             store_answers: self.gateways[index].store_answers,
-            reads_store: self.gateways[index].reads(self.now),
-            retry_due: self.now >= self.gateways[index].tried_at + 1_500,
+            reads_store: self.gateways[index].reads_store(self.now),
+            retry_due: self.now >= self.gateways[index].store_called_at + 1_500,
             era: Era::default(),
         };
         match next_source(own, &others, 0, self.rng.random()) {
@@ -207,7 +207,7 @@
         let (now, end) = (self.now, self.store_end());
         let is_rejected = self.rejected_by_store.contains(&index);
         let gateway = &mut self.gateways[index];
-        gateway.tried_at = now;
+        gateway.store_called_at = now;
         gateway.store_answers = !is_rejected;
         let from = gateway.from.unwrap_or(0);
         let content = (!is_rejected).then(|| ((from..end).collect(), end));
--- a/crates/oliveworks-gateway-core/tests/slow_start/replay.rs
+++ b/crates/oliveworks-gateway-core/tests/slow_start/replay.rs
@@ -23,8 +23,9 @@
 const RETURN: u64 = BEGAN + 1_000;
 const END: u64 = RETURN + 5_000;
 /// Maximum transit time of a request to the head, in ms.
-const WAY_MS: u64 = 60;
-const BEAT_MS: u64 = 100;
+const TRANSIT_MAX_MS: u64 = 60;
+/// Interval between two heartbeats, in ms.
+const HEARTBEAT_MS: u64 = 100;
 /// Exponent of the distribution of callers over gateways: half of the callers use the first third
 /// of the gateways.
 const UNEQUAL: f64 = 1.7;
@@ -116,8 +117,8 @@
 
     fn run(mut self, load: Load) -> Outcome {
         for now in BEGAN..END {
-            if now % BEAT_MS == 0 {
-                self.beat(now);
+            if now % HEARTBEAT_MS == 0 {
+                self.send_heartbeats(now);
             }
             let returning = if now == RETURN { load.returning } else { 0 };
             let others = usize::from(self.rng.random_range(0..1_000) < load.per_s);
@@ -128,7 +129,7 @@
         Outcome { most: most_in_a_second(&self.sent), sent: self.sent.len(), callers: self.callers }
     }
 
-    fn beat(&mut self, now: u64) {
+    fn send_heartbeats(&mut self, now: u64) {
         let is_connected = |gateway: &Gateway| now >= gateway.starts_at && !gateway.cut_off;
         let all = self.gateways.iter().enumerate();
         let mut heard: Vec<(u64, u64)> = all
@@ -150,8 +151,8 @@
 
     /// Simulates a call to a random gateway, which sends the request if its share allows that.
     fn caller(&mut self, now: u64) {
-        let drawn = self.rng.random::<f64>().powf(UNEQUAL) * self.gateways.len() as f64;
-        let index = drawn as usize;
+        let position = self.rng.random::<f64>().powf(UNEQUAL) * self.gateways.len() as f64;
+        let index = position as usize;
         if now < self.gateways[index].starts_at {
             return;
         }
@@ -165,8 +166,8 @@
             gateway.slow_starts.chosen(HEAD);
             gateway.slow_starts.sent(now, HEAD);
             gateway.sends.sent(now, HEAD);
-            let way_ms = self.rng.next_u64() % WAY_MS;
-            self.sent.push((now, now + way_ms));
+            let transit_ms = self.rng.next_u64() % TRANSIT_MAX_MS;
+            self.sent.push((now, now + transit_ms));
         }
     }
 
@@ -186,7 +187,7 @@
 
     fn part_by_callers(&mut self, now: u64, index: usize) -> u32 {
         for gateway in &mut self.gateways {
-            let old = |at: &&u64| **at + 1_000 + BEAT_MS < now;
+            let old = |at: &&u64| **at + 1_000 + HEARTBEAT_MS < now;
             while gateway.callers.front().filter(old).is_some() {
                 gateway.callers.pop_front();
             }
@@ -197,7 +198,7 @@
         };
         let own = in_second(&self.gateways[index], now);
         let others = self.gateways.iter().enumerate().filter(|(other, _)| *other != index);
-        let others: usize = others.map(|(_, other)| in_second(other, now - BEAT_MS)).sum();
+        let others: usize = others.map(|(_, other)| in_second(other, now - HEARTBEAT_MS)).sum();
         (BOUND * own / (own + others).max(1)) as u32
     }
 }
