--- a/crates/oliveworks-agent/src/backend.rs
+++ b/crates/oliveworks-agent/src/backend.rs
@@ -17,7 +17,7 @@
 
 impl Process {
     /// Sends an order to the backend server in the background, and records the result.
-    pub fn order(self: Arc<Process>, number: u64, order: EngineOrder) {
+    pub fn send_order(self: Arc<Process>, number: u64, order: EngineOrder) {
         ntex::rt::spawn(async move {
             let done = self.engine.order(&order).await;
             if let Err(e) = &done {
--- a/crates/oliveworks-agent/src/peers.rs
+++ b/crates/oliveworks-agent/src/peers.rs
@@ -87,8 +87,8 @@
     let backend = lock(&process.backend).clone();
     let events = backend.events.iter().filter(|(number, ..)| *number >= events_from);
     let latest: Vec<_> = events.rev().take(HELLO_EVENTS_MAX).collect();
-    let blocks_of = |kind: bool| {
-        let wanted = latest.iter().rev().filter(|(_, stored, _)| *stored == kind);
+    let blocks_of = |wanted_stored: bool| {
+        let wanted = latest.iter().rev().filter(|(_, stored, _)| *stored == wanted_stored);
         wanted.map(|(.., block)| *block).collect()
     };
     process.with_agent(|agent| Hello {
--- a/crates/oliveworks-agent/src/process.rs
+++ b/crates/oliveworks-agent/src/process.rs
@@ -127,9 +127,9 @@
                     self.net.send_datagram(&name, at, &datagram);
                 }
             }
-            Command::Order(number, order) => self.clone().order(number, order),
-            Command::CutRequests => self.cancellations.send_modify(|n| *n += 1),
-            Command::Note(kind, text) => self.record_event(kind, text),
+            Command::Order(number, order) => self.clone().send_order(number, order),
+            Command::CancelRequests => self.cancellations.send_modify(|n| *n += 1),
+            Command::RecordEvent(kind, text) => self.record_event(kind, text),
         }
     }
 
--- a/crates/oliveworks-agent/src/run.rs
+++ b/crates/oliveworks-agent/src/run.rs
@@ -91,7 +91,7 @@
         Call::Completion { chat, body } => job.complete(*chat, body).await,
         Call::Service { method, path, headers, has_body } => {
             let has_body = *has_body;
-            job.serve(method, path, headers, has_body, reader).await
+            job.call_service(method, path, headers, has_body, reader).await
         }
     };
     let now = process.clock.now();
@@ -143,7 +143,8 @@
         }
     }
 
-    /// Second gate: output of the backend server may be returned only while the group is complete.
+    /// Returns an error if the group is no longer complete. Output of the backend server may be
+    /// returned only while the group is complete.
     fn check_may_pass(&self) -> Result<(), RunError> {
         let now = self.process.clock.now();
         match self.process.with_agent(|agent| agent.may_pass(now, &self.permit)) {
@@ -201,7 +202,7 @@
         }
     }
 
-    async fn serve(
+    async fn call_service(
         &mut self,
         method: &str,
         path: &str,
@@ -219,7 +220,7 @@
             has_body,
             left_ms: self.run.left_ms,
         };
-        let mut response = self.wait(process.engine.call(&call, body(reader))).await??;
+        let mut response = self.wait(process.engine.call(&call, body_stream(reader))).await??;
         let status = response.status().as_u16();
         let headers: Vec<(String, Vec<u8>)> = response
             .headers()
@@ -249,7 +250,7 @@
 }
 
 /// Returns the body of a request as a stream of its frames. At most one frame is held in memory.
-fn body(
+fn body_stream(
     reader: Reader,
 ) -> impl futures_util::Stream<Item = Result<Bytes, std::io::Error>> + Unpin + 'static {
     let frames = futures_util::stream::unfold(Some(reader), |reader| async move {
--- a/crates/oliveworks-core/src/admit.rs
+++ b/crates/oliveworks-core/src/admit.rs
@@ -119,7 +119,7 @@
     }
 
     fn gap_us(&self, template: &TemplateKey) -> u64 {
-        self.departure_rates.get(template).map_or(INITIAL_GAP_US, |p| p.gap_us)
+        self.departure_rates.get(template).map_or(INITIAL_GAP_US, |rate| rate.gap_us)
     }
 
     /// Adds a request to its queue. Returns the requests that are rejected as a result, possibly
@@ -191,7 +191,7 @@
         all.min_by_key(key).map(|(_, w)| w.id)
     }
 
-    /// Removes a request whose caller left or that is rejected.
+    /// Removes a request that is rejected or whose caller disconnected.
     pub fn remove(&mut self, id: RequestId) -> Option<WaitingRequest> {
         for queue in self.queues.values_mut() {
             if let Some(at) = queue.waiting.iter().position(|w| w.id == id) {
--- a/crates/oliveworks-core/src/agent/binding.rs
+++ b/crates/oliveworks-core/src/agent/binding.rs
@@ -24,11 +24,11 @@
         }
         self.engine_healthy = healthy;
         if !healthy {
-            // A restarted server has lost its weights and its place.
+            // A restarted server has lost its weights and its rank.
             self.bound = None;
             self.order = None;
         }
-        vec![Command::Note("engine", if healthy { "healthy" } else { "failed" }.into())]
+        vec![Command::RecordEvent("engine", if healthy { "healthy" } else { "failed" }.into())]
     }
 
     /// Records whether the backend server carried out an order.
@@ -42,7 +42,7 @@
         }
         if !done {
             self.order_due = now.plus(self.config.lease.renew_ms);
-            return vec![Command::Note("order_failed", format!("{order:?}"))];
+            return vec![Command::RecordEvent("order_failed", format!("{order:?}"))];
         }
         self.order_due = now;
         match order {
@@ -56,7 +56,7 @@
                     self.last_ask = now;
                 }
                 let text = format!("rank {rank} fence {}.{}", fence.epoch, fence.view);
-                vec![Command::Note("bound", text)]
+                vec![Command::RecordEvent("bound", text)]
             }
         }
     }
@@ -89,11 +89,11 @@
         if self.machine.is("idle") || self.machine.is("leaving") || self.bound == self.wanted {
             return;
         }
-        let Some(place) = self.wanted else { return };
+        let Some(wanted) = self.wanted else { return };
         let order = EngineOrder::Bind {
-            fence: Fence::new(place.epoch, place.view).max(self.fence),
+            fence: Fence::new(wanted.epoch, wanted.view).max(self.fence),
             weights: assigned.weights,
-            rank: place.rank,
+            rank: wanted.rank,
             width: assigned.width as u16,
         };
         self.ordered = self.wanted;
@@ -110,7 +110,7 @@
         out.push(Command::Order(number, order));
     }
 
-    /// Returns whether the engine holds the place that it was last assigned.
+    /// Returns whether the engine is healthy and bound to the rank that it was last assigned.
     pub(super) fn is_ready(&self) -> bool {
         self.engine_healthy && self.bound.is_some() && self.bound == self.wanted
     }
--- a/crates/oliveworks-core/src/agent/gate.rs
+++ b/crates/oliveworks-core/src/agent/gate.rs
@@ -101,7 +101,8 @@
         self.ledger.finish(now, handed.id, kept);
     }
 
-    /// Handles the request of an entry that lost contact to prevent a request from running.
+    /// Prevents a request from running if it has not begun. Called for an entry that lost contact
+    /// after it handed the request over.
     pub fn revoke(&mut self, now: Millis, handed: &Handover) -> Revoked {
         self.ledger.revoke(now, handed)
     }
--- a/crates/oliveworks-core/src/agent/leading.rs
+++ b/crates/oliveworks-core/src/agent/leading.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use super::{Agent, Assigned, Command, Place};
+use super::{Agent, Assigned, Command, RankInView};
 use crate::id::{Epoch, HostId, Millis, View};
 use crate::lease::{GrantRefusal, Holder};
 use crate::message::LeaseMsg;
@@ -57,11 +57,12 @@
             return;
         }
         self.holder = Some(Holder::new(now, assigned.epoch, view, &members));
-        out.push(Command::Note("proposed", format!("{} view {}", assigned.epoch, view.0)));
+        out.push(Command::RecordEvent("proposed", format!("{} view {}", assigned.epoch, view.0)));
     }
 
-    /// Chooses this host and the other hosts that are best in rank, with the fewest changes of
-    /// rank: a host keeps the rank from the record, and a spare takes a vacant rank.
+    /// Chooses the members of a view: this host and the other hosts of the lowest ranks. Suspected
+    /// hosts are chosen last. As few ranks as possible change: a host keeps its rank from the
+    /// record, and a spare takes a vacant rank.
     pub(super) fn choose_members(&self, assigned: &Assigned) -> Vec<HostId> {
         let others = assigned.ranked.iter().filter(|h| **h != self.config.host);
         let (responsive, unresponsive): (Vec<HostId>, Vec<HostId>) =
@@ -72,11 +73,11 @@
             .collect();
         let (first, rest) = assigned.ranked.split_at(assigned.width);
         let mut spares = rest.iter().filter(|h| chosen.contains(h));
-        let mut place = |h: &HostId| match chosen.contains(h) {
+        let mut member_for_rank_of = |h: &HostId| match chosen.contains(h) {
             true => Some(*h),
             false => spares.next().copied(),
         };
-        first.iter().filter_map(&mut place).collect()
+        first.iter().filter_map(&mut member_for_rank_of).collect()
     }
 
     /// Replaces or abandons this host's view after members stopped answering.
@@ -117,7 +118,7 @@
         let Some(holder) = self.holder.take() else {
             return;
         };
-        out.push(Command::CutRequests);
+        out.push(Command::CancelRequests);
         for host in holder.members().filter(|h| *h != self.config.host) {
             let msg = LeaseMsg::Release { epoch: holder.epoch, view: holder.view };
             out.push(Command::Send(host, msg));
@@ -146,7 +147,7 @@
                 continue;
             }
             let own = self.grantor.grant(now, epoch, view, host, &self.config.lease);
-            self.wanted = Some(Place { epoch, view, rank });
+            self.wanted = Some(RankInView { epoch, view, rank });
             let ready = self.is_ready();
             if let (Ok(()), Some(holder)) = (own, &mut self.holder) {
                 holder.granted(now, host, seq, ready, self.leaving, &self.config.lease);
@@ -164,7 +165,7 @@
     pub fn receive(&mut self, now: Millis, from: HostId, msg: LeaseMsg) -> Vec<Command> {
         match msg {
             LeaseMsg::Ask { epoch, view, rank, seq } => {
-                self.receive_ask(now, from, Place { epoch, view, rank }, seq)
+                self.receive_ask(now, from, RankInView { epoch, view, rank }, seq)
             }
             LeaseMsg::Grant { epoch, view, seq, ready, leaving } => {
                 let lease = self.config.lease;
@@ -202,11 +203,11 @@
         &mut self,
         now: Millis,
         from: HostId,
-        place: Place,
+        wanted: RankInView,
         seq: u64,
     ) -> Vec<Command> {
         let mut out = Vec::new();
-        let Place { epoch, view, .. } = place;
+        let RankInView { epoch, view, .. } = wanted;
         let refuse = |why, highest| {
             vec![Command::Send(from, LeaseMsg::Refuse { epoch, view, why, highest })]
         };
@@ -229,7 +230,7 @@
             Ok(()) => {
                 self.last_ask = now;
                 self.last_leader = Some(from);
-                self.wanted = Some(place);
+                self.wanted = Some(wanted);
                 let ready = self.is_ready();
                 let msg = LeaseMsg::Grant { epoch, view, seq, ready, leaving: self.leaving };
                 out.push(Command::Send(from, msg));
--- a/crates/oliveworks-core/src/agent/mod.rs
+++ b/crates/oliveworks-core/src/agent/mod.rs
@@ -76,9 +76,9 @@
     /// [`Agent::order_done`] and the order's number.
     Order(u64, EngineOrder),
     /// End every running request, because the group cannot answer them.
-    CutRequests,
+    CancelRequests,
     /// Write an event to the timeline.
-    Note(&'static str, String),
+    RecordEvent(&'static str, String),
 }
 
 /// Settings of an agent.
@@ -95,9 +95,9 @@
     pub order_max_ms: u64,
 }
 
-/// Place in a replica that the engine was ordered to take, or should take.
+/// Rank of this host in one view of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Place {
+struct RankInView {
     epoch: Epoch,
     view: View,
     rank: u16,
@@ -112,21 +112,35 @@
     grantor: Grantor,
     holder: Option<Holder>,
     ledger: Ledger,
+    /// Time before which no order is sent, because an order of an earlier run may still take
+    /// effect.
     orders_allowed_from: Millis,
     order: Option<(u64, EngineOrder)>,
+    /// Time from which an order may be sent, or the outstanding order may be sent again.
     order_due: Millis,
     next_order: u64,
+    /// Highest fence that the backend server has seen or that an order carried.
     fence: Fence,
-    ordered: Option<Place>,
-    bound: Option<Place>,
-    wanted: Option<Place>,
+    /// Rank in the latest bind order.
+    ordered: Option<RankInView>,
+    /// Rank that the engine is bound to.
+    bound: Option<RankInView>,
+    /// Rank that the engine should be bound to.
+    wanted: Option<RankInView>,
+    /// Sequence number of the next ask for promises.
     next_seq: u64,
+    /// Leader whose ask was granted or whose beat was received last.
     last_leader: Option<HostId>,
     engine_healthy: bool,
     leaving: bool,
+    /// Start of the current wait for a leader: the time of the latest ask or beat, or of a later
+    /// event that restarts the wait.
     last_ask: Millis,
     last_tick: Millis,
+    /// Time before which this host does not propose a view, after it abandoned one.
     backoff_until: Millis,
+    /// Hosts that are chosen last as members of a view, because they did not answer as members or
+    /// were the leader that this host replaces.
     suspected: BTreeSet<HostId>,
     reported_complete: bool,
     /// Whether this run of the agent saw its host free before the group was formed there. No
@@ -215,7 +229,7 @@
         if old != new {
             self.stop_leading(&mut out);
             if old.is_some() {
-                out.push(Command::CutRequests);
+                out.push(Command::CancelRequests);
             }
             self.ledger.resign_home();
             self.seen_unassigned = proved;
@@ -225,14 +239,14 @@
             self.last_leader = None;
             // Until a leader assigns a rank, the host prepares for its rank in the record.
             let rank = |a: &Assigned| a.ranked.iter().position(|h| *h == self.config.host);
-            self.wanted = assigned.as_ref().map(|a| Place {
+            self.wanted = assigned.as_ref().map(|a| RankInView {
                 epoch: a.epoch,
                 view: View(0),
                 rank: rank(a).unwrap_or(0) as u16,
             });
             self.machine.fire(if new.is_some() { "assigned" } else { "removed" });
             let text = new.map_or("none".to_owned(), |e| e.to_string());
-            out.push(Command::Note("assigned", text));
+            out.push(Command::RecordEvent("assigned", text));
         }
         let homes = |a: &Option<Assigned>| a.as_ref().map(|a| a.homes_at);
         let homes_changed = old == new && homes(&self.assigned) != homes(&assigned);
@@ -242,18 +256,18 @@
             self.ledger.resign_home(); // The next tick makes this agent a home again.
         }
         if self.assigned.as_ref().is_some_and(|a| a.draining) && self.machine.fire("drain") {
-            out.push(Command::Note("draining", String::new()));
+            out.push(Command::RecordEvent("draining", String::new()));
         }
         out
     }
 
-    /// Records that the host is about to leave, as reported by the platform's list, the operator or a
-    /// signal.
+    /// Records that the host is about to leave, as reported by the platform's list, the operator or
+    /// a signal.
     pub fn leave(&mut self) -> Vec<Command> {
         if std::mem::replace(&mut self.leaving, true) {
             return Vec::new();
         }
-        vec![Command::Note("leaving", String::new())]
+        vec![Command::RecordEvent("leaving", String::new())]
     }
 
     /// Returns whether the host is about to leave.
@@ -282,10 +296,10 @@
             self.reported_complete = complete;
             let members = self.view_members();
             let name = if complete { "serving" } else { "not_serving" };
-            out.push(Command::Note(name, format!("{members:?}")));
+            out.push(Command::RecordEvent(name, format!("{members:?}")));
             if !complete {
                 // Pieces cannot be passed on any more, so the answers would only be thrown away.
-                out.push(Command::CutRequests);
+                out.push(Command::CancelRequests);
                 self.resign_home_if_shared();
             }
         }
@@ -295,17 +309,17 @@
         }
         let leaving = self.leaving || self.holder.as_ref().is_some_and(|h| h.any_leaving());
         if leaving && self.machine.fire("drain") {
-            out.push(Command::Note("draining", "a member is leaving".into()));
+            out.push(Command::RecordEvent("draining", "a member is leaving".into()));
         }
         if self.machine.is("draining") && self.ledger.running() == 0 && self.machine.fire("drained")
         {
-            out.push(Command::Note("drained", String::new()));
+            out.push(Command::RecordEvent("drained", String::new()));
         }
     }
 
-    /// Ends the time as a home of keys after the group stopped serving through this host. Another
-    /// host that can lead the group may become the home. A group of one host has no other home
-    /// until the log assigns one.
+    /// Resigns as a home of keys after the group stopped serving through this host, because another
+    /// host that leads the group may become the home. A group of one host keeps its home until the
+    /// log assigns another.
     fn resign_home_if_shared(&mut self) {
         if self.assigned.as_ref().is_none_or(|a| a.ranked.len() > 1) {
             self.ledger.resign_home();
--- a/crates/oliveworks-core/src/answer.rs
+++ b/crates/oliveworks-core/src/answer.rs
@@ -1,7 +1,7 @@
 //! Assembly of an answer at the entry.
 //!
-//! Every piece carries the request, the attempt and its number. Pieces of another request or
-//! attempt, and duplicates, are dropped. A piece that leaves a gap ends the attempt. An answer is
+//! Every piece carries the id of its attempt and its own number. Duplicates and pieces of another
+//! request or attempt are dropped. A piece that leaves a gap ends the attempt. An answer is
 //! complete only after its explicit end, which states the number of pieces.
 
 use serde::{Deserialize, Serialize};
--- a/crates/oliveworks-core/src/chart.rs
+++ b/crates/oliveworks-core/src/chart.rs
@@ -110,11 +110,11 @@
 
     fn check_reachable(&self) -> Result<(), ChartError> {
         let mut seen = BTreeSet::from([self.initial]);
-        let mut open = vec![self.initial];
-        while let Some(state) = open.pop() {
+        let mut to_visit = vec![self.initial];
+        while let Some(state) = to_visit.pop() {
             for target in self.next[state].iter().flatten() {
                 if seen.insert(*target) {
-                    open.push(*target);
+                    to_visit.push(*target);
                 }
             }
         }
--- a/crates/oliveworks-core/src/feed.rs
+++ b/crates/oliveworks-core/src/feed.rs
@@ -2,9 +2,9 @@
 //!
 //! The entries of a region are ordered by a hash that every process computes alike, and form a
 //! tree. The first entry reads the log, and each other entry asks its parent. Agents ask an entry
-//! of their region, chosen by hash. A process whose source is silent, or whose source is itself out
-//! of touch with the log, moves up the tree and finally asks the log itself. A parent always has a
-//! lower rank, so there are no cycles.
+//! of their region, chosen by hash. A process moves up the tree if its source is silent or lacks a
+//! recent proof that its own configuration is current, and finally asks the log itself. A parent
+//! always has a lower rank, so there are no cycles.
 //!
 //! Each answer carries the *age* of its proof: the maximum time since the log was read without
 //! newer records. Ages are durations that are added at each hop, so no two clocks are compared.
@@ -37,9 +37,9 @@
     fn default() -> FeedConfig {
         FeedConfig {
             fan_out: 4,
-            // Changes are passed on at once, so the beat only bounds how soon silence is detected.
-            // Each beat costs about 300 bytes. A shorter interval would exceed the traffic allowed
-            // for control messages.
+            // Changes are passed on at once, so this interval only bounds how soon silence is
+            // detected. Each beat costs about 300 bytes. A shorter interval would exceed the
+            // traffic allowed for control messages.
             beat_ms: 1_500,
             silent_ms: 3_500,
             // Ages grow by up to one beat with each hop of the tree.
@@ -78,14 +78,14 @@
 /// Returns an entry's sources, best first: its ancestors from its parent to the root of the tree,
 /// then the log, then the first readers of other regions.
 pub fn entry_sources(
-    me: EntryId,
+    own_id: EntryId,
     region: &str,
     all: &[EntryLocation],
     fan_out: usize,
 ) -> Vec<Source> {
     let local = all.iter().filter(|e| e.region == region).map(|e| e.entry);
     let ranked = rank_entries(region, local);
-    let mut rank = ranked.iter().position(|e| *e == me).unwrap_or(0);
+    let mut rank = ranked.iter().position(|e| *e == own_id).unwrap_or(0);
     let mut sources = Vec::new();
     while rank > 0 {
         rank = (rank - 1) / fan_out.max(1);
@@ -112,8 +112,8 @@
 
 /// Returns an agent's sources, best first: up to three entries of its region in an order specific
 /// to the agent, two entries of other regions, and the log.
-pub fn agent_sources(me: HostId, region: &str, all: &[EntryLocation]) -> Vec<Source> {
-    let salt = me.to_string();
+pub fn agent_sources(own_id: HostId, region: &str, all: &[EntryLocation]) -> Vec<Source> {
+    let salt = own_id.to_string();
     let local = all.iter().filter(|e| e.region == region).map(|e| e.entry);
     let remote = all.iter().filter(|e| e.region != region).map(|e| e.entry);
     let mut sources: Vec<Source> =
--- a/crates/oliveworks-core/src/lease.rs
+++ b/crates/oliveworks-core/src/lease.rs
@@ -2,9 +2,9 @@
 //!
 //! Every host gives at most one *promise* at a time: to one leader, in one view of one epoch, until
 //! a time on the host's own clock. A leader serves only while it holds the promises of all members
-//! of its view. It counts each promise on its own clock from the time at which it *asked*, and
-//! shortens it by the bound on the clocks' drift. The leader's end therefore always lies before the
-//! member's.
+//! of its view. The leader counts each promise on its own clock from the time at which it *asked*,
+//! and shortens the promise by the bound on the clocks' drift. On the leader, a promise therefore
+//! always ends before it ends on the member.
 //!
 //! Two views of an epoch each choose `width` members out of `width + spares` hosts. There are fewer
 //! spares than members, so the views share a host, and that host promises to only one of them. Two
--- a/crates/oliveworks-core/src/ledger.rs
+++ b/crates/oliveworks-core/src/ledger.rs
@@ -11,6 +11,10 @@
 //! means "not run".
 //!
 //! # Keys
+//! The *home* of a caller's idempotency key is the agent that serves the replica that
+//! [`home_replica`](crate::route::home_replica) selects for the key. All requests with the key are
+//! sent there, so the home knows whether an earlier request with the same key ran.
+//!
 //! A caller's idempotency key can reach two agents if the key's home moves between two attempts.
 //! The ledger therefore records since when it has been the home ([`Ledger::become_home`]). It
 //! accepts an unknown key only if no other agent can have run the request: the key was created
@@ -233,7 +237,7 @@
         self.home.is_some()
     }
 
-    /// Ends this agent's time as a home of callers' keys.
+    /// Records that this agent is no longer a home of callers' keys.
     pub fn resign_home(&mut self) {
         self.home = None;
     }
@@ -318,13 +322,13 @@
         if created_after_handover && not_in_future {
             return None;
         }
-        let left = self.config.key_window_ms - now.mono.since(since);
+        let remaining_ms = self.config.key_window_ms - now.mono.since(since);
         let reason = "the key may have run at its former home, whose memory is gone; a new key that \
                    carries its time (UUID version 7) is accepted sooner";
-        let left_ms = u32::try_from(left).unwrap_or(u32::MAX);
+        let retry_after_ms = u32::try_from(remaining_ms).unwrap_or(u32::MAX);
         Some(
             Refusal::new(ErrorKind::OutcomeForgotten, Ran::Unknown, reason)
-                .with_retry_after(left_ms),
+                .with_retry_after(retry_after_ms),
         )
     }
 
--- a/crates/oliveworks-core/src/message.rs
+++ b/crates/oliveworks-core/src/message.rs
@@ -86,8 +86,8 @@
         /// Fence up to which work stops.
         fence: Fence,
     },
-    /// Hold these weights and take this place in the replica. Weights that are already loaded are
-    /// kept.
+    /// Load these weights and serve with this rank in the replica. Weights that are already loaded
+    /// are kept.
     Bind {
         /// Fence of the order.
         fence: Fence,
--- a/crates/oliveworks-core/src/placement.rs
+++ b/crates/oliveworks-core/src/placement.rs
@@ -1,11 +1,11 @@
 //! Placement: assigns hosts to replica groups.
 //!
-//! [`plan`] reads the pool and the fleet and proposes records. Both views may be out of date: a
-//! proposal that is not valid at its position in the log is ignored by every process.
+//! [`plan`] reads the pool and the fleet and proposes records. The pool and the fleet may be out of
+//! date: a proposal that is not valid at its position in the log is ignored by every process.
 //!
-//! The order of work is: free drained groups; drain unwanted groups; form successors for groups
-//! with a leaving host or an outdated shape; repair broken groups by priority; form missing groups,
-//! first for the partner with the lowest use relative to its share and then by priority.
+//! The steps of a plan, in order: free drained groups; drain unwanted groups; form successors for
+//! groups with a leaving host or an outdated shape; repair broken groups by priority; form missing
+//! groups, first for the partner with the lowest use relative to its share and then by priority.
 //!
 //! Hosts come from the domain with the most hosts that already hold the weights, then from a domain
 //! with room for spares, then from the domain that would be left with the fewest free hosts, which
@@ -108,7 +108,7 @@
 /// Number of hosts of a domain for each free host that is reserved for repairs. Spares are assigned
 /// only from what remains. A domain with fewer hosts reserves none, because a spare is worth more
 /// than a free host there.
-const HOSTS_PER_FREE: usize = 30;
+const HOSTS_PER_RESERVED_HOST: usize = 30;
 
 fn priority(pool: &Pool, slot: &SlotId) -> u8 {
     pool.template(&slot.template).map_or(0, |p| p.template.priority)
@@ -442,7 +442,7 @@
     /// Returns how many free hosts of a domain are reserved for repairs.
     fn reserve(&self, domain: DomainId) -> usize {
         let hosts = self.fleet.hosts().filter(|(_, v)| v.domain == domain).count();
-        hosts / HOSTS_PER_FREE
+        hosts / HOSTS_PER_RESERVED_HOST
     }
 
     fn all_formed(&self) -> bool {
--- a/crates/oliveworks-core/src/relay.rs
+++ b/crates/oliveworks-core/src/relay.rs
@@ -6,7 +6,7 @@
 //!
 //! "Not run" is reported only if every attempt was rejected before it began or was revoked. A
 //! request with a caller's key is never reported as "not run": an earlier request with the same key
-//! may have run, and only the key's home can know.
+//! may have run, and only the key's home can know whether that request ran.
 
 use crate::answer::{Assembly, AttemptId, PieceAction};
 use crate::chart::Machine;
@@ -43,16 +43,20 @@
     pub max_attempts: u32,
 }
 
-/// State of one request.
+/// State of one request. The `retry_allowed` argument of the methods states whether the entry can
+/// make another attempt and its retry budget allows one.
 #[derive(Clone, Debug)]
 pub struct Relay {
     terms: RequestTerms,
     id: RequestId,
     machine: Machine,
     assembly: Assembly,
+    /// Groups that the next attempt should avoid.
     tried: Vec<Epoch>,
     attempts: u32,
     may_have_run: bool,
+    /// Refusal for the current attempt if its revocation does not prove that the attempt did not
+    /// run.
     lost: Option<Refusal>,
 }
 
@@ -114,20 +118,26 @@
     }
 
     /// Records the end of the answer.
-    pub fn end(&mut self, now: Millis, from: AttemptId, pieces: u64, budget: bool) -> Next {
+    pub fn end(&mut self, now: Millis, from: AttemptId, pieces: u64, retry_allowed: bool) -> Next {
         match self.assembly.end(from, pieces) {
             PieceAction::Pass => {
                 self.machine.fire("end");
                 Next::Answered
             }
             PieceAction::Drop => Next::Wait,
-            PieceAction::Gap => self.failed(now, "the answer had a gap", budget),
+            PieceAction::Gap => self.failed(now, "the answer had a gap", retry_allowed),
         }
     }
 
     /// Records that the agent rejected the current attempt. `hinted` is set if the agent named the
     /// leader to ask instead, in which case the group is not at fault.
-    pub fn refused(&mut self, now: Millis, refusal: Refusal, hinted: bool, budget: bool) -> Next {
+    pub fn refused(
+        &mut self,
+        now: Millis,
+        refusal: Refusal,
+        hinted: bool,
+        retry_allowed: bool,
+    ) -> Next {
         if hinted {
             self.tried.pop();
         }
@@ -142,7 +152,7 @@
                 | ErrorKind::BackendFailed
         );
         let may_repeat = refusal.ran == Ran::No || self.terms.repeatable;
-        if is_transient && may_repeat && self.may_retry(now, budget) {
+        if is_transient && may_repeat && self.may_retry(now, retry_allowed) {
             self.machine.fire("retry");
             return Next::Send;
         }
@@ -150,14 +160,14 @@
     }
 
     /// Records that contact with the agent was lost, or that its answer is invalid.
-    pub fn failed(&mut self, now: Millis, why: &str, budget: bool) -> Next {
+    pub fn failed(&mut self, now: Millis, why: &str, retry_allowed: bool) -> Next {
         let refusal = Refusal::new(ErrorKind::ContactLost, Ran::Unknown, why);
         if !self.terms.repeatable {
             self.lost = Some(refusal);
             return Next::Revoke;
         }
         self.may_have_run = true;
-        if self.may_retry(now, budget) {
+        if self.may_retry(now, retry_allowed) {
             self.machine.fire("retry");
             return Next::Send;
         }
@@ -165,7 +175,7 @@
     }
 
     /// Records the agent's answer to the revocation, or `None` if it did not answer.
-    pub fn revoked(&mut self, now: Millis, outcome: Option<Revoked>, budget: bool) -> Next {
+    pub fn revoked(&mut self, now: Millis, outcome: Option<Revoked>, retry_allowed: bool) -> Next {
         let lost = self.lost.take();
         let refusal =
             lost.unwrap_or_else(|| Refusal::new(ErrorKind::ContactLost, Ran::Unknown, "lost"));
@@ -173,7 +183,7 @@
             self.may_have_run = true;
             return self.give_up(refusal);
         }
-        if self.may_retry(now, budget) {
+        if self.may_retry(now, retry_allowed) {
             self.machine.fire("retry");
             return Next::Send;
         }
@@ -198,8 +208,8 @@
         self.machine.fire("cancel");
     }
 
-    fn may_retry(&self, now: Millis, budget: bool) -> bool {
-        budget && self.attempts < self.terms.max_attempts && now < self.terms.deadline
+    fn may_retry(&self, now: Millis, retry_allowed: bool) -> bool {
+        retry_allowed && self.attempts < self.terms.max_attempts && now < self.terms.deadline
     }
 
     /// Returns the final refusal. Uncertainty about any attempt makes the whole request uncertain.
--- a/crates/oliveworks-core/src/route.rs
+++ b/crates/oliveworks-core/src/route.rs
@@ -49,7 +49,7 @@
     pub policy: Policy,
     /// Number of prompt tokens that a group prefills in a millisecond.
     pub prefill_per_ms: f64,
-    /// Expected time for which a request holds its place, in milliseconds.
+    /// Expected time for which a running request occupies capacity, in milliseconds.
     pub hold_ms: f64,
     /// Number of prompt tokens in one block of the prefix cache.
     pub block: usize,
@@ -251,7 +251,7 @@
         let second = candidates[(at + rng.random_range(1..candidates.len())) % candidates.len()];
         let covered = |e: &Epoch| self.targets.get(e).map_or(0, |t| t.prefixes.covered(blocks));
         let longest_prefix =
-            candidates.iter().copied().max_by_key(|e| (covered(e), self.free_places(*e)));
+            candidates.iter().copied().max_by_key(|e| (covered(e), self.free_capacity(*e)));
         let choices = [Some(first), Some(second), longest_prefix];
         choices.into_iter().flatten().min_by(|a, b| {
             let (a, b) = (self.cost_ms(*a, blocks, tokens), self.cost_ms(*b, blocks, tokens));
@@ -259,7 +259,7 @@
         })
     }
 
-    fn free_places(&self, epoch: Epoch) -> u32 {
+    fn free_capacity(&self, epoch: Epoch) -> u32 {
         self.targets.get(&epoch).map_or(0, |t| t.load.capacity.saturating_sub(t.load.running))
     }
 
@@ -274,7 +274,7 @@
         let outstanding = target.load.running + target.load.waiting + target.sent_since_report;
         let capacity = target.load.capacity.max(1);
         let queued_ahead = (outstanding + 1).saturating_sub(capacity);
-        // A place becomes free every hold / capacity on average.
+        // At a full group, a running request ends every hold / capacity on average.
         let wait = f64::from(queued_ahead) * self.config.hold_ms / f64::from(capacity);
         // Prefers a less loaded group slightly, because its decoding steps are faster too.
         let load_penalty = f64::from(outstanding) / f64::from(capacity) * FULL_GROUP_PENALTY_MS;
@@ -307,8 +307,8 @@
 
 /// Capacity assumed for a group that has not reported its capacity.
 const UNKNOWN_CAPACITY: u32 = 4;
-/// Divisor of a group's capacity that gives the number of requests that may wait at its engine. A
-/// place that becomes free is then taken at once.
+/// Divisor of a group's capacity that gives the number of requests that may wait at its engine.
+/// Capacity that becomes free is then used at once.
 const WAITING_DIVISOR: u32 = 16;
 
 /// Additional cost of a full group over an empty group with the same wait, in milliseconds.
--- a/crates/oliveworks-core/tests/requests.rs
+++ b/crates/oliveworks-core/tests/requests.rs
@@ -21,7 +21,7 @@
 
 const ID: RequestId = RequestId(1);
 
-fn try_id(attempt: u64) -> AttemptId {
+fn attempt_id(attempt: u64) -> AttemptId {
     AttemptId { request: ID, attempt }
 }
 
@@ -42,16 +42,16 @@
     /// only without gaps.
     #[test]
     fn pieces_do_not_mix(total in 1u64..8, deliveries in prop::collection::vec((0u64..3, 0u64..9), 0..60)) {
-        let mut assembly = Assembly::new(try_id(1));
+        let mut assembly = Assembly::new(attempt_id(1));
         let mut passed = Vec::new();
         for (who, number) in deliveries {
             let from = match who {
                 0 => AttemptId { request: RequestId(2), attempt: 1 },
-                attempt => try_id(attempt),
+                attempt => attempt_id(attempt),
             };
             if number < total {
                 if assembly.piece(from, number) == PieceAction::Pass {
-                    prop_assert_eq!(from, try_id(1));
+                    prop_assert_eq!(from, attempt_id(1));
                     passed.push(number);
                 }
             } else if assembly.end(from, total) == PieceAction::Pass {
@@ -65,15 +65,19 @@
 
 #[test]
 fn a_resumed_answer_neither_repeats_nor_skips() {
-    let mut assembly = Assembly::new(try_id(1));
-    assert_eq!(assembly.piece(try_id(1), 0), PieceAction::Pass);
+    let mut assembly = Assembly::new(attempt_id(1));
+    assert_eq!(assembly.piece(attempt_id(1), 0), PieceAction::Pass);
     assembly.retry(2);
-    assert_eq!(assembly.piece(try_id(1), 1), PieceAction::Drop, "a late piece of the first try");
-    assert_eq!(assembly.piece(try_id(2), 0), PieceAction::Drop, "was passed on before");
-    assert_eq!(assembly.piece(try_id(2), 2), PieceAction::Gap);
-    assert_eq!(assembly.piece(try_id(2), 1), PieceAction::Pass);
-    assert_eq!(assembly.end(try_id(2), 3), PieceAction::Gap, "the end names more than came");
-    assert_eq!(assembly.end(try_id(2), 2), PieceAction::Pass);
+    assert_eq!(
+        assembly.piece(attempt_id(1), 1),
+        PieceAction::Drop,
+        "a late piece of the first attempt"
+    );
+    assert_eq!(assembly.piece(attempt_id(2), 0), PieceAction::Drop, "was passed on before");
+    assert_eq!(assembly.piece(attempt_id(2), 2), PieceAction::Gap);
+    assert_eq!(assembly.piece(attempt_id(2), 1), PieceAction::Pass);
+    assert_eq!(assembly.end(attempt_id(2), 3), PieceAction::Gap, "the end names more than came");
+    assert_eq!(assembly.end(attempt_id(2), 2), PieceAction::Pass);
 }
 
 fn relay(repeatable: bool, has_key: bool) -> Relay {
--- a/crates/oliveworks-entry/src/callers.rs
+++ b/crates/oliveworks-entry/src/callers.rs
@@ -110,9 +110,9 @@
         digest: u64,
     ) -> Result<RequestOptions, Refusal> {
         let template = &published.template;
-        let must_run_once =
+        let must_not_repeat =
             header_text(headers, ONCE_HEADER).is_some_and(|v| v != "false" && v != "0");
-        let repeatable = template.repeatable && !must_run_once;
+        let repeatable = template.repeatable && !must_not_repeat;
         let left_ms = deadline_ms(headers, template.limits.deadline_ms)?;
         // A repeatable request may run more than once anyway, so its key is ignored.
         let key = match repeatable {
@@ -183,8 +183,8 @@
     let now = entry.clock.now();
     let receiver = {
         let mut core = entry.core();
-        let none = core.routers.get(&options.template).is_none_or(|r| r.is_empty());
-        if none {
+        let has_no_groups = core.routers.get(&options.template).is_none_or(|r| r.is_empty());
+        if has_no_groups {
             return Err(refuse(ErrorKind::Unavailable, "no replica group serves this now"));
         }
         let waiting = WaitingRequest {
--- a/crates/oliveworks-entry/src/completion.rs
+++ b/crates/oliveworks-entry/src/completion.rs
@@ -61,8 +61,8 @@
 async fn answer(entry: Shared, request: HttpRequest, body: Payload, chat: bool) -> HttpResponse {
     let entry: Arc<Entry> = (*entry).clone();
     match prepare(&entry, &request, body, chat).await {
-        Ok((driver, shape, true)) => stream(entry, driver, shape).await,
-        Ok((driver, shape, false)) => whole(&entry, driver, &shape).await,
+        Ok((driver, shape, true)) => streamed_response(entry, driver, shape).await,
+        Ok((driver, shape, false)) => buffered_response(&entry, driver, &shape).await,
         Err(refusal) => callers::answer_refused(&entry, &refusal),
     }
 }
@@ -163,7 +163,7 @@
 }
 
 impl Shape {
-    fn whole(&self, text: &str, finish_reason: &str, used: &Usage) -> Value {
+    fn complete_body(&self, text: &str, finish_reason: &str, used: &Usage) -> Value {
         let mut choice = json!({"index": 0, "logprobs": null, "finish_reason": finish_reason});
         match self.chat {
             true => choice["message"] = json!({"role": "assistant", "content": text}),
@@ -189,7 +189,7 @@
         })
     }
 
-    fn delta(&self, text: &str, first: bool) -> Value {
+    fn delta_chunk(&self, text: &str, first: bool) -> Value {
         let mut choice = json!({"index": 0, "logprobs": null, "finish_reason": null});
         match (self.chat, first) {
             (true, true) => choice["delta"] = json!({"role": "assistant", "content": text}),
@@ -199,7 +199,7 @@
         self.chunk(json!([choice]))
     }
 
-    fn last(&self, finish_reason: &str) -> Value {
+    fn final_chunk(&self, finish_reason: &str) -> Value {
         let mut choice = json!({"index": 0, "logprobs": null, "finish_reason": finish_reason});
         match self.chat {
             true => choice["delta"] = json!({}),
@@ -210,7 +210,7 @@
 }
 
 /// Collects the complete answer and returns it as one body. An incomplete answer is never returned.
-async fn whole(entry: &Entry, mut driver: Driver, shape: &Shape) -> HttpResponse {
+async fn buffered_response(entry: &Entry, mut driver: Driver, shape: &Shape) -> HttpResponse {
     let mut text = Vec::new();
     loop {
         match driver.next().await {
@@ -219,7 +219,7 @@
                 let text = String::from_utf8_lossy(&text);
                 return HttpResponse::Ok()
                     .header(REQUEST_HEADER, driver.id().to_string())
-                    .json(&shape.whole(&text, &reason, &used));
+                    .json(&shape.complete_body(&text, &reason, &used));
             }
             Ok(AnswerPart::Head(..) | AnswerPart::Kept(_)) => {
                 // Answers are kept for repeated keys of plain services only.
@@ -239,7 +239,7 @@
 /// Streams the answer. A refusal before the first piece is returned as an HTTP error. A later
 /// refusal is sent as an error event, and the connection is aborted so that no client takes the
 /// stream for complete.
-async fn stream(entry: Arc<Entry>, mut driver: Driver, shape: Shape) -> HttpResponse {
+async fn streamed_response(entry: Arc<Entry>, mut driver: Driver, shape: Shape) -> HttpResponse {
     let first = match driver.next().await {
         Ok(out) => out,
         Err(refusal) => return crate::answer::refusal(&refusal, Some(driver.id())),
@@ -279,11 +279,11 @@
         match out {
             AnswerPart::Piece(data) => {
                 let text = String::from_utf8_lossy(&data);
-                send(event(&shape.delta(&text, is_first)))?;
+                send(event(&shape.delta_chunk(&text, is_first)))?;
                 is_first = false;
             }
             AnswerPart::End(reason, used) => {
-                send(event(&shape.last(&reason)))?;
+                send(event(&shape.final_chunk(&reason)))?;
                 if shape.usage {
                     let mut chunk = shape.chunk(json!([]));
                     chunk["usage"] = usage(&used);
--- a/crates/oliveworks-entry/src/driver.rs
+++ b/crates/oliveworks-entry/src/driver.rs
@@ -102,7 +102,7 @@
     /// Returns the driver of a request. `admitted` is the group that admission chose and counted
     /// the request at; it is `None` for a request with a key.
     pub fn new(entry: Arc<Entry>, job: Job, admitted: Option<Epoch>) -> Driver {
-        entry.open.fetch_add(1, Ordering::Relaxed);
+        entry.in_flight.fetch_add(1, Ordering::Relaxed);
         entry.core().budget.record_request();
         let relay = Relay::new(job.id, job.terms);
         Driver {
@@ -273,10 +273,10 @@
         self.handed_to = Some((host, at, handed));
         self.begun = true;
         let question = Question::Run(Box::new(run));
-        match self.entry.net.question(&host.to_string(), at, &question).await {
+        match self.entry.net.send_question(&host.to_string(), at, &question).await {
             Err(e) => {
                 // A part of the request may already have reached the agent.
-                self.entry.net.forget(&host.to_string());
+                self.entry.net.discard_connection(&host.to_string());
                 self.failed(&format!("{e:#}"))
             }
             Ok((mut writer, reader)) => {
@@ -465,7 +465,7 @@
 
 impl Drop for Driver {
     fn drop(&mut self) {
-        self.entry.open.fetch_sub(1, Ordering::Relaxed);
+        self.entry.in_flight.fetch_sub(1, Ordering::Relaxed);
         if !self.done {
             self.relay.cancelled();
             self.end_at_group(false);
--- a/crates/oliveworks-entry/src/process.rs
+++ b/crates/oliveworks-entry/src/process.rs
@@ -47,7 +47,7 @@
     /// Whether the entry is stopping and accepts no further requests.
     pub draining: AtomicBool,
     /// Number of requests in progress.
-    pub open: AtomicUsize,
+    pub in_flight: AtomicUsize,
     /// Rank of this entry among the deciders, from 0.
     pub rank: u64,
     core: Mutex<Core>,
@@ -69,8 +69,8 @@
     fn configure(&self) {
         let settings = &self.settings;
         self.store.with_pool(|pool| {
-            let most = settings.callers.groups;
-            self.core().configure(pool, settings.entry, most, settings.routing);
+            let max_groups = settings.callers.groups;
+            self.core().configure(pool, settings.entry, max_groups, settings.routing);
         });
     }
 
@@ -100,7 +100,7 @@
     /// group.
     pub async fn query_leader(&self, template: &TemplateKey, epoch: Epoch) -> bool {
         let Some((host, at)) = self.leader(epoch) else { return false };
-        let from = self.core().agents.get(&host).map_or(0, |k| k.next_event);
+        let from = self.core().agents.get(&host).map_or(0, |status| status.next_event);
         let question = Question::Hello(from);
         match self.net.ask(&host.to_string(), at, &question, HELLO_TIMEOUT).await {
             Ok(Reply::Hello(hello)) => {
@@ -170,7 +170,7 @@
         metrics,
         timeline,
         draining: AtomicBool::new(false),
-        open: AtomicUsize::new(0),
+        in_flight: AtomicUsize::new(0),
         rank,
         core: Mutex::new(core),
         settings,
@@ -222,12 +222,12 @@
 async fn stop(entry: &Entry) {
     log::info!(
         "Stop requested; waiting for {} requests in progress.",
-        entry.open.load(Ordering::Relaxed)
+        entry.in_flight.load(Ordering::Relaxed)
     );
     entry.record_event(Event::new("entry", "stopping"));
     entry.draining.store(true, Ordering::Relaxed);
     let until = entry.clock.now().plus(entry.settings.drain_ms);
-    while entry.open.load(Ordering::Relaxed) > 0 && entry.clock.now() < until {
+    while entry.in_flight.load(Ordering::Relaxed) > 0 && entry.clock.now() < until {
         sleep(Wait(TICK_MS)).await;
     }
 }
@@ -243,7 +243,7 @@
             core.waiting()
         };
         entry.metrics.set("waiting", waiting as i64);
-        entry.metrics.set("open", entry.open.load(Ordering::Relaxed) as i64);
+        entry.metrics.set("open", entry.in_flight.load(Ordering::Relaxed) as i64);
         sleep(Wait(TICK_MS)).await;
     }
 }
--- a/crates/oliveworks-entry/src/state.rs
+++ b/crates/oliveworks-entry/src/state.rs
@@ -99,13 +99,13 @@
         }
     }
 
-    /// Adopts a changed configuration. `most` is the maximum number of groups of a model's template
-    /// that this entry uses.
+    /// Adopts a changed configuration. `max_groups` is the maximum number of groups of a model's
+    /// template that this entry uses.
     pub fn configure(
         &mut self,
         pool: &Pool,
-        me: EntryId,
-        most: usize,
+        entry: EntryId,
+        max_groups: usize,
         routing: oliveworks_core::route::RouteConfig,
     ) {
         self.tokens.clear();
@@ -130,9 +130,9 @@
         for (key, epochs) in groups {
             // Any replica of a plain service can be the home of a key, so all groups are used.
             let service = pool.template(&key).is_some_and(|p| p.template.kind == Kind::Service);
-            let most = if service { usize::MAX } else { most };
+            let max_groups = if service { usize::MAX } else { max_groups };
             let router = self.routers.entry(key).or_insert_with(|| Router::new(routing));
-            router.set_groups(groups_for_entry(me.0, epochs, most));
+            router.set_groups(groups_for_entry(entry.0, epochs, max_groups));
         }
         self.leaders.retain(|epoch, _| pool.group(*epoch).is_some());
     }
--- a/crates/oliveworks-lab/src/prove/world.rs
+++ b/crates/oliveworks-lab/src/prove/world.rs
@@ -446,8 +446,8 @@
                     self.send(Node::Agent(host), Node::Agent(to), Msg::Lease(self.bend(msg)))
                 }
                 Command::Order(number, order) => self.engine_order(host, number, order.fence()),
-                Command::CutRequests => self.cut_requests(host),
-                Command::Note(..) => {}
+                Command::CancelRequests => self.cut_requests(host),
+                Command::RecordEvent(..) => {}
             }
         }
         self.note_promise(host);
--- a/crates/oliveworks-net/src/keys.rs
+++ b/crates/oliveworks-net/src/keys.rs
@@ -29,7 +29,7 @@
 
 /// Certificate with its private key, in PEM.
 #[derive(Clone, Debug)]
-pub struct Issued {
+pub struct CertWithKey {
     /// Certificate.
     pub cert: String,
     /// Private key.
@@ -41,7 +41,7 @@
 pub struct Authority {
     issuer: Issuer<'static, KeyPair>,
     /// Certificate and private key of the authority.
-    pub issued: Issued,
+    pub issued: CertWithKey,
 }
 
 impl Authority {
@@ -55,7 +55,7 @@
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
         params.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::CrlSign];
         let cert = params.self_signed(&key)?;
-        let issued = Issued { cert: cert.pem(), key: key.serialize_pem() };
+        let issued = CertWithKey { cert: cert.pem(), key: key.serialize_pem() };
         Ok(Authority { issuer: Issuer::new(params, key), issued })
     }
 
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     /// Returns an error if the certificate or key cannot be read.
-    pub fn open(issued: Issued) -> anyhow::Result<Authority> {
+    pub fn open(issued: CertWithKey) -> anyhow::Result<Authority> {
         let key = KeyPair::from_pem(&issued.key)?;
         let issuer = Issuer::from_ca_cert_pem(&issued.cert, key)?;
         Ok(Authority { issuer, issued })
@@ -73,13 +73,13 @@
     ///
     /// # Errors
     /// Returns an error if no key can be generated or the name is invalid.
-    pub fn issue(&self, process: &str) -> anyhow::Result<Issued> {
+    pub fn issue(&self, process: &str) -> anyhow::Result<CertWithKey> {
         let key = KeyPair::generate()?;
         let mut params = CertificateParams::new(vec![process.to_owned()])?;
         params.extended_key_usages =
             vec![ExtendedKeyUsagePurpose::ServerAuth, ExtendedKeyUsagePurpose::ClientAuth];
         let cert = params.signed_by(&key, &self.issuer)?;
-        Ok(Issued { cert: cert.pem(), key: key.serialize_pem() })
+        Ok(CertWithKey { cert: cert.pem(), key: key.serialize_pem() })
     }
 }
 
--- a/crates/oliveworks-net/src/net.rs
+++ b/crates/oliveworks-net/src/net.rs
@@ -255,7 +255,7 @@
 
     /// Stops using the connection to a process that did not answer, so that the next attempt opens
     /// a new connection.
-    pub fn forget(&self, name: &str) {
+    pub fn discard_connection(&self, name: &str) {
         if let Ok(mut peers) = self.peers.lock() {
             peers.remove(name);
         }
@@ -266,7 +266,7 @@
     ///
     /// # Errors
     /// Returns an error if the process cannot be reached.
-    pub async fn question(
+    pub async fn send_question(
         &self,
         name: &str,
         at: SocketAddr,
@@ -291,14 +291,14 @@
         timeout: Duration,
     ) -> anyhow::Result<Reply> {
         let exchange = async {
-            let (writer, mut reader) = self.question(name, at, question).await?;
+            let (writer, mut reader) = self.send_question(name, at, question).await?;
             writer.finish();
             reader.next::<Reply>().await?.context("no reply")
         };
         match tokio::time::timeout(timeout, exchange).await {
             Ok(reply) => reply,
             Err(_) => {
-                self.forget(name);
+                self.discard_connection(name);
                 bail!("{name} at {at} does not reply")
             }
         }
--- a/crates/oliveworks-net/tests/connections.rs
+++ b/crates/oliveworks-net/tests/connections.rs
@@ -114,6 +114,6 @@
     ask(&entry, "host-1", host.local_addr().unwrap()).await.unwrap();
     keys(&authority, "host-1", "reload");
     assert!(host.reload().unwrap());
-    entry.forget("host-1");
+    entry.discard_connection("host-1");
     ask(&entry, "host-1", host.local_addr().unwrap()).await.unwrap();
 }
--- a/crates/oliveworksctl/src/keys.rs
+++ b/crates/oliveworksctl/src/keys.rs
@@ -4,7 +4,7 @@
 
 use anyhow::Context;
 use clap::Subcommand;
-use oliveworks_net::keys::{Authority, Issued};
+use oliveworks_net::keys::{Authority, CertWithKey};
 use oliveworks_platform::sign::{SigningKey, to_hex, token_digest};
 use rand::Rng;
 use serde_json::json;
@@ -85,7 +85,7 @@
                 std::fs::read_to_string(&path).with_context(|| format!("{}", path.display()))
             };
             let authority =
-                Authority::open(Issued { cert: read("ca.pem")?, key: read("ca.key")? })?;
+                Authority::open(CertWithKey { cert: read("ca.pem")?, key: read("ca.key")? })?;
             for name in &names {
                 let issued = authority.issue(name)?;
                 write(&dir, &format!("{name}.pem"), &issued.cert, false)?;
