--- a/crates/oliveworks-core/src/agent/gate.rs
+++ b/crates/oliveworks-core/src/agent/gate.rs
@@ -39,21 +39,21 @@
         &mut self,
         now: Now,
         epoch: Epoch,
-        handed: &Handover,
+        handover: &Handover,
     ) -> (Begin, Option<RunPermit>) {
-        if let Some(known) = self.ledger.recall(now.mono, handed) {
+        if let Some(known) = self.ledger.recall(now.mono, handover) {
             return (known, None);
         }
         let view = self.led_view().map(|(_, view)| view);
-        let begin = match (self.refusal_unless_serving(now.mono, epoch, handed), view) {
-            (None, Some(_)) => self.ledger.begin(now, handed),
+        let begin = match (self.refusal_unless_serving(now.mono, epoch, handover), view) {
+            (None, Some(_)) => self.ledger.begin(now, handover),
             (None, None) => Begin::Refuse(unavailable("no view")),
             (Some(refusal), _) => Begin::Refuse(refusal),
         };
         match (begin, view) {
             (Begin::Run, Some(view)) => (Begin::Run, Some(RunPermit { epoch, view })),
             (Begin::Refuse(mut refusal), _) => {
-                if refusal.ran == Ran::No && !self.ledger.stop(handed) {
+                if refusal.ran == Ran::No && !self.ledger.stop(handover) {
                     refusal.ran = Ran::Unknown;
                 }
                 (Begin::Refuse(refusal), None)
@@ -66,7 +66,7 @@
         &self,
         now: Millis,
         epoch: Epoch,
-        handed: &Handover,
+        handover: &Handover,
     ) -> Option<Refusal> {
         let assigned = match &self.assigned {
             Some(a) if a.epoch == epoch => a,
@@ -78,7 +78,7 @@
         if !self.is_serving(now) {
             return Some(unavailable("the group is not whole or not led here"));
         }
-        if handed.key.is_some_and(|key| key.homes_at != assigned.homes_at) {
+        if handover.key.is_some_and(|key| key.homes_at != assigned.homes_at) {
             return Some(unavailable("the keys' homes were dealt out anew"));
         }
         if self.ledger.running() >= assigned.concurrent {
@@ -97,14 +97,14 @@
     }
 
     /// Records the end of a request.
-    pub fn finish(&mut self, now: Millis, handed: &Handover, kept: Option<Kept>) {
-        self.ledger.finish(now, handed.id, kept);
+    pub fn finish(&mut self, now: Millis, handover: &Handover, kept: Option<Kept>) {
+        self.ledger.finish(now, handover.id, kept);
     }
 
     /// Prevents a request from running if it has not begun. Called for an entry that lost contact
     /// after it handed the request over.
-    pub fn revoke(&mut self, now: Millis, handed: &Handover) -> Revoked {
-        self.ledger.revoke(now, handed)
+    pub fn revoke(&mut self, now: Millis, handover: &Handover) -> Revoked {
+        self.ledger.revoke(now, handover)
     }
 }
 
--- a/crates/oliveworks-core/src/ledger.rs
+++ b/crates/oliveworks-core/src/ledger.rs
@@ -248,45 +248,45 @@
     /// A message may arrive twice: the first copy may have run in an earlier incarnation, or its
     /// record may have expired. A refusal therefore reports "not run" only if this attempt was
     /// stopped here, or if its key was used for a different request.
-    pub fn recall(&mut self, now: Millis, handed: &Handover) -> Option<Begin> {
+    pub fn recall(&mut self, now: Millis, handover: &Handover) -> Option<Begin> {
         self.expire(now);
-        if handed.incarnation != self.incarnation {
+        if handover.incarnation != self.incarnation {
             let reason = "meant for an earlier run of this agent";
             return Some(refuse(ErrorKind::Unavailable, Ran::Unknown, reason));
         }
-        if now >= handed.not_after {
+        if now >= handover.not_after {
             let reason = "arrived after the latest time at which it may start";
             return Some(refuse(ErrorKind::DeadlineExceeded, Ran::Unknown, reason));
         }
-        if self.revoked.contains(&(handed.id, handed.attempt)) {
+        if self.revoked.contains(&(handover.id, handover.attempt)) {
             let reason = "this try was stopped before it began";
             return Some(refuse(ErrorKind::ContactLost, Ran::No, reason));
         }
-        self.entries.get(&handed.id).map(|entry| decision_on(entry, handed))
+        self.entries.get(&handover.id).map(|entry| decision_on(entry, handover))
     }
 
     /// Begins an unknown request, or rejects it.
-    pub fn begin(&mut self, now: Now, handed: &Handover) -> Begin {
-        debug_assert!(!self.entries.contains_key(&handed.id), "recall must be called first");
+    pub fn begin(&mut self, now: Now, handover: &Handover) -> Begin {
+        debug_assert!(!self.entries.contains_key(&handover.id), "recall must be called first");
         if self.len() >= self.config.entries {
             return refuse(ErrorKind::Overloaded, Ran::No, "the agent's memory is full");
         }
-        if let Some(refusal) = handed.key.and_then(|key| self.check_key(now, key)) {
+        if let Some(refusal) = handover.key.and_then(|key| self.check_key(now, key)) {
             return Begin::Refuse(refusal);
         }
-        self.insert(now.mono, handed);
+        self.insert(now.mono, handover);
         self.running += 1;
         Begin::Run
     }
 
     /// Records that a rejected attempt must stay rejected if the same message arrives again.
     /// Returns whether the ledger had room for the record.
-    pub fn stop(&mut self, handed: &Handover) -> bool {
+    pub fn stop(&mut self, handover: &Handover) -> bool {
         if self.len() >= self.config.entries {
             return false;
         }
-        if self.revoked.insert((handed.id, handed.attempt)) {
-            self.by_expiry.insert((handed.not_after, handed.id, Some(handed.attempt)));
+        if self.revoked.insert((handover.id, handover.attempt)) {
+            self.by_expiry.insert((handover.not_after, handover.id, Some(handover.attempt)));
         }
         true
     }
@@ -355,35 +355,35 @@
     }
 
     /// Prevents a request from running if it has not begun.
-    pub fn revoke(&mut self, now: Millis, handed: &Handover) -> Revoked {
+    pub fn revoke(&mut self, now: Millis, handover: &Handover) -> Revoked {
         self.expire(now);
-        if handed.incarnation != self.incarnation {
+        if handover.incarnation != self.incarnation {
             return Revoked::Unknown;
         }
-        if self.revoked.contains(&(handed.id, handed.attempt)) {
+        if self.revoked.contains(&(handover.id, handover.attempt)) {
             return Revoked::NotRun;
         }
-        if self.entries.contains_key(&handed.id) {
+        if self.entries.contains_key(&handover.id) {
             return Revoked::Begun;
         }
         // A request past its start limit cannot start any more, but it may have run before its
         // record expired.
-        if now >= handed.not_after || self.len() >= self.config.entries {
+        if now >= handover.not_after || self.len() >= self.config.entries {
             return Revoked::Unknown;
         }
-        self.revoked.insert((handed.id, handed.attempt));
-        self.by_expiry.insert((handed.not_after, handed.id, Some(handed.attempt)));
+        self.revoked.insert((handover.id, handover.attempt));
+        self.by_expiry.insert((handover.not_after, handover.id, Some(handover.attempt)));
         Revoked::NotRun
     }
 
-    fn insert(&mut self, now: Millis, handed: &Handover) {
+    fn insert(&mut self, now: Millis, handover: &Handover) {
         // A key is kept for its whole window from the start, in case its run never ends.
-        let window = handed.key.map_or(now, |_| now.plus(self.config.key_window_ms));
-        let expires_at = handed.not_after.max(window);
-        let digest = handed.key.map(|k| k.digest);
-        let entry = Entry { state: State::Running, attempt: handed.attempt, expires_at, digest };
-        self.entries.insert(handed.id, entry);
-        self.by_expiry.insert((expires_at, handed.id, None));
+        let window = handover.key.map_or(now, |_| now.plus(self.config.key_window_ms));
+        let expires_at = handover.not_after.max(window);
+        let digest = handover.key.map(|k| k.digest);
+        let entry = Entry { state: State::Running, attempt: handover.attempt, expires_at, digest };
+        self.entries.insert(handover.id, entry);
+        self.by_expiry.insert((expires_at, handover.id, None));
     }
 
     fn expire(&mut self, now: Millis) {
@@ -423,12 +423,12 @@
     Begin::Refuse(Refusal::new(kind, ran, reason))
 }
 
-fn decision_on(entry: &Entry, handed: &Handover) -> Begin {
+fn decision_on(entry: &Entry, handover: &Handover) -> Begin {
     match &entry.state {
-        _ if entry.digest != handed.key.map(|k| k.digest) => {
+        _ if entry.digest != handover.key.map(|k| k.digest) => {
             refuse(ErrorKind::KeyReused, Ran::No, "the key was used for another request")
         }
-        State::Running if entry.attempt == handed.attempt => {
+        State::Running if entry.attempt == handover.attempt => {
             refuse(ErrorKind::InProgress, Ran::Unknown, "this very try arrived before")
         }
         State::Running => refuse(ErrorKind::InProgress, Ran::Unknown, "the same key runs now"),
--- a/crates/oliveworks-entry/src/admin.rs
+++ b/crates/oliveworks-entry/src/admin.rs
@@ -26,7 +26,7 @@
 /// Timeout of a query for the events of another process.
 const EVENTS_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-fn allowed(entry: &Entry, request: &HttpRequest) -> Result<(), HttpResponse> {
+fn check_operator_token(entry: &Entry, request: &HttpRequest) -> Result<(), HttpResponse> {
     let token = crate::auth::bearer(request.headers()).map(token_digest);
     if token.as_deref() == Some(entry.settings.operator_token_digest.as_str()) {
         return Ok(());
@@ -59,7 +59,7 @@
 
 /// Returns groups, hosts and templates, and the reasons why replicas are missing.
 async fn status(entry: Shared, request: HttpRequest) -> HttpResponse {
-    if let Err(refused) = allowed(&entry, &request) {
+    if let Err(refused) = check_operator_token(&entry, &request) {
         return refused;
     }
     let now = entry.clock.now();
@@ -121,7 +121,7 @@
 
 /// Returns the next offset of this entry and of the processes that read records from it.
 async fn heads(entry: Shared, request: HttpRequest) -> HttpResponse {
-    if let Err(refused) = allowed(&entry, &request) {
+    if let Err(refused) = check_operator_token(&entry, &request) {
         return refused;
     }
     let now = entry.clock.now();
@@ -139,7 +139,7 @@
 
 /// Returns whether the record at an offset was applied.
 async fn outcome(entry: Shared, request: HttpRequest, offset: Path<u64>) -> HttpResponse {
-    if let Err(refused) = allowed(&entry, &request) {
+    if let Err(refused) = check_operator_token(&entry, &request) {
         return refused;
     }
     let outcome = entry.store.outcome(Offset(*offset));
@@ -154,14 +154,14 @@
 /// Returns the events of this entry, merged with those of other processes that may have matching
 /// events. Processes that did not answer are listed as `silent`.
 async fn timeline(entry: Shared, request: HttpRequest, filter: Query<Filter>) -> HttpResponse {
-    if let Err(refused) = allowed(&entry, &request) {
+    if let Err(refused) = check_operator_token(&entry, &request) {
         return refused;
     }
     let filter = filter.into_inner();
     let mut events = entry.timeline.events(|e| filter.wants(e));
     let mut silent = BTreeSet::new();
     let peers = peers(&entry, &filter, &events);
-    let asked = futures_util::future::join_all(peers.into_iter().map(|(name, at)| {
+    let replies = futures_util::future::join_all(peers.into_iter().map(|(name, at)| {
         let (entry, filter) = (entry.clone(), filter.clone());
         async move {
             let question = Question::Timeline(filter);
@@ -169,7 +169,7 @@
             (name, reply)
         }
     }));
-    for (name, reply) in asked.await {
+    for (name, reply) in replies.await {
         match reply {
             Ok(Reply::Events(bytes)) => {
                 events.extend(serde_json::from_slice::<Vec<Event>>(&bytes).unwrap_or_default());
