--- a/crates/oliveworks-agent/src/process.rs
+++ b/crates/oliveworks-agent/src/process.rs
@@ -79,8 +79,8 @@
 impl Process {
     /// Returns the name and address of another host's agent, if the host is in this host's group.
     fn peer(&self, host: HostId) -> Option<(String, std::net::SocketAddr)> {
-        let me = self.settings.host;
-        let at = self.store.with_pool(|p| p.group_of(me).and_then(|g| g.address(host)))?;
+        let own_host = self.settings.host;
+        let at = self.store.with_pool(|p| p.group_of(own_host).and_then(|g| g.address(host)))?;
         Some((host.to_string(), at))
     }
 
--- a/crates/oliveworks-entry/src/admin.rs
+++ b/crates/oliveworks-entry/src/admin.rs
@@ -187,8 +187,8 @@
 /// Returns the processes to query for events: the other entries, and the members of the groups that
 /// the filter or the events of this entry refer to.
 fn peers(entry: &Entry, filter: &Filter, events: &[Event]) -> Vec<(String, SocketAddr)> {
-    let me = entry.settings.entry;
-    let entries = entry.settings.entries.iter().filter(|e| e.entry != me);
+    let own_id = entry.settings.entry;
+    let entries = entry.settings.entries.iter().filter(|e| e.entry != own_id);
     let mut peers: Vec<(String, SocketAddr)> =
         entries.map(|e| (e.entry.to_string(), e.peer)).collect();
     let named: BTreeSet<&str> = events.iter().filter_map(|e| e.group.as_deref()).collect();
--- a/crates/oliveworks-entry/src/driver.rs
+++ b/crates/oliveworks-entry/src/driver.rs
@@ -92,9 +92,13 @@
     current: Option<CurrentAttempt>,
     /// Agent that the current attempt was handed to, which a revocation is sent to.
     handed_to: Option<(HostId, SocketAddr, Handover)>,
+    /// Group whose router state counts this request as in flight.
     counted_at: Option<Epoch>,
+    /// Whether an attempt was handed over, so that the request may have begun.
     begun: bool,
+    /// Whether the head of a service's answer was passed on.
     head_passed: bool,
+    /// Whether the outcome of the request was recorded.
     done: bool,
 }
 
--- a/crates/oliveworks-entry/src/settings.rs
+++ b/crates/oliveworks-entry/src/settings.rs
@@ -118,13 +118,13 @@
 
 impl Check for Settings {
     fn check(&self) -> Result<(), String> {
-        let me = self.entries.iter().find(|e| e.entry == self.entry);
-        match me {
+        let own_entry = self.entries.iter().find(|e| e.entry == self.entry);
+        match own_entry {
             None => return Err(format!("entries: this entry, {}, is not listed", self.entry)),
-            Some(me) if me.region != self.region => {
+            Some(own_entry) if own_entry.region != self.region => {
                 return Err(format!(
                     "region: the list of entries has region {} for this entry",
-                    me.region
+                    own_entry.region
                 ));
             }
             Some(_) => {}
