--- a/crates/oliveworks-lab/src/lib.rs
+++ b/crates/oliveworks-lab/src/lib.rs
@@ -1,7 +1,7 @@
-//! Seeded proof runs, experiments and slopes for oliveworks.
+//! Seeded proof runs, experiments and cost measurements for oliveworks.
 //!
-//! Everything here drives the shipped decision code of `oliveworks-core`. Nothing here is part of
-//! what runs on a host.
+//! All modules except [`load`] run the shipped decision code of `oliveworks-core`. [`load`] sends
+//! requests to a running process. No part of this crate runs on a host in production.
 //!
 //! ```
 //! use oliveworks_lab::prove::{self, Broken};
@@ -10,7 +10,8 @@
 //! assert!(outcome.breaches.is_empty());
 //! ```
 //!
-//! Runs cost a few microseconds a step and some megabytes; they take no untrusted input.
+//! A proof run takes a few microseconds per step and a few megabytes of memory. It takes no
+//! untrusted input.
 
 pub mod load;
 pub mod placement;
--- a/crates/oliveworks-lab/src/load.rs
+++ b/crates/oliveworks-lab/src/load.rs
@@ -1,4 +1,5 @@
-//! A bounded load against one address on loopback: requests a second, tokens a second, latencies.
+//! Bounded load on one loopback address. Measures requests per second, tokens per second and
+//! latencies.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -12,42 +13,42 @@
 use ntex::time::Millis;
 use serde_json::json;
 
-/// What to send.
+/// Parameters of a load.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// The address, such as `http://127.0.0.1:8080`.
+    /// Address to send to, such as `http://127.0.0.1:8080`.
     pub url: String,
-    /// The bearer token.
+    /// Bearer token.
     pub token: String,
-    /// The model.
+    /// Requested model.
     pub model: String,
-    /// Requests at once.
+    /// Number of concurrent requests.
     pub concurrency: usize,
-    /// Requests in all.
+    /// Total number of requests.
     pub requests: usize,
-    /// Tokens of each answer.
+    /// Number of tokens of each answer.
     pub tokens: u32,
-    /// The longest that the load may run.
+    /// Time after which no more requests are sent.
     pub within: Duration,
 }
 
-/// What came of it.
+/// Results of a load.
 #[derive(Debug)]
 pub struct Result {
-    /// Answers that were whole and right.
+    /// Number of complete and correct answers.
     pub whole: usize,
-    /// Everything else.
+    /// Number of all other requests.
     pub failed: usize,
-    /// Seconds that it took.
+    /// Duration of the load, in seconds.
     pub seconds: f64,
-    /// Microseconds to the first byte of an answer's body.
+    /// Times to the first byte of an answer's body, in microseconds.
     pub first: Histogram<u64>,
-    /// Microseconds to the end.
+    /// Times to the end of an answer, in microseconds.
     pub total: Histogram<u64>,
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 600_000_000, 3).expect("constant bounds")
+    Histogram::new_with_bounds(1, 600_000_000, 3).expect("the histogram bounds are valid")
 }
 
 struct Shared {
@@ -55,13 +56,13 @@
     result: Result,
 }
 
-/// Sends the load and waits for its end.
+/// Sends the load and waits until it ends.
 ///
 /// # Errors
 /// If the address is not on loopback.
 pub async fn run(load: &Load) -> anyhow::Result<Result> {
     if !load.url.starts_with("http://127.") {
-        bail!("a load is sent to loopback only");
+        bail!("refused to send a load to {}: the address is not on loopback", load.url);
     }
     let result =
         Result { whole: 0, failed: 0, seconds: 0.0, first: histogram(), total: histogram() };
@@ -70,7 +71,9 @@
     let callers = (0..load.concurrency).map(|n| caller(load, n, start, shared.clone()));
     join_all(callers).await;
     let seconds = start.elapsed().as_secs_f64();
-    let shared = Rc::try_unwrap(shared).map_err(|_| anyhow!("a caller is left"))?.into_inner();
+    let shared = Rc::try_unwrap(shared)
+        .map_err(|_| anyhow!("a caller is still running after the load ended"))?
+        .into_inner();
     Ok(Result { seconds, ..shared.result })
 }
 
@@ -99,7 +102,8 @@
     }
 }
 
-/// One streamed completion, checked to be whole.
+/// Requests a streamed completion and checks that the answer is complete. Returns the times to the
+/// first byte and to the end of the answer.
 async fn one(http: &Client, load: &Load, text: &str) -> anyhow::Result<(Duration, Duration)> {
     let body = json!({
         "model": load.model, "stream": true, "max_tokens": load.tokens,
@@ -112,7 +116,7 @@
         .timeout(Millis(30_000));
     let mut response = request.send_json(&body).await.map_err(|e| anyhow!("{e}"))?;
     if !response.status().is_success() {
-        bail!("{}", response.status());
+        bail!("the request failed with status {}", response.status());
     }
     let mut first = None;
     let mut answer = Vec::new();
@@ -123,7 +127,7 @@
     let answer = String::from_utf8_lossy(&answer);
     let tokens = answer.matches("\"content\":").count();
     if tokens != load.tokens as usize || !answer.contains("[DONE]") {
-        bail!("{tokens} tokens of {}", load.tokens);
+        bail!("incomplete answer: got {tokens} of {} tokens, or no end marker", load.tokens);
     }
     Ok((first.unwrap_or_default(), start.elapsed()))
 }
--- a/crates/oliveworks-lab/src/main.rs
+++ b/crates/oliveworks-lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `oliveworks-lab`: proof runs and experiments from the command line.
+//! `oliveworks-lab`: command line for proof runs and experiments.
 
 use std::collections::BTreeMap;
 use std::process::ExitCode;
@@ -19,85 +19,87 @@
     command: Command,
 }
 
-/// A size to measure at.
+/// Fleet size of an experiment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 enum Size {
-    /// 30 workers.
+    /// 30 hosts: today's size of one partner pair.
     Today,
-    /// 4,100 workers.
+    /// 4,100 hosts: the full size, expected in two years.
     TwoYears,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Group downtime and stranded accelerators, against two baselines on the same traces.
+    /// Measures group downtime and stranded accelerators, compared with two baselines on the same
+    /// traces.
     Placement {
-        /// How many traces.
+        /// Number of traces.
         #[arg(long, default_value_t = 5)]
         seeds: u64,
-        /// The size.
+        /// Fleet size.
         #[arg(long, value_enum, default_value_t = Size::Today)]
         size: Size,
     },
-    /// The log is down for an hour, and a member of a group dies every five minutes.
+    /// Simulates an outage of the log for an hour, while a member of a group dies every five
+    /// minutes.
     Outage {
-        /// The seed.
+        /// Seed of the run.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// What the decisions cost by the size of the pool.
+    /// Measures the cost of the decisions by the size of the pool.
     Slopes,
-    /// Sends a bounded load to an address on loopback; prints figures as JSON.
+    /// Sends a bounded load to an address on loopback, and prints the results as JSON.
     Load {
-        /// The address, such as `http://127.0.0.1:8080`.
+        /// Address to send to, such as `http://127.0.0.1:8080`.
         #[arg(long)]
         url: String,
-        /// The bearer token.
+        /// Bearer token.
         #[arg(long, default_value = "none")]
         token: String,
-        /// The model.
+        /// Requested model.
         #[arg(long)]
         model: String,
-        /// Requests at once.
+        /// Number of concurrent requests.
         #[arg(long, default_value_t = 16)]
         concurrency: usize,
-        /// Requests in all.
+        /// Total number of requests.
         #[arg(long, default_value_t = 1_000)]
         requests: usize,
-        /// Tokens of each answer.
+        /// Number of tokens of each answer.
         #[arg(long, default_value_t = 16)]
         tokens: u32,
-        /// The longest that the load may run, in seconds.
+        /// Time after which no more requests are sent, in seconds.
         #[arg(long, default_value_t = 60)]
         within_s: u64,
     },
-    /// Routing against round-robin and least-loaded on the same traces.
+    /// Compares the shipped routing with round-robin and least-loaded on the same traces.
     Routing {
-        /// How many traces.
+        /// Number of traces.
         #[arg(long, default_value_t = 3)]
         seeds: u64,
-        /// Seconds of arrivals in each.
+        /// Duration of the arrivals in each trace, in seconds.
         #[arg(long, default_value_t = 120.0)]
         seconds: f64,
     },
-    /// Drives the decisions through a random schedule of faults and checks every promise.
+    /// Runs the decision code through a random schedule of faults and checks all invariants.
     Prove {
-        /// The first seed.
+        /// First seed.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Steps in all, spread over the seeds.
+        /// Total number of steps, divided among the seeds.
         #[arg(long, default_value_t = 1_000_000)]
         steps: u64,
-        /// How many seeds, from the first on.
+        /// Number of consecutive seeds, starting with the first.
         #[arg(long, default_value_t = 8)]
         seeds: u64,
-        /// A deliberate defect that the run should catch.
+        /// Deliberate defect that the run should detect.
         #[arg(long, value_enum, default_value_t = Broken::None)]
         broken: Broken,
-        /// Planned changes only, no faults: nothing may be cut.
+        /// Make planned changes only, without faults. No request may be cut off.
         #[arg(long)]
         calm: bool,
-        /// Print how often each fault and each pair of faults came.
+        /// Print the number of occurrences of each fault and each pair of faults.
         #[arg(long)]
         coverage: bool,
     },
@@ -120,7 +122,7 @@
     }
 }
 
-/// Runs the seeds on as many threads as there are processors.
+/// Runs the seeds on one thread per available processor.
 fn prove_all(seed: u64, steps: u64, seeds: u64, broken: Broken, calm: bool) -> Vec<Outcome> {
     let each = steps.div_ceil(seeds);
     let threads = std::thread::available_parallelism().map_or(1, usize::from) as u64;
@@ -134,7 +136,7 @@
         };
         let handles: Vec<_> = (0..threads).map(|t| scope.spawn(move || run(t))).collect();
         for handle in handles {
-            outcomes.extend(handle.join().expect("a run panicked"));
+            outcomes.extend(handle.join().expect("a run's thread panicked"));
         }
     });
     outcomes.into_values().collect()
@@ -213,7 +215,7 @@
             let handles: Vec<_> = (0..seeds)
                 .map(|seed| scope.spawn(move || placement::measure(trace, costs, config, seed)))
                 .collect();
-            handles.into_iter().map(|h| h.join().expect("a run panicked")).collect()
+            handles.into_iter().map(|h| h.join().expect("a run's thread panicked")).collect()
         });
         let mean = |f: &dyn Fn(&placement::Measures) -> f64| {
             100.0 * runs.iter().map(f).sum::<f64>() / seeds as f64
@@ -242,8 +244,8 @@
             let mut first = runs[0].first.clone();
             let mut between = runs[0].between.clone();
             for run in &runs[1..] {
-                first.add(&run.first).expect("same bounds");
-                between.add(&run.between).expect("same bounds");
+                first.add(&run.first).expect("all histograms have the same bounds");
+                between.add(&run.between).expect("all histograms have the same bounds");
             }
             let quantiles = |h: &hdrhistogram::Histogram<u64>| {
                 [0.5, 0.95, 0.99].map(|q| h.value_at_quantile(q).to_string()).join(" / ")
@@ -264,7 +266,7 @@
     ExitCode::SUCCESS
 }
 
-/// Sizes at which slopes are measured; the last is that of letter 1.
+/// Fleet sizes at which costs are measured. The last is the full size, expected in two years.
 const SIZES: [u32; 4] = [546, 1_092, 2_184, 4_100];
 
 fn print_slopes() -> ExitCode {
--- a/crates/oliveworks-lab/src/placement.rs
+++ b/crates/oliveworks-lab/src/placement.rs
@@ -1,8 +1,8 @@
-//! Group downtime and stranded accelerators under seeded failure traces.
+//! Simulation of group downtime and stranded accelerators under seeded failure traces.
 //!
-//! The shipped [`plan`] and [`Pool`] run against a trace of failures; baselines are settings of the
-//! same planner. Times of loading and of noticing are constants of [`Costs`]; everything else is
-//! decided by the code that ships.
+//! The shipped [`plan`] and [`Pool`] run against a trace of failures. Baselines are other settings
+//! of the same planner. The times for loading and failure detection are constants in [`Costs`]. The
+//! shipped code decides everything else.
 
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
@@ -16,46 +16,46 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Times that the planner does not decide, in seconds.
+/// Times that the planner does not determine, in seconds, and the concurrency of the weight store.
 #[derive(Clone, Copy, Debug)]
 pub struct Costs {
-    /// From a member's death until the decider knows it.
+    /// Time from the death of a member until the decider detects it.
     pub notice: f64,
-    /// From a member's death until a spare that holds the weights serves in its place.
+    /// Time from the death of a member until a spare that holds the weights serves in its place.
     pub spare: f64,
-    /// To fetch one host's weights from the store.
+    /// Time to fetch the weights of one host from the store.
     pub load: f64,
-    /// To take a place with weights that are there.
+    /// Time for a host with loaded weights to join a group.
     pub bind: f64,
-    /// Fetches that the store serves at once.
+    /// Number of concurrent fetches that the store serves.
     pub fetches: usize,
 }
 
-/// What a trace is made of.
+/// Parameters of a failure trace.
 #[derive(Clone, Debug)]
 pub struct Trace {
-    /// Hosts.
+    /// Number of hosts.
     pub hosts: u32,
-    /// Fabric domains.
+    /// Number of fabric domains.
     pub domains: u32,
-    /// Hosts of a replica.
+    /// Number of hosts of a replica.
     pub width: u16,
-    /// Replicas of Saffah and of Sahel.
+    /// Numbers of replicas of Saffah and of Sahel.
     pub replicas: [u16; 2],
-    /// Days.
+    /// Duration of the trace, in days.
     pub days: f64,
-    /// Failures of single hosts in a day; each is gone for some hours.
+    /// Failures of single hosts per day. Each host is down for 30 minutes to 4 hours.
     pub failures: f64,
-    /// Restarts in a day; each takes some minutes.
+    /// Restarts of single hosts per day. Each host is down for 1 to 4 minutes.
     pub restarts: f64,
-    /// Days between losses of a rack, and its hosts.
+    /// Mean time between losses of a rack, in days, and the number of hosts of a rack.
     pub rack: (f64, u32),
-    /// Days between losses of a domain.
+    /// Mean time between losses of a fabric domain, in days.
     pub domain: f64,
 }
 
 impl Trace {
-    /// Today's size of one partner pair: 30 hosts in three fabric domains.
+    /// Returns the trace for the size of one partner pair today: 30 hosts in three fabric domains.
     pub fn today() -> Trace {
         let scale = 30.0 / 4100.0;
         Trace {
@@ -71,7 +71,8 @@
         }
     }
 
-    /// The size of letter 1.
+    /// Returns the trace for the full size, expected in two years: 4,100 hosts in 15 fabric
+    /// domains.
     pub fn two_years() -> Trace {
         Trace {
             hosts: 4100,
@@ -87,18 +88,20 @@
     }
 }
 
-/// The two measures, for one partner or both.
+/// Results of a simulation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Measures {
-    /// The part of the wanted replica time in which replicas did not serve, per partner.
+    /// Fraction of the wanted replica time in which replicas did not serve, per partner.
     pub downtime: [f64; 2],
-    /// The part of the healthy host time spent in no serving group.
+    /// Fraction of the healthy host time that hosts spent outside serving groups.
     pub stranded: f64,
-    /// The least that `stranded` can be: hosts beyond the demand, and remainders of domains.
+    /// Lower bound of `stranded`: hosts beyond the demand, and hosts left over in a domain after
+    /// division into replicas.
     pub stranded_floor: f64,
-    /// The least that downtime can be: each loss of a member costs its notice and one bind.
+    /// Lower bound of the downtime over both partners: each loss of a member costs either the
+    /// failover to a spare, or the detection and one bind, whichever is shorter.
     pub downtime_floor: f64,
-    /// Records written.
+    /// Number of records written.
     pub records: u64,
 }
 
@@ -118,9 +121,9 @@
     up: Vec<bool>,
     noticed: Vec<bool>,
     weights: Vec<Option<u64>>,
-    /// When a host's weights are there.
+    /// Time at which the weights of each host are loaded.
     ready_at: Vec<f64>,
-    /// When a group serves, again.
+    /// Time from which each group serves, initially or again after a loss.
     serves_at: BTreeMap<Epoch, f64>,
     store: Vec<f64>,
     offset: u64,
@@ -128,10 +131,10 @@
 }
 
 fn name(text: &str) -> Name {
-    Name::new(text).expect("a constant name")
+    Name::new(text).expect("the name literal is valid")
 }
 
-/// The partners; the first keeps spares, the second does not.
+/// Partners. The first one keeps spares, the second one does not.
 const PARTNERS: [&str; 2] = ["saffah", "sahel"];
 
 fn template(trace: &Trace, partner: usize) -> Template {
@@ -157,7 +160,7 @@
     days * 86_400.0
 }
 
-/// The trace's events in order of time.
+/// Returns the events of the trace in order of time.
 fn events(trace: &Trace, seed: u64) -> Vec<(f64, Event)> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut events = Vec::new();
@@ -231,13 +234,14 @@
         self.pool.apply(offset, &record).is_ok()
     }
 
-    /// When a host that is given this place can serve.
+    /// Starts to prepare a host for a group with the given weights, and returns the time at which
+    /// the host can serve.
     fn prepare(&mut self, now: f64, host: HostId, weights: u64) -> f64 {
         let h = host.0 as usize;
         if self.weights[h] == Some(weights) {
             return self.ready_at[h].max(now) + self.costs.bind;
         }
-        // The store serves the fetch as soon as one of its places is free.
+        // The store serves the fetch as soon as one of its fetch slots is free.
         let place = (0..self.store.len()).min_by(|a, b| self.store[*a].total_cmp(&self.store[*b]));
         let Some(place) = place else { return now };
         let starts = self.store[place].max(now);
@@ -247,7 +251,7 @@
         self.ready_at[h] + self.costs.bind
     }
 
-    /// Lets the planner act until it has nothing more to do.
+    /// Runs the planner until it has nothing left to change, for at most 200 rounds.
     fn look(&mut self, now: f64) {
         for _ in 0..200 {
             let millis = Millis((now * 1000.0) as u64);
@@ -289,7 +293,8 @@
         }
     }
 
-    /// What leaders would report: lost members, and drained groups (nothing runs for long here).
+    /// Passes the fleet the reports that leaders would send: lost members, and every draining group
+    /// as drained, since no requests run here.
     fn report(&mut self, now: Millis) {
         let reports: Vec<GroupReport> = self
             .pool
@@ -316,7 +321,8 @@
         ready && alive >= group.width() && group.state == GroupState::Active
     }
 
-    /// A host went down: its group stops, until a spare serves or the group is formed anew.
+    /// Handles the loss of a host. Its group stops serving until a spare takes over or the group is
+    /// rebuilt.
     fn lost(&mut self, now: f64, host: HostId) {
         let Some(group) = self.pool.group_of(host) else { return };
         self.losses += 1;
@@ -332,7 +338,7 @@
     }
 }
 
-/// Runs one trace with one way of placing.
+/// Simulates one trace with one placement configuration.
 pub fn measure(trace: &Trace, costs: Costs, config: PlacementConfig, seed: u64) -> Measures {
     let hosts = trace.hosts as usize;
     let mut run = Run {
@@ -356,7 +362,7 @@
     }
     run.look(0.0);
     for at in run.serves_at.values_mut() {
-        *at = 0.0; // Measuring starts with all groups formed.
+        *at = 0.0; // The measurement starts with all groups formed and serving.
     }
     run.ready_at.fill(0.0);
     run.store.fill(0.0);
@@ -381,7 +387,7 @@
     }
 }
 
-/// Walks through the events, and adds up what does not serve between them.
+/// Processes the events in order, and sums up the downtime and the stranded host time between them.
 fn integrate(run: &mut Run<'_>, events: Vec<(f64, Event)>) -> Measures {
     let end = in_seconds(run.trace.days);
     let mut queue: BinaryHeap<At> = events.into_iter().map(|(t, e)| At(t, e)).collect();
@@ -393,7 +399,7 @@
         if at > end {
             break;
         }
-        // Between events, groups that were being formed come to serve.
+        // Groups that are being formed start to serve between events.
         let mut points: BTreeSet<u64> = BTreeSet::new();
         points
             .extend(run.serves_at.values().filter(|t| **t > now && **t < at).map(|t| t.to_bits()));
@@ -443,7 +449,8 @@
     }
 }
 
-/// A host that comes back while its group still waits for it joins again, without its weights.
+/// Handles the return of a host. If its group still contains the host, the host rejoins without its
+/// weights.
 fn returned(run: &mut Run<'_>, now: f64, host: HostId) {
     let Some(group) = run.pool.group_of(host) else { return };
     let epoch = group.epoch;
--- a/crates/oliveworks-lab/src/prove/agents.rs
+++ b/crates/oliveworks-lab/src/prove/agents.rs
@@ -14,13 +14,15 @@
 use super::net::{Event, Msg, Node};
 use super::world::{ENGINE_ORDER_MAX_MS, Running, TICK_MS, World};
 
-/// An agent reports its group at least this often.
+/// Maximum time between two reports of a group by its agent, in milliseconds.
 const REPORT_MS: u64 = 2_000;
-/// A leader that saw a member go must hear it within this time of the member's being told.
+/// Time after a member is told to leave within which its leader must have observed that, in
+/// milliseconds. From then on the member must get no new requests.
 const LEAVE_MS: u64 = 1_700;
 
 impl World {
-    /// The moment as an agent's ledger needs it. Wall clocks are within the callers' skew.
+    /// Returns the current time as an agent's ledger needs it. The wall clock shows real time,
+    /// which is within the clock skew allowed for callers.
     fn moment(&self, host: HostId) -> Option<Now> {
         let mono = self.clock(Node::Agent(host));
         let proc = self.agents.get(&host)?;
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Tells the agent what the log says of its host.
+    /// Passes the agent the group that the log assigns to its host.
     fn assign(&mut self, host: HostId, proved: bool) {
         let now = self.clock(Node::Agent(host));
         let Some(proc) = self.agents.get_mut(&host) else {
@@ -149,18 +151,22 @@
             (Begin::Refuse(refusal), _) => {
                 self.send(node, entry, Msg::Refused { id, refusal, leader });
             }
-            (Begin::Run, None) => unreachable!("a request runs only with a pass"),
+            (Begin::Run, None) => unreachable!("a request runs only with a permit"),
         }
     }
 
-    /// A host that was told to leave gets nothing new after a few seconds.
+    /// Checks that no member was told to leave more than `LEAVE_MS` ago, since such a host must get
+    /// no new requests.
     fn check_leaving(&mut self, members: &[HostId]) {
         let late = members.iter().find(|m| {
             let told = self.check.leaving.get(m);
             told.is_some_and(|t| self.now > t + LEAVE_MS)
         });
         if let Some(member) = late {
-            self.check.breach("leaving", format!("{member} got new work"));
+            self.check.breach(
+                "leaving",
+                format!("{member} got a new request after it was told to leave"),
+            );
         }
     }
 
@@ -174,7 +180,8 @@
         handed: Handover,
     ) {
         let repeatable = handed.key.is_none() && !is_service(host);
-        // A pause of the process between the gate and the engine is a late arrival there.
+        // A pause of the agent between the gate and the engine appears as a late arrival at the
+        // engine.
         let late = if self.rng.random_range(0..200) == 0 { 4_000 } else { 3 };
         let delay = self.rng.random_range(1..=late);
         let Some(engine) = self.engines.get_mut(&host) else {
@@ -215,7 +222,8 @@
             engine.runs.remove(&id);
         }
         if self.paused.contains_key(&Node::Agent(host)) {
-            // The piece waits in the paused process's socket; a later one finds it gone.
+            // The piece stays in the socket of the paused process. The step is repeated until the
+            // process resumes or is gone.
             let again = Event::EngineStep { host, life, id };
             if let Some(engine) = self.engines.get_mut(&host) {
                 engine.runs.insert(id, (next, total));
@@ -226,7 +234,8 @@
         self.agent_piece(host, id, next, total);
     }
 
-    /// The agent has a piece from its engine: the second gate.
+    /// Passes a piece from the engine on to the entry if the view that started the request is still
+    /// complete (the second gate).
     fn agent_piece(&mut self, host: HostId, id: AttemptId, number: u64, total: u64) {
         let node = Node::Agent(host);
         let now = self.clock(node);
@@ -257,17 +266,20 @@
         self.check_whole(host, permit.epoch(), &members);
     }
 
-    /// Whoever passes an answer on has every member's true promise.
+    /// Checks that a leader that passes an answer on holds a promise from every member that is in
+    /// force.
     fn check_whole(&mut self, leader: HostId, epoch: Epoch, members: &[HostId]) {
         if members.is_empty() {
-            self.check.breach("whole group", format!("{leader} serves in no view"));
+            self.check.breach("whole group", format!("{leader} serves without a view"));
         }
         for member in members {
             let held = self.promises.get(member);
             let good =
                 held.is_some_and(|p| p.epoch == epoch && p.leader == leader && p.until >= self.now);
             if !good {
-                let what = format!("{leader} serves in {epoch} without {member}: {held:?}");
+                let what = format!(
+                    "{leader} serves in {epoch} without a promise of {member} in force: {held:?}"
+                );
                 self.check.breach("whole group", what);
             }
         }
@@ -275,7 +287,7 @@
 
     pub(super) fn cut_requests(&mut self, host: HostId) {
         if self.broken == Broken::PassesUnchecked {
-            return; // This variant neither checks nor is told.
+            return; // This variant neither checks its view nor cuts requests.
         }
         let node = Node::Agent(host);
         let now = self.clock(node);
@@ -289,11 +301,11 @@
             }
             if let Some(engine) = self.engines.get_mut(&host) {
                 engine.runs.remove(&id);
-                // What is on its way to the engine cannot be called back.
+                // Requests in transit to the engine cannot be cancelled.
             }
             self.check.cut += 1;
             if self.calm {
-                self.check.breach("planned stop", format!("{} was cut", id.request));
+                self.check.breach("planned stop", format!("{} was cut off", id.request));
             }
             let refusal = Refusal::new(ErrorKind::ContactLost, Ran::Unknown, "the group ended");
             self.send(node, run.entry, Msg::Refused { id, refusal, leader: None });
@@ -326,7 +338,7 @@
         self.obey(host, commands);
     }
 
-    /// The broken variants that bend what agents say.
+    /// Applies the broken variants that change the agents' messages.
     pub(super) fn bend(&self, msg: LeaseMsg) -> LeaseMsg {
         match (self.broken, msg) {
             (Broken::HidesLeaving, LeaseMsg::Grant { epoch, view, seq, ready, .. }) => {
@@ -336,7 +348,7 @@
         }
     }
 
-    /// The platform tells a host's agent that it is to leave.
+    /// Notifies a host's agent, on behalf of the platform, that the host is to leave.
     pub(super) fn tell_leaving(&mut self, host: HostId) {
         let Some(proc) = self.agents.get_mut(&host) else {
             return;
@@ -346,7 +358,8 @@
         self.obey(host, commands);
     }
 
-    /// Both partners publish at once, and one oversteps.
+    /// Publishes templates of both partners at once, and lets each partner try to change the
+    /// other's template.
     pub(super) fn race_operators(&mut self) {
         let replicas = self.rng.random_range(1..=3);
         let spares = self.rng.random_range(0..=1);
@@ -355,7 +368,8 @@
             let mut template = super::world::model_template(partner, model, spares, replicas, 4);
             template.version = super::world::name(if version == 1 { "1" } else { "2" });
             self.publish(template.clone());
-            // The other partner's operators try to change it: ignored by every reader.
+            // The other partner's operators try to change the template. Every reader must ignore
+            // that.
             let other = if partner == "saffah" { "sahel" } else { "saffah" };
             template.replicas = 0;
             let body = Body::PublishTemplate { template, edits: None };
@@ -364,7 +378,7 @@
     }
 }
 
-/// Whether a plain service stands on the host.
+/// Returns whether the host runs the plain service.
 pub fn is_service(host: HostId) -> bool {
     host.0 >= super::world::MODEL_HOSTS
 }
--- a/crates/oliveworks-lab/src/prove/check.rs
+++ b/crates/oliveworks-lab/src/prove/check.rs
@@ -1,65 +1,66 @@
-//! The invariants of a proof run, judged from outside the processes.
+//! Invariants of a proof run, checked from outside the processes.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 use oliveworks_core::id::{Epoch, HostId, RequestId};
 
-/// A broken promise.
+/// Breach of an invariant.
 #[derive(Clone, Debug)]
 pub struct Breach {
-    /// The step at which it was seen.
+    /// Step at which the breach was found.
     pub step: u64,
-    /// Which promise.
+    /// Name of the invariant.
     pub promise: &'static str,
-    /// What was seen.
+    /// Description of the breach.
     pub what: String,
 }
 
-/// What a host has truly promised, whichever of its agent's runs did so.
+/// Promise of a host that is in force, regardless of which incarnation of its agent made it.
 #[derive(Clone, Copy, Debug)]
 pub struct TruePromise {
-    /// The epoch.
+    /// Epoch of the group.
     pub epoch: Epoch,
-    /// To whom.
+    /// Leader that the promise was made to.
     pub leader: HostId,
-    /// The earliest real time at which it may have ended.
+    /// Earliest real time at which the promise may have ended, in milliseconds.
     pub until: u64,
 }
 
-/// Everything that the invariants need to remember.
+/// State of the invariant checks.
 #[derive(Default)]
 pub struct Checker {
-    /// Breaches so far.
+    /// Breaches found so far.
     pub breaches: Vec<Breach>,
-    /// The present step.
+    /// Current step.
     pub step: u64,
-    /// How often each not repeatable request ran.
+    /// Number of times that each request ran at an engine or service.
     pub runs: HashMap<RequestId, u32>,
-    /// Requests whose callers were told "not run".
+    /// Requests that were refused as "not run".
     pub not_run: HashSet<RequestId>,
-    /// Pieces passed to each caller of an open request.
+    /// Pieces passed to the caller of each outstanding request.
     pub passed: HashMap<RequestId, Vec<u64>>,
-    /// Digests of the pool by offset.
+    /// Digest of the pool at each offset, as first reported by a process.
     pub digests: BTreeMap<u64, u128>,
-    /// Hosts that were told to leave, and when.
+    /// Hosts that were told to leave, with the real time of that in milliseconds.
     pub leaving: HashMap<HostId, u64>,
-    /// Requests answered whole.
+    /// Number of requests that were answered completely.
     pub answered: u64,
-    /// Requests refused as not run.
+    /// Number of requests that were refused as not run.
     pub refused_not_run: u64,
-    /// Requests whose outcome is unknown to the caller.
+    /// Number of requests whose outcome is unknown to the caller.
     pub unknown: u64,
-    /// Requests cut by the end of their group.
+    /// Number of requests that were cut off by the end of their group.
     pub cut: u64,
 }
 
 impl Checker {
-    /// Notes a breach.
+    /// Records a breach.
     pub fn breach(&mut self, promise: &'static str, what: String) {
         self.breaches.push(Breach { step: self.step, promise, what });
     }
 
-    /// A request runs at an engine or service.
+    /// Records that a request runs at an engine or service. Checks that a request that may not be
+    /// repeated runs at most once, and that a request refused as "not run" does not run.
     pub fn ran(&mut self, id: RequestId, repeatable: bool) {
         let count = self.runs.entry(id).or_default();
         *count += 1;
@@ -68,40 +69,43 @@
             self.breach("at most once", what);
         }
         if self.not_run.contains(&id) {
-            self.breach("not run", format!("{id} ran after its caller was told that it did not"));
+            self.breach("not run", format!("{id} ran after it was refused as not run"));
         }
     }
 
-    /// A caller is told "not run".
+    /// Records that a request was refused as "not run", and checks that it did not run.
     pub fn told_not_run(&mut self, id: RequestId) {
         self.refused_not_run += 1;
         self.not_run.insert(id);
         if self.runs.contains_key(&id) {
-            self.breach("not run", format!("{id} ran and its caller was told that it did not"));
+            self.breach("not run", format!("{id} was refused as not run, but had run"));
         }
     }
 
-    /// A caller's answer ended as whole.
+    /// Records that a caller's answer ended, and checks that its pieces are complete and in order.
     pub fn told_whole(&mut self, id: RequestId, total: u64) {
         self.answered += 1;
         let pieces = self.passed.remove(&id).unwrap_or_default();
         let wanted: Vec<u64> = (0..total).map(|n| content(id, n)).collect();
         if pieces != wanted {
-            let what = format!("{id}: {} pieces of {total}, or not its own", pieces.len());
+            let what = format!(
+                "{id} ended with {} of {total} pieces, or with wrong content",
+                pieces.len()
+            );
             self.breach("whole answer", what);
         }
     }
 
-    /// A process has come to an offset with this digest.
+    /// Checks that all processes that reach the offset `next` have the same digest of the pool.
     pub fn at_offset(&mut self, next: u64, digest: u128) {
         let first = *self.digests.entry(next).or_insert(digest);
         if first != digest {
-            self.breach("one order", format!("two pools differ at offset {next}"));
+            self.breach("one order", format!("the pools of two processes differ at offset {next}"));
         }
     }
 }
 
-/// The piece that an engine makes: a function of the request alone.
+/// Returns the content of a piece, which depends only on the request and the number of the piece.
 pub fn content(id: RequestId, number: u64) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(&id.0.to_be_bytes(), number)
 }
--- a/crates/oliveworks-lab/src/prove/entries.rs
+++ b/crates/oliveworks-lab/src/prove/entries.rs
@@ -19,9 +19,9 @@
     Again, ENTRIES, KEY_REUSE_MS, MODEL_HOSTS, Open, SERVICE_HOSTS, TICK_MS, World,
 };
 
-/// A try without any word for this long counts as lost.
+/// Time without a message from the agent after which an attempt counts as lost, in milliseconds.
 const LOST_MS: u64 = 1_500;
-/// A record of the log for each so many is covered by a new snapshot.
+/// Number of records between two snapshots that an entry stores in the log.
 const SNAPSHOT_EVERY: u64 = 8;
 
 impl World {
@@ -92,13 +92,13 @@
             } else if open.revoking {
                 open.relay.revoked(now, None, true)
             } else {
-                open.relay.failed(now, "no word", true)
+                open.relay.failed(now, "the agent did not answer in time", true)
             };
             self.follow(entry, id, next);
         }
     }
 
-    /// Does what a relay asks for.
+    /// Executes a relay's decision.
     fn follow(&mut self, entry: usize, id: RequestId, next: Next) {
         match next {
             Next::Wait => {}
@@ -137,7 +137,7 @@
         self.send(node, Node::Agent(host), Msg::Revoke { id: current, handed });
     }
 
-    /// Chooses a group and hands the request over to its leader.
+    /// Chooses a group and sends the request to its leader.
     fn hand_over(&mut self, entry: usize, id: RequestId) {
         let node = Node::Entry(entry);
         let now = self.clock(node);
@@ -234,7 +234,8 @@
         }
     }
 
-    /// Applies a word on a try, if it is the present one of an open request.
+    /// Applies a message about an attempt. Ignores the message unless the attempt is the current
+    /// one of an outstanding request.
     fn with_current(
         &mut self,
         entry: usize,
@@ -267,7 +268,7 @@
             PieceAction::Pass => self.check.passed.entry(id.request).or_default().push(content),
             PieceAction::Drop => {}
             PieceAction::Gap => {
-                let next = open.relay.failed(now, "a piece is missing", true);
+                let next = open.relay.failed(now, "a piece of the answer is missing", true);
                 self.follow(entry, id.request, next);
             }
         }
@@ -292,7 +293,7 @@
         self.send(Node::Entry(entry), to, answer);
     }
 
-    /// A caller asks through any entry.
+    /// Sends a caller's request, new or retried with its key, to a random entry.
     pub(super) fn arrive(&mut self) {
         let gap = self.rng.random_range(20..300);
         self.queue.push(self.now + gap, Event::Arrive);
@@ -345,7 +346,8 @@
         self.hand_over(entry, id);
     }
 
-    /// The platform's list, lagging, reaches the entries and the agents.
+    /// Refreshes the platform's host list unless it is stuck, and passes it to every entry that is
+    /// not paused. Runs every second, so the list lags behind the hosts.
     pub(super) fn read_list(&mut self) {
         self.queue.push(self.now + 1_000, Event::List);
         if !self.list_stuck {
@@ -378,7 +380,8 @@
     }
 }
 
-/// The group that is a key's home now, if its slot has one.
+/// Returns the active group that is the home of a key, and the offset at which homes were last
+/// reassigned. Returns `None` if the key's slot has no active group.
 fn home_of(pool: &oliveworks_core::pool::Pool, id: RequestId) -> Option<(Epoch, Offset)> {
     let published = pool.templates().find(|p| p.template.kind == Kind::Service)?;
     let index = route::home_replica(id.0, published.template.replicas);
--- a/crates/oliveworks-lab/src/prove/faults.rs
+++ b/crates/oliveworks-lab/src/prove/faults.rs
@@ -1,4 +1,5 @@
-//! The faults of a proof run: any of them, together and twice.
+//! Faults and planned changes of a proof run. They occur in any combination, and the same one may
+//! overlap with itself.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,54 +11,55 @@
 use super::net::{Event, Node};
 use super::world::{Again, ENTRIES, MODEL_HOSTS, SERVICE_HOSTS, World, name, service_template};
 
-/// A kind of fault or planned change.
+/// Kind of a fault or a planned change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
     /// A host dies with its agent and backend server.
     KillHost,
-    /// An agent process restarts with nothing.
+    /// An agent process restarts with an empty state.
     RestartAgent,
-    /// An entry process restarts with nothing.
+    /// An entry process restarts with an empty state.
     RestartEntry,
-    /// An agent process pauses and comes back.
+    /// An agent process pauses and resumes.
     PauseAgent,
-    /// An entry process pauses and comes back.
+    /// An entry process pauses and resumes.
     PauseEntry,
-    /// A pair of nodes is cut in one direction.
+    /// All messages between a pair of nodes are lost in one direction.
     CutOneWay,
-    /// A node is cut off from all.
+    /// A node is cut off from all others.
     Isolate,
-    /// Half of the nodes are cut off from the other half, one of them with the log.
+    /// The nodes are split into two random parts that are cut off from each other. The log is in
+    /// one of them.
     Split,
     /// The log is down.
     LogDown,
     /// The log is slow.
     LogSlow,
-    /// The log's answers are lost after they took effect.
+    /// Half of the log's answers to reads are lost.
     LoseAnswers,
     /// The log drops old records.
     Expire,
-    /// The list of hosts is stuck.
+    /// The platform's host list is stuck at its last state.
     ListStuck,
-    /// The list of hosts leaves a live host out.
+    /// The platform's host list omits a live host.
     ListWrong,
-    /// Messages are lost, doubled, late and out of order.
+    /// Messages are lost, duplicated, delayed and reordered.
     Storm,
-    /// Every entry takes itself for the first decider.
+    /// Every entry acts as the first decider.
     TwoDeciders,
-    /// Both partners publish at once, one oversteps.
+    /// Both partners publish at once, and each tries to change the other's template.
     Operators,
-    /// A backend server dies and comes back.
+    /// A backend server dies and restarts at once.
     KillEngine,
-    /// Planned: a host is to leave.
+    /// Planned: a host is told to leave.
     Leave,
-    /// Planned: an operator takes a host out of use.
+    /// Planned: an operator drains a host.
     DrainHost,
-    /// Planned: the plain service gets another number of replicas.
+    /// Planned: the plain service gets a different number of replicas.
     Rehome,
 }
 
-/// All faults.
+/// All faults and planned changes.
 pub const ALL: [Fault; 21] = [
     Fault::KillHost,
     Fault::RestartAgent,
@@ -82,26 +84,27 @@
     Fault::Rehome,
 ];
 
-/// Planned changes alone.
+/// Planned changes only.
 const PLANNED: [Fault; 4] = [Fault::Operators, Fault::Leave, Fault::DrainHost, Fault::Rehome];
 
-/// How many records the log keeps when it drops old ones.
+/// Number of records that the log keeps when it drops old ones, or more if no snapshot covers them
+/// yet.
 const KEPT_RECORDS: u64 = 40;
 
-/// Faults in progress, and how often each came.
+/// Faults in progress, and their statistics.
 #[derive(Default)]
 pub struct Faults {
     active: BTreeMap<u64, (Fault, Vec<Node>)>,
     next: u64,
-    /// How often each came.
+    /// Number of occurrences of each fault.
     pub counts: BTreeMap<Fault, u64>,
-    /// How often each pair overlapped.
+    /// Number of times that each pair of faults overlapped.
     pub pairs: BTreeMap<(Fault, Fault), u64>,
-    /// Hosts whose agent restarted and has promised nothing since.
+    /// Hosts whose agent ended and has made no promise since.
     pub restarted: BTreeSet<HostId>,
-    /// Every entry takes itself for the first decider.
+    /// Every entry acts as the first decider.
     pub two_deciders: bool,
-    /// No faults but those that the run itself makes.
+    /// Whether random faults are disabled. The caller of the run then causes all faults.
     pub none: bool,
 }
 
@@ -140,7 +143,8 @@
         }
     }
 
-    /// Begins a fault; returns whom it touches and how long it lasts.
+    /// Starts a fault. Returns the affected nodes and the duration in milliseconds, or `None` if
+    /// the fault does not apply.
     fn inflict(&mut self, fault: Fault) -> Option<(Vec<Node>, u64)> {
         let short = self.rng.random_range(100..3_000);
         let long = self.rng.random_range(1_000..20_000);
@@ -248,7 +252,7 @@
         }
         self.agents.get(&host)?;
         self.tell_leaving(host);
-        // A planned stop waits for the agent to be idle; see `heal`.
+        // A planned stop waits until the agent is idle; see `end_fault`.
         Some((vec![Node::Agent(host)], lasts + 5_000))
     }
 
@@ -297,7 +301,7 @@
             Node::Entry(entry) => {
                 if let Some(proc) = self.entries.remove(&entry) {
                     for (id, open) in proc.open {
-                        // The callers see a broken connection and do not know.
+                        // The callers see a broken connection and do not know the outcome.
                         self.check.passed.remove(&id);
                         self.check.unknown += 1;
                         self.again.extend(open.key.map(|key| Again { id, key, first: open.first }));
@@ -357,7 +361,9 @@
         }
     }
 
-    /// The host goes when its agent has nothing left to do, or is given up; it comes back later.
+    /// Stops the hosts that were told to leave, and schedules their return. In a calm run, waits
+    /// until the host's agent is idle and the host belongs to no group. In other runs, stops the
+    /// host regardless.
     fn finish_leaving(&mut self, nodes: Vec<Node>) {
         for node in nodes {
             let Node::Agent(host) = node else { continue };
--- a/crates/oliveworks-lab/src/prove/mod.rs
+++ b/crates/oliveworks-lab/src/prove/mod.rs
@@ -1,9 +1,11 @@
-//! Proof runs: the shipped decisions under a random schedule of faults, judged from outside.
+//! Proof runs: drive the shipped decision code through a random schedule of faults and check its
+//! invariants from outside the processes.
 //!
-//! The run is not a model of a cluster: it has no costs and makes no forecasts. It carries the same
-//! [`Agent`](oliveworks_core::agent::Agent), [`Relay`](oliveworks_core::relay::Relay),
-//! [`Decider`](oliveworks_core::decider::Decider) and [`Feed`](oliveworks_core::feed::Feed) that the
-//! processes carry, and feeds them messages, times and faults in an order drawn from a seed.
+//! A proof run does not model the performance of a cluster: it has no costs and makes no forecasts.
+//! It runs the same [`Agent`](oliveworks_core::agent::Agent),
+//! [`Relay`](oliveworks_core::relay::Relay), [`Decider`](oliveworks_core::decider::Decider) and
+//! [`Feed`](oliveworks_core::feed::Feed) as the processes do, and passes messages, times and faults
+//! to them in an order drawn from a seed.
 
 mod agents;
 mod check;
@@ -20,61 +22,63 @@
 use self::faults::Fault;
 use self::world::World;
 
-/// A deliberate defect, to show that the run would see it.
+/// Deliberate defect. A run with a defect shows that the invariant checks detect it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum Broken {
-    /// None: the shipped behaviour.
+    /// No defect: the shipped behaviour.
     #[default]
     None,
-    /// Answers go back without the second gate.
+    /// Agents send pieces of answers to the entry without checking that the group's view is still
+    /// complete (the second gate).
     PassesUnchecked,
-    /// A restarted agent promises at once.
+    /// A restarted agent grants leases at once, without a quiet period.
     NoQuiet,
-    /// An entry takes pieces of any try.
+    /// An entry accepts pieces of any attempt.
     MixesTries,
-    /// A revocation is answered "not run" without being remembered.
+    /// An agent answers a revocation with "not run" without recording the revocation.
     RevokesBlindly,
-    /// A request that may not repeat is tried again like any other.
+    /// A request that may not be repeated is retried like any other.
     RepeatsAll,
-    /// Members do not say that they are leaving.
+    /// Members do not report in their lease grants that they are leaving.
     HidesLeaving,
-    /// A draining group is freed before it is idle.
+    /// A draining group is reported as drained, and so freed, before it is idle.
     FreesEarly,
-    /// A process adopts whatever snapshot it gets.
+    /// A process adopts any snapshot, also one that is older than its configuration.
     AdoptsOlder,
-    /// An entry says that its configuration is current whatever it knows.
+    /// An entry reports its configuration as current, regardless of when that was last proved.
     ClaimsCurrent,
-    /// A restarted agent takes itself for the first home of its keys.
+    /// A restarted agent assumes that its keys had no home before.
     ClaimsHome,
 }
 
-/// What a run came to.
+/// Result of a run.
 #[derive(Debug)]
 pub struct Outcome {
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Steps made.
+    /// Number of events processed.
     pub steps: u64,
-    /// Simulated seconds.
+    /// Simulated time, in seconds.
     pub seconds: u64,
-    /// Breaches, the first ones.
+    /// Breaches found before the run stopped.
     pub breaches: Vec<Breach>,
-    /// A digest of all events.
+    /// Digest of the times and kinds of all events.
     pub digest: u64,
-    /// How often each fault came.
+    /// Number of occurrences of each fault.
     pub counts: BTreeMap<Fault, u64>,
-    /// How often each pair of faults overlapped.
+    /// Number of times that each pair of faults overlapped.
     pub pairs: BTreeMap<(Fault, Fault), u64>,
-    /// Answered whole, refused not run, unknown, cut.
+    /// Numbers of requests that were answered completely, that were refused as not run, whose
+    /// outcome is unknown to the caller, and that were cut off by the end of their group.
     pub requests: [u64; 4],
-    /// Records in the log.
+    /// Number of records in the log.
     pub records: u64,
 }
 
-/// The most breaches that a run collects before it stops.
+/// Number of breaches after which a run stops.
 const BREACHES_MAX: usize = 5;
 
-/// Runs `steps` steps, or until a few breaches were seen.
+/// Runs `steps` steps. Stops earlier if the run has found `BREACHES_MAX` breaches.
 pub fn run(seed: u64, steps: u64, broken: Broken, calm: bool) -> Outcome {
     let mut world = World::new(seed, broken, calm);
     while world.check.step < steps && world.check.breaches.len() < BREACHES_MAX {
--- a/crates/oliveworks-lab/src/prove/net.rs
+++ b/crates/oliveworks-lab/src/prove/net.rs
@@ -1,4 +1,4 @@
-//! The network, the log and the clocks of a proof run.
+//! Network, log and clocks of a proof run.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashSet};
@@ -12,43 +12,43 @@
 use oliveworks_core::pool::Snapshot;
 use oliveworks_core::record::Record;
 
-/// A participant of the run.
+/// Participant of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Node {
-    /// The agent of a host.
+    /// Agent of a host.
     Agent(HostId),
-    /// An entry, by index.
+    /// Entry with the given index.
     Entry(usize),
-    /// The platform's log.
+    /// Log of the platform.
     Log,
 }
 
-/// What one node tells another.
+/// Message from one node to another.
 #[derive(Clone, Debug)]
 pub enum Msg {
-    /// The lease protocol.
+    /// Message of the lease protocol.
     Lease(LeaseMsg),
-    /// An entry asks who an agent is.
+    /// Request of an entry for an agent's `Hello`.
     Probe,
-    /// An agent's incarnation, clock, and the epoch that it leads.
+    /// Incarnation and clock of an agent, and the epoch of the group that it leads.
     Hello { incarnation: Incarnation, clock: Millis, leads: Option<Epoch> },
-    /// An entry hands a request over.
+    /// Request that an entry sends to an agent.
     Run { id: AttemptId, epoch: Epoch, handed: Handover, from: u64, total: u64 },
-    /// A piece of an answer.
+    /// Piece of an answer.
     Piece { id: AttemptId, number: u64, content: u64 },
-    /// An answer's end.
+    /// End of an answer, with its number of pieces.
     End { id: AttemptId, pieces: u64 },
-    /// A try is refused.
+    /// Refusal of an attempt, with the leader to try instead if the agent knows one.
     Refused { id: AttemptId, refusal: Refusal, leader: Option<HostId> },
-    /// A try is to be stopped before it begins.
+    /// Revocation of an attempt that may not have started.
     Revoke { id: AttemptId, handed: Handover },
-    /// What became of it.
+    /// Outcome of a revocation.
     Revoked { id: AttemptId, outcome: Revoked },
-    /// A group's report to a decider.
+    /// Report of a group to a decider.
     Report(GroupReport),
-    /// A process asks for records from an offset on; `number` comes back.
+    /// Request for records from an offset on. The answer carries the same `number`.
     FeedAsk { from: Offset, number: u64 },
-    /// The answer.
+    /// Answer to a request for records.
     FeedAnswer {
         number: u64,
         snapshot: Option<Rc<Snapshot>>,
@@ -56,38 +56,38 @@
         next: Offset,
         age_ms: Option<u64>,
     },
-    /// A record for the log.
+    /// Record to append to the log.
     Append(Rc<Record>),
-    /// A snapshot for the log.
+    /// Snapshot to store in the log.
     Keep(Rc<Snapshot>),
 }
 
-/// Something that is to happen.
+/// Future event.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A process's timer.
+    /// Timer tick of a process.
     Tick(Node),
-    /// A message arrives.
+    /// Arrival of a message.
     Deliver { from: Node, to: Node, msg: Msg },
-    /// An engine finished an order.
+    /// End of an order at an engine. `done` is false if the engine refused the order.
     OrderDone { host: HostId, life: u64, number: u64, done: bool },
-    /// A request reaches an engine, after the gate.
+    /// Arrival of a request at an engine, after the agent's gate.
     EngineStart { host: HostId, life: u64, id: AttemptId },
-    /// An engine makes its next piece.
+    /// Production of the next piece by an engine.
     EngineStep { host: HostId, life: u64, id: AttemptId },
-    /// A caller asks.
+    /// Arrival of a caller's request at an entry.
     Arrive,
-    /// The platform's list is read by the entries.
+    /// Periodic read of the platform's host list by the entries.
     List,
-    /// A fault begins.
+    /// Start of a random fault.
     Fault,
-    /// A fault ends.
+    /// End of the fault with the given number.
     Heal(u64),
-    /// A killed process or host comes back.
+    /// Restart of a killed process or host.
     Return(Node),
 }
 
-/// Events in order of time.
+/// Future events in order of time. Events of the same time keep the order in which they were added.
 #[derive(Default)]
 pub struct Queue {
     heap: BinaryHeap<Reverse<(u64, u64)>>,
@@ -96,32 +96,32 @@
 }
 
 impl Queue {
-    /// Adds an event.
+    /// Adds an event that happens at real time `at`, in milliseconds.
     pub fn push(&mut self, at: u64, event: Event) {
         self.count += 1;
         self.heap.push(Reverse((at, self.count)));
         self.events.insert(self.count, event);
     }
 
-    /// The next event and its time.
+    /// Removes the earliest event and returns its time and the event.
     pub fn pop(&mut self) -> Option<(u64, Event)> {
         let Reverse((at, number)) = self.heap.pop()?;
         self.events.remove(&number).map(|e| (at, e))
     }
 }
 
-/// How the network treats messages at the moment.
+/// Current faults of the network.
 #[derive(Clone, Debug)]
 pub struct Network {
-    /// Directed pairs that lose everything.
+    /// Directed pairs of nodes between which all messages are lost.
     pub cut: HashSet<(Node, Node)>,
-    /// Nodes that neither send nor receive.
+    /// Nodes whose messages are lost in both directions.
     pub isolated: HashSet<Node>,
     /// In thousandths.
     pub loss: u32,
     /// In thousandths.
     pub double: u32,
-    /// The longest delay, in milliseconds.
+    /// Maximum delay of a message, in milliseconds.
     pub delay_ms: u64,
 }
 
@@ -132,68 +132,68 @@
 }
 
 impl Network {
-    /// Whether a message gets through at all.
+    /// Returns whether messages from `from` can reach `to`.
     pub fn connects(&self, from: Node, to: Node) -> bool {
         let isolated = self.isolated.contains(&from) || self.isolated.contains(&to);
         from == to || (!isolated && !self.cut.contains(&(from, to)))
     }
 }
 
-/// The platform's log, with its faults.
+/// Log of the platform, with its faults.
 #[derive(Default)]
 pub struct Log {
-    /// All records ever, by offset.
+    /// All records ever appended, by offset, including dropped ones.
     pub records: Vec<Rc<Record>>,
-    /// When each was appended.
+    /// Real time at which each record was appended, in milliseconds.
     pub times: Vec<u64>,
-    /// The first offset still kept.
+    /// First offset that the log still serves.
     pub start: u64,
-    /// The latest snapshot of our own stream.
+    /// Latest stored snapshot.
     pub snapshot: Option<Rc<Snapshot>>,
-    /// It answers nothing.
+    /// Whether the log is down: it accepts no records and answers no requests.
     pub down: bool,
-    /// It appends, but the answers are lost.
+    /// Whether half of the answers to reads are lost. Appends still take effect.
     pub loses_answers: bool,
-    /// Its answers take this much longer, in milliseconds.
+    /// Additional delay of the log's answers, in milliseconds.
     pub slow_ms: u64,
 }
 
 impl Log {
-    /// Appends.
+    /// Appends a record and returns its offset.
     pub fn append(&mut self, now: u64, record: Rc<Record>) -> Offset {
         self.records.push(record);
         self.times.push(now);
         Offset(self.records.len() as u64 - 1)
     }
 
-    /// The next offset.
+    /// Returns the offset of the next record.
     pub fn next(&self) -> Offset {
         Offset(self.records.len() as u64)
     }
 
-    /// The next offset at an earlier time.
+    /// Returns the offset that was next at an earlier real time.
     pub fn next_at(&self, time: u64) -> u64 {
         self.times.partition_point(|t| *t <= time) as u64
     }
 }
 
-/// A process's own clock: a rate that is off, and any starting point.
+/// Clock of a process, with a rate error and an arbitrary start.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    /// Millionths.
+    /// Rate error, in parts per million.
     pub drift_ppm: i64,
-    /// Milliseconds.
+    /// Reading at real time 0, in milliseconds.
     pub offset: u64,
 }
 
 impl Clock {
-    /// What the clock shows at a real time.
+    /// Returns the reading of the clock at a real time in milliseconds.
     pub fn read(&self, real: u64) -> Millis {
         let drifted = real as i64 + real as i64 * self.drift_ppm / 1_000_000;
         Millis(drifted as u64 + self.offset)
     }
 
-    /// The real time by which the clock surely shows at least `shown`.
+    /// Returns the approximate real time, in milliseconds, at which the clock shows `shown`.
     pub fn real_at(&self, shown: Millis) -> u64 {
         let since = shown.0.saturating_sub(self.offset) as i64;
         let real = since - since * self.drift_ppm / 1_000_000;
--- a/crates/oliveworks-lab/src/prove/outage.rs
+++ b/crates/oliveworks-lab/src/prove/outage.rs
@@ -1,4 +1,4 @@
-//! The log is down for an hour, and a member of a group dies every few minutes.
+//! Outage run: the log is down for an hour, and a member of a group dies every five minutes.
 
 use std::collections::BTreeMap;
 
@@ -9,36 +9,37 @@
 use super::net::{Event, Node};
 use super::world::World;
 
-/// The state at one moment.
+/// State of the run at one time.
 #[derive(Clone, Debug)]
 pub struct Sample {
-    /// Minutes since the log went down.
+    /// Time since the log went down, in minutes.
     pub minute: u64,
-    /// Serving groups by template.
+    /// Number of serving groups by template.
     pub serving: BTreeMap<String, usize>,
-    /// Hosts killed so far.
+    /// Number of hosts killed so far.
     pub killed: usize,
-    /// Requests answered whole, refused as not run, and of unknown outcome so far.
+    /// Numbers of requests so far that were answered completely, that were refused as not run, and
+    /// whose outcome is unknown to the caller.
     pub requests: [u64; 3],
 }
 
-/// Before the log goes down, in milliseconds.
+/// Time before the log goes down, in milliseconds.
 const BEFORE_MS: u64 = 60_000;
-/// The log is down for this long, in milliseconds.
+/// Duration of the log's outage, in milliseconds.
 const DOWN_MS: u64 = 3_600_000;
-/// Between two deaths, in milliseconds.
+/// Time between two kills of a host, in milliseconds.
 const DEATH_MS: u64 = 300_000;
-/// A dead host comes back after this long, in milliseconds.
+/// Time after which a killed host returns, in milliseconds.
 const GONE_MS: u64 = 900_000;
-/// After the log is back, in milliseconds.
+/// Time from the end of the outage to the last sample, in milliseconds.
 const AFTER_MS: u64 = 300_000;
-/// Between two samples, in milliseconds.
+/// Time between two samples during the outage, in milliseconds.
 const SAMPLE_MS: u64 = 600_000;
 
-/// Runs the outage.
+/// Runs the outage and returns the samples.
 ///
 /// # Panics
-/// If a promise is broken on the way.
+/// If an invariant is breached.
 pub fn run(seed: u64) -> Vec<Sample> {
     let mut world = World::new(seed, Broken::None, false);
     world.faults.none = true;
@@ -74,7 +75,8 @@
     while world.now < time && world.step() {}
 }
 
-/// Kills a member of a group that serves; it comes back later with nothing.
+/// Kills a random member of a serving group. The host returns later with an empty state. Returns
+/// `false` if no group serves.
 fn kill_member(world: &mut World) -> bool {
     let views =
         world.agents.iter().filter(|(h, a)| a.agent.is_serving(world.clock(Node::Agent(**h))));
--- a/crates/oliveworks-lab/src/prove/reading.rs
+++ b/crates/oliveworks-lab/src/prove/reading.rs
@@ -1,4 +1,4 @@
-//! The log of a proof run, and how processes read it.
+//! Log of a proof run, and its readers.
 
 use oliveworks_core::feed::Source;
 use oliveworks_core::id::{EntryId, Offset};
@@ -32,7 +32,7 @@
                 let snapshot = if expired { self.log.snapshot.clone() } else { None };
                 let first = snapshot.as_ref().map_or(offset, |s| s.pool.next()).0;
                 if first < self.log.start {
-                    return; // Neither the records nor a snapshot that reaches them.
+                    return; // The records are gone, and no snapshot covers them.
                 }
                 let records = (first..self.log.next().0)
                     .map(|o| (Offset(o), self.log.records[o as usize].clone()))
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Applies an answer of the feed; returns whether the pool changed.
+    /// Applies an answer of the feed. Returns whether the pool changed.
     pub fn read(&mut self, node: Node, from: Node, msg: Msg) -> bool {
         let Msg::FeedAnswer { number, snapshot, records, next, age_ms } = msg else {
             return false;
@@ -89,7 +89,7 @@
         }
         let held = reader.pool.next();
         if held < before {
-            let what = format!("{node:?} went back from {before} to {held}");
+            let what = format!("{node:?} went back from offset {before} to {held}");
             self.check.breach("configuration", what);
         }
         reader.feed.record_answer(now, source, number, next, age_ms, held);
@@ -110,7 +110,8 @@
         held != before
     }
 
-    /// Whoever says how current its configuration is must be right.
+    /// Checks the age that a process reports for its configuration: the process must hold all
+    /// records that the log held at that age.
     pub(super) fn check_age(&mut self, node: Node) {
         let now = self.clock(node);
         let reader = match node {
@@ -122,19 +123,19 @@
         let Some(age) = reader.feed.age_ms(now) else {
             return;
         };
-        // The durations were taken on clocks that are off by the bound.
+        // The age was measured on drifting clocks. A margin of 4/1000 and 2 ms covers their errors.
         let real_age = age + age * 4 / 1000 + 2;
         let was = self.log.next_at(self.now.saturating_sub(real_age));
         if reader.pool.next().0 < was {
             let what = format!(
-                "{node:?} holds {} and says that it was the latest {age} ms ago, when {was} was",
+                "{node:?} reports offset {} as the latest {age} ms ago, when the log was at {was}",
                 reader.pool.next()
             );
             self.check.breach("configuration", what);
         }
     }
 
-    /// Asks the process's source for records.
+    /// Requests records from the process's current source.
     pub fn ask_feed(&mut self, node: Node) {
         let now = self.clock(node);
         let reader = match node {
--- a/crates/oliveworks-lab/src/prove/world.rs
+++ b/crates/oliveworks-lab/src/prove/world.rs
@@ -1,4 +1,4 @@
-//! The world of a proof run: processes, engines, callers and time.
+//! State of a proof run: processes, engines, callers and simulated time.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -26,174 +26,179 @@
 use super::faults::Faults;
 use super::net::{Clock, Event, Log, Msg, Network, Node, Queue};
 
-/// Model hosts, half in each of two fabric domains.
+/// Number of model hosts. Half of them are in each of two fabric domains.
 pub const MODEL_HOSTS: u32 = 16;
-/// Hosts with a plain service, one in each domain.
+/// Number of hosts with a plain service, spread over the two fabric domains.
 pub const SERVICE_HOSTS: u32 = 3;
-/// Entries.
+/// Number of entries.
 pub const ENTRIES: usize = 3;
-/// Between two ticks of a process, in milliseconds.
+/// Time between two ticks of a process, in milliseconds.
 pub const TICK_MS: u64 = 100;
-/// The clocks' rates are off by at most this.
+/// Maximum error of a clock's rate, in parts per million.
 const DRIFT_PPM: i64 = 1000;
-/// Records that an entry keeps to pass on.
+/// Number of recent records that a process keeps, to serve them to other processes.
 pub const TAIL: usize = 64;
 
-/// What every process keeps of the log.
+/// Copy of the log's state in a process.
 pub struct Reader {
-    /// The pool.
+    /// Pool that results from the records applied so far.
     pub pool: Pool,
-    /// Where records come from.
+    /// Source of records.
     pub feed: Feed,
-    /// Recent records, to pass on.
+    /// Recent records, kept to serve them to other processes.
     pub tail: VecDeque<(Offset, Rc<Record>)>,
 }
 
-/// A request that an agent runs.
+/// Request that an agent runs.
 pub struct Running {
-    /// The entry that waits.
+    /// Entry that waits for the answer.
     pub entry: Node,
-    /// What was handed over.
+    /// Request as the entry handed it over.
     pub handed: Handover,
-    /// The view that began it.
+    /// Permit of the view that started the request.
     pub permit: RunPermit,
 }
 
-/// An agent process.
+/// Agent process.
 pub struct AgentProc {
-    /// The decisions.
+    /// Decision code under test.
     pub agent: Agent,
-    /// The log as known here.
+    /// Log as read by this process.
     pub reader: Reader,
-    /// What runs.
+    /// Requests that run at the engine.
     pub runs: BTreeMap<AttemptId, Running>,
-    /// When to report again.
+    /// Real time from which the next periodic report is due, in milliseconds.
     pub report_at: u64,
 }
 
-/// An engine or a plain service.
+/// Engine or plain service: the backend server of a host.
 pub struct Engine {
-    /// Which life of the engine this is; zero while it is dead.
+    /// Incarnation of the engine. Zero while the engine is dead.
     pub life: u64,
-    /// The highest fence seen.
+    /// Highest fence received.
     pub fence: Fence,
-    /// Whether it refuses orders and requests with a lower fence.
+    /// Whether the engine refuses orders and requests with a lower fence.
     pub checks: bool,
-    /// What runs: the next piece and the total.
+    /// Running requests: number of the next piece, and total number of pieces.
     pub runs: BTreeMap<AttemptId, (u64, u64)>,
-    /// Requests on their way to it.
+    /// Requests in transit from the agent to the engine: fence, first piece, total number of
+    /// pieces, and whether the request may be repeated.
     pub coming: BTreeMap<AttemptId, (Fence, u64, u64, bool)>,
 }
 
-/// A request at its entry.
+/// Outstanding request at its entry.
 pub struct Open {
-    /// The decisions.
+    /// Decision code under test.
     pub relay: Relay,
-    /// What it asks for.
+    /// Kind of the requested template.
     pub kind: Kind,
-    /// Pieces of the whole answer.
+    /// Number of pieces of the complete answer.
     pub total: u64,
-    /// Latest end by the entry's clock.
+    /// Deadline by the entry's clock.
     pub deadline: Millis,
-    /// The caller's key.
+    /// Idempotency key of the caller.
     pub key: Option<oliveworks_core::ledger::Key>,
-    /// When the request, or its key, was first used, in real time.
+    /// Real time of the first use of the request or its key, in milliseconds.
     pub first: u64,
-    /// The present try.
+    /// Current attempt.
     pub current: Option<(AttemptId, HostId, Handover)>,
-    /// When the present try, or its revocation, counts as lost.
+    /// Time, by the entry's clock, from which the current attempt or its revocation counts as lost.
     pub lost_at: Millis,
-    /// Waiting for the answer to a revocation.
+    /// Whether the entry waits for the answer to a revocation.
     pub revoking: bool,
 }
 
-/// A key whose caller may ask again.
+/// Key whose caller does not know the outcome and may retry.
 #[derive(Clone, Copy, Debug)]
 pub struct Again {
-    /// The request.
+    /// Request that the key belongs to.
     pub id: RequestId,
-    /// The key.
+    /// Idempotency key.
     pub key: oliveworks_core::ledger::Key,
-    /// When it was first used, in real time.
+    /// Real time of the first use of the key, in milliseconds.
     pub first: u64,
 }
 
-/// Callers may use a key again until this long after its first use, in milliseconds.
+/// Time after its first use during which callers may reuse a key, in milliseconds.
 pub const KEY_REUSE_MS: u64 = KEY_WINDOW_MS - KEY_FRESH_MS;
-/// How long keys are remembered.
+/// Time for which agents keep a key, in milliseconds.
 const KEY_WINDOW_MS: u64 = 60_000;
-/// How current a configuration must be to decide on keys.
+/// Maximum age of a configuration for decisions on keys, in milliseconds.
 const KEY_FRESH_MS: u64 = 10_000;
 
-/// An entry process.
+/// Entry process.
 pub struct EntryProc {
-    /// The log as known here.
+    /// Log as read by this process.
     pub reader: Reader,
-    /// The deciding role.
+    /// Decider of the entry.
     pub decider: Decider,
-    /// Agents as last heard: incarnation, clock and when.
+    /// Last `Hello` of each agent: incarnation, time by the agent's clock, and time of receipt by
+    /// the entry's clock.
     pub agents: BTreeMap<HostId, (Incarnation, Millis, Millis)>,
-    /// Leaders of groups as last heard.
+    /// Last reported leader of each group.
     pub leaders: BTreeMap<Epoch, HostId>,
-    /// Requests.
+    /// Outstanding requests.
     pub open: BTreeMap<RequestId, Open>,
-    /// Snapshot taken at.
+    /// Offset that follows the last record in the last snapshot stored by this entry.
     pub kept_at: Offset,
 }
 
-/// Everything.
+/// State of the whole run.
 pub struct World {
-    /// Real time in milliseconds.
+    /// Real time, in milliseconds.
     pub now: u64,
-    /// What is to happen.
+    /// Future events.
     pub queue: Queue,
-    /// The seed's stream.
+    /// Random number generator, seeded with the seed of the run.
     pub rng: ChaCha8Rng,
-    /// The network.
+    /// Network between the nodes.
     pub net: Network,
-    /// The log.
+    /// Log of the platform.
     pub log: Log,
-    /// Clocks of processes.
+    /// Clocks of the processes.
     pub clocks: BTreeMap<Node, Clock>,
-    /// Running agents.
+    /// Running agent processes.
     pub agents: BTreeMap<HostId, AgentProc>,
-    /// Engines.
+    /// Engines and plain services, including dead ones.
     pub engines: BTreeMap<HostId, Engine>,
-    /// Running entries.
+    /// Running entry processes.
     pub entries: BTreeMap<usize, EntryProc>,
-    /// Paused processes with what waits for them.
+    /// Paused processes, with the events that are delivered to them when they resume.
     pub paused: BTreeMap<Node, Vec<Event>>,
-    /// What hosts truly promised.
+    /// Promises that are in force at each host.
     pub promises: BTreeMap<HostId, TruePromise>,
-    /// The platform's list, as it will be shown.
+    /// Host list that the platform currently serves.
     pub list: Vec<ListedHost>,
-    /// The platform's list is stuck.
+    /// Whether the platform's host list is stuck at its last state.
     pub list_stuck: bool,
-    /// Hosts that the platform wrongly leaves out.
+    /// Hosts that the platform wrongly omits from its host list.
     pub list_wrong: BTreeSet<HostId>,
-    /// The judge.
+    /// Invariant checks.
     pub check: Checker,
-    /// Faults in progress and counts.
+    /// Faults in progress, and their statistics.
     pub faults: Faults,
-    /// The deliberate defect of this run.
+    /// Deliberate defect of this run.
     pub broken: Broken,
-    /// Only planned changes, no faults.
+    /// Whether the run makes planned changes only, without faults.
     pub calm: bool,
-    /// A running digest of all that happened.
+    /// Running digest of all events.
     pub digest: u64,
-    /// Keys whose callers do not know the outcome and will ask again.
+    /// Keys whose callers do not know the outcome and may retry.
     pub again: Vec<Again>,
-    /// Numbers engines' lives.
+    /// Number of engine starts so far. The source of engine incarnations.
     pub lives: u64,
 }
 
-/// A name that is known to be good.
+/// Returns a name that is known to be valid.
+///
+/// # Panics
+/// If the name is invalid.
 pub fn name(text: &str) -> Name {
-    Name::new(text).expect("a constant name")
+    Name::new(text).expect("the name literal is valid")
 }
 
 impl World {
-    /// A world at rest, with both partners' templates in the log.
+    /// Creates a run without faults in progress, with both partners' templates in the log.
     pub fn new(seed: u64, broken: Broken, calm: bool) -> World {
         let mut world = World {
             now: 10_000,
@@ -242,13 +247,14 @@
         }
     }
 
-    /// A partner's operators publish a template straight to the log.
+    /// Appends a template to the log on behalf of its partner's operators.
     pub fn publish(&mut self, template: Template) {
         let author = Author::Partner(template.partner.clone());
         self.operator(author, Body::PublishTemplate { template, edits: None });
     }
 
-    /// An operator's record, straight to the log unless that is down.
+    /// Appends an operator's record to the log, without the network. Does nothing while the log is
+    /// down.
     pub fn operator(&mut self, author: Author, body: Body) {
         if self.log.down {
             return;
@@ -257,12 +263,12 @@
         self.log.append(self.now, Rc::new(Record { id, author, body }));
     }
 
-    /// A random number of 128 bits.
+    /// Draws a random number of 128 bits.
     pub fn draw(&mut self) -> u128 {
         (u128::from(self.rng.next_u64()) << 64) | u128::from(self.rng.next_u64())
     }
 
-    /// A process's clock.
+    /// Returns the current time by the clock of a process.
     pub fn clock(&self, node: Node) -> Millis {
         self.clocks.get(&node).map_or(Millis(0), |c| c.read(self.now))
     }
@@ -285,7 +291,7 @@
         }
     }
 
-    /// Starts a process that knows nothing.
+    /// Starts a process with an empty state and a new clock.
     pub fn start(&mut self, node: Node) {
         let drift_ppm = self.rng.random_range(-DRIFT_PPM..=DRIFT_PPM);
         let offset = self.rng.random_range(0..1_000_000);
@@ -306,7 +312,7 @@
                     },
                     order_max_ms: if checks { 0 } else { ENGINE_ORDER_MAX_MS },
                 };
-                // The broken variant believes that it has been quiet for long enough already.
+                // The broken variant starts as if it had already been quiet for 10 s.
                 let quiet = if self.broken == Broken::NoQuiet { 10_000 } else { 0 };
                 let began = Millis(now.0.saturating_sub(quiet));
                 let mut agent = Agent::new(began, incarnation, config);
@@ -338,7 +344,7 @@
         self.queue.push(self.now + jitter, Event::Tick(node));
     }
 
-    /// Starts a host's backend server afresh.
+    /// Starts a host's backend server as a new incarnation with an empty state.
     pub fn start_engine(&mut self, host: HostId) {
         self.lives += 1;
         let engine = Engine {
@@ -351,12 +357,12 @@
         self.engines.insert(host, engine);
     }
 
-    /// The fabric domain of a host.
+    /// Returns the fabric domain of a host.
     pub fn domain(host: HostId) -> DomainId {
         DomainId((host.0 % 2) as u16)
     }
 
-    /// Sends a message through the network as it is now.
+    /// Sends a message through the network, subject to the current network faults.
     pub fn send(&mut self, from: Node, to: Node, msg: Msg) {
         if !self.net.connects(from, to) {
             return;
@@ -373,7 +379,7 @@
         }
     }
 
-    /// One step. Returns false when nothing is left to do.
+    /// Processes the next event. Returns `false` if no event is left.
     pub fn step(&mut self) -> bool {
         let Some((at, event)) = self.queue.pop() else {
             return false;
@@ -438,7 +444,7 @@
         }
     }
 
-    /// Carries an agent's commands out.
+    /// Executes an agent's commands.
     pub fn obey(&mut self, host: HostId, commands: Vec<Command>) {
         for command in commands {
             match command {
@@ -453,7 +459,8 @@
         self.note_promise(host);
     }
 
-    /// Tracks what a host has truly promised.
+    /// Records the promise that is in force at a host, and checks that a restarted agent does not
+    /// make a different promise before the earlier one has ended.
     fn note_promise(&mut self, host: HostId) {
         let now = self.clock(Node::Agent(host));
         let Some(proc) = self.agents.get(&host) else {
@@ -465,14 +472,17 @@
         match proc.agent.promise(now) {
             Some(p) => {
                 let old = self.promises.get(&host).copied();
-                // A promise of an earlier run of the agent must have ended by now.
+                // A promise made before the agent restarted must have ended by now.
                 let forgotten = self.faults.restarted.remove(&host);
                 if let Some(old) = old
                     && forgotten
                     && old.until > self.now
                     && (old.epoch, old.leader) != (p.epoch, p.leader)
                 {
-                    let what = format!("{host} joins {} while bound to {}", p.epoch, old.epoch);
+                    let what = format!(
+                        "{host} joins {} while its promise to {} is still in force",
+                        p.epoch, old.epoch
+                    );
                     self.check.breach("two groups", what);
                 }
                 let until = clock.real_at(p.until).saturating_sub(1);
@@ -487,7 +497,7 @@
     }
 }
 
-/// The longest that an order takes at an engine, in milliseconds.
+/// Maximum time that an order takes at an engine, in milliseconds.
 pub const ENGINE_ORDER_MAX_MS: u64 = 900;
 
 impl Msg {
@@ -511,7 +521,7 @@
     }
 }
 
-/// A model's template for the run.
+/// Returns a model template for the run.
 pub fn model_template(
     partner: &str,
     model: &str,
@@ -537,7 +547,7 @@
     }
 }
 
-/// The plain service's template for the run.
+/// Returns the template of the plain service for the run.
 pub fn service_template(replicas: u16) -> Template {
     let mut template = model_template("saffah", "booking", 0, replicas, 5);
     template.kind = Kind::Service;
--- a/crates/oliveworks-lab/src/routing.rs
+++ b/crates/oliveworks-lab/src/routing.rs
@@ -1,7 +1,8 @@
-//! Routing policies on one seeded trace: times to first token and between tokens, goodput, refusals.
+//! Simulation of routing policies on a seeded trace. Measures times to first token and between
+//! tokens, goodput and refusals.
 //!
-//! The shipped [`Router`] and [`Admission`] run against a small model of engines with continuous
-//! batching and a prefix cache. Each policy gets the same arrivals.
+//! The shipped [`Router`] and [`Admission`] run against a simple model of engines with continuous
+//! batching and a prefix cache. All policies get the same arrivals.
 
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet, VecDeque};
 
@@ -13,35 +14,36 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Groups behind the entry.
+/// Number of groups behind the entry.
 const GROUPS: u64 = 8;
-/// Requests that a group runs at once.
+/// Number of requests that a group runs concurrently.
 const CAPACITY: u32 = 16;
-/// One step of an engine, in milliseconds, and what each further request adds to it.
+/// Duration of an engine step without requests, and the time that each request adds, in
+/// milliseconds.
 const STEP_MS: f64 = 8.0;
 const STEP_EACH_MS: f64 = 0.35;
-/// Prompt tokens prefilled in a millisecond.
+/// Number of prompt tokens that an engine prefills per millisecond.
 const PREFILL: f64 = 8.0;
-/// Tokens in a block of the prefix cache, and blocks held.
+/// Number of tokens in a block of the prefix cache, and maximum number of blocks in the cache.
 const BLOCK: u32 = 16;
 const BLOCKS: usize = 1_200;
-/// Load reports come this often, in milliseconds.
+/// Time between two load reports of a group, in milliseconds.
 const REPORT_MS: u64 = 500;
-/// Callers give up after this long, in milliseconds.
+/// Deadline of a request after its arrival, in milliseconds.
 const DEADLINE_MS: u64 = 10_000;
 
-/// What a policy came to.
+/// Results of a policy.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Milliseconds to the first token.
+    /// Times to the first token, in milliseconds.
     pub first: Histogram<u64>,
-    /// Milliseconds between tokens.
+    /// Times between tokens, in milliseconds.
     pub between: Histogram<u64>,
-    /// Tokens a second of answers that met their deadline.
+    /// Tokens per second of answers that met their deadline.
     pub goodput: f64,
-    /// Requests refused, in hundredths.
+    /// Refused requests, in percent.
     pub refused: f64,
-    /// Answers whose first token came within 580 ms, in hundredths.
+    /// Answers whose first token arrived within 580 ms, in percent of all requests.
     pub in_time: f64,
 }
 
@@ -97,8 +99,9 @@
     }
 }
 
-/// Requests of the two partners: short dispatch questions with few long prefixes, and rehearsal
-/// plans with many, longer ones. `load` is relative to what the groups can carry.
+/// Returns the requests of the two partners: short dispatch questions that share few long prefixes,
+/// and rehearsal plans that share many, longer ones. `load` is relative to what the groups can
+/// carry, taken as 85 percent of their decode throughput with full batches.
 fn requests(seed: u64, load: f64, seconds: f64) -> Vec<Request> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mean_tokens = 0.6 * 60.0 + 0.4 * 140.0;
@@ -142,7 +145,7 @@
 }
 
 fn name(text: &str) -> Name {
-    Name::new(text).expect("a constant name")
+    Name::new(text).expect("the name literal is valid")
 }
 
 struct World {
@@ -159,18 +162,19 @@
     in_time: u64,
 }
 
-/// Engines' steps are events numbered by their group; arrivals and reports have these numbers.
+/// Event numbers of arrivals and load reports. The step of an engine has the number of its group.
 const ARRIVAL: u64 = 1_000;
 const REPORT: u64 = 1_001;
 
-/// Runs one policy on the trace of a seed.
+/// Simulates one policy on the trace of a seed.
 pub fn measure(policy: Policy, seed: u64, load: f64, seconds: f64) -> Outcome {
     let requests = requests(seed, load, seconds);
     let routing = RouteConfig { policy, prefill_per_ms: PREFILL, ..RouteConfig::default() };
     let mut router = Router::new(routing);
     let groups: Vec<Epoch> = (0..GROUPS).map(Epoch).collect();
     router.set_groups(groups.iter().copied());
-    let histogram = || Histogram::new_with_bounds(1, 600_000, 3).expect("constant bounds");
+    let histogram =
+        || Histogram::new_with_bounds(1, 600_000, 3).expect("the histogram bounds are valid");
     let mut world = World {
         engines: groups.iter().map(|e| (*e, Engine::default())).collect(),
         router,
@@ -266,7 +270,8 @@
         }
     }
 
-    /// One step: admits, prefills what is cold, makes a token for each request.
+    /// Runs one engine step: admits waiting requests, prefills their uncached tokens, and produces
+    /// a token for each request. Returns the duration of the step in milliseconds.
     fn step(&mut self, now: f64, epoch: Epoch) -> f64 {
         let Some(engine) = self.engines.get_mut(&epoch) else { return STEP_MS };
         let mut took = 0.0;
@@ -307,7 +312,7 @@
         }
         engine.running.retain(|j| j.left > 0);
         if !ended.is_empty() {
-            // The end of an answer carries the load.
+            // The end of an answer carries a load report.
             let load = engine.load();
             for _ in &ended {
                 self.router.ended(Millis(now as u64), epoch, false);
--- a/crates/oliveworks-lab/src/slopes.rs
+++ b/crates/oliveworks-lab/src/slopes.rs
@@ -1,4 +1,4 @@
-//! What the decisions cost by the size of the pool: the slopes behind `docs/CAPACITY.md`.
+//! Cost of the decisions by the size of the pool. These are the slopes in `docs/CAPACITY.md`.
 
 use std::time::Instant;
 
@@ -10,42 +10,42 @@
 use oliveworks_core::record::{Author, Body, Record};
 use oliveworks_core::template::{Kind, Limits, Role, Template};
 
-/// Hosts of one replica.
+/// Number of hosts of one replica.
 const WIDTH: u16 = 8;
-/// Fabric domains at the full size, and hosts in each.
+/// Number of hosts of each fabric domain at the full size.
 const DOMAIN_HOSTS: u32 = 273;
-/// Templates: each has so many replicas.
+/// Number of replicas of each template.
 const REPLICAS: u16 = 16;
 
-/// The costs at one size.
+/// Costs at one fleet size.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// Hosts.
+    /// Number of hosts.
     pub hosts: u32,
-    /// Groups formed.
+    /// Number of groups formed.
     pub groups: usize,
-    /// Bytes of a snapshot.
+    /// Size of a snapshot, in bytes.
     pub snapshot_bytes: usize,
-    /// Bytes of one group record as JSON.
+    /// Size of one group record as JSON, in bytes.
     pub record_bytes: usize,
-    /// Microseconds to apply one record.
+    /// Mean time to apply one record, in microseconds.
     pub apply_us: f64,
-    /// Microseconds to open a snapshot.
+    /// Time to open and verify a snapshot, in microseconds.
     pub open_us: f64,
-    /// Microseconds of a plan that finds nothing to do.
+    /// Time of a planning round that changes nothing, in microseconds.
     pub idle_plan_us: f64,
-    /// Bytes of the platform's list as JSON.
+    /// Size of the platform's host list as JSON, in bytes.
     pub list_bytes: usize,
-    /// After the loss of a rack of 40: records, and rounds of the decider.
+    /// Numbers of records and of planning rounds after the loss of a rack of 40 hosts.
     pub rack: (usize, usize),
-    /// After the loss of a domain: records, and rounds of the decider.
+    /// Numbers of records and of planning rounds after the loss of a fabric domain.
     pub domain: (usize, usize),
-    /// Microseconds of the longest plan of these repairs.
+    /// Time of the longest planning round of these repairs, in microseconds.
     pub repair_plan_us: f64,
 }
 
 fn name(text: &str) -> Name {
-    Name::new(text).expect("a constant name")
+    Name::new(text).expect("the name literal is valid")
 }
 
 fn listed(hosts: u32, gone: &dyn Fn(u32) -> bool) -> Vec<ListedHost> {
@@ -120,7 +120,8 @@
     }
 }
 
-/// Plans until nothing is left to do; returns records, rounds and the longest plan.
+/// Runs the planner until it has nothing left to change, for at most 201 rounds. Returns the number
+/// of records, the number of rounds, and the time of the longest round in microseconds.
 fn settle(
     log: &mut Log,
     fleet: &mut Fleet,
@@ -142,15 +143,19 @@
         for body in planned.records {
             log.append(Author::System, body);
         }
-        debug_assert_ne!(before, log.pool.digest(), "a plan that changes nothing");
+        debug_assert_ne!(
+            before,
+            log.pool.digest(),
+            "the planner returned records that change nothing"
+        );
     }
 }
 
-/// Measures at one size.
+/// Measures the costs at one fleet size.
 pub fn measure(hosts: u32) -> Row {
     let mut log =
         Log { pool: Pool::new([name("saffah"), name("sahel")]), next: 0, applied_us: 0.0 };
-    // One replica in sixteen is left to chance, so that repairs find free hosts.
+    // One sixteenth of the replicas that fit is left out, so that repairs find free hosts.
     let mut left = hosts / u32::from(WIDTH) * 15 / 16;
     let mut number = 0;
     while left > 0 {
@@ -173,7 +178,7 @@
     let start = Instant::now();
     Snapshot::from_bytes(&snapshot)
         .and_then(Snapshot::into_verified_pool)
-        .expect("it was just written");
+        .expect("a snapshot that was just written is valid");
     let open_us = micros(start);
     let start = Instant::now();
     for _ in 0..20 {
@@ -214,7 +219,7 @@
     }
 }
 
-/// Bytes of messages as they are encoded, by kind.
+/// Returns the encoded size of messages by kind, in bytes.
 pub fn message_bytes() -> Vec<(&'static str, usize)> {
     let size = |m: &LeaseMsg| postcard::to_stdvec(m).map_or(0, |b| b.len());
     let (epoch, view, seq) = (Epoch(13_000), View(3), u64::MAX / 3);
@@ -235,8 +240,8 @@
     ]
 }
 
-/// A line through points by least squares: value at zero, slope, and the largest residual as a part
-/// of the largest value.
+/// Fits a line to points by least squares. Returns the value at zero, the slope, and the largest
+/// residual as a fraction of the largest value.
 pub fn fit(points: &[(f64, f64)]) -> (f64, f64, f64) {
     let n = points.len() as f64;
     let (sx, sy) = points.iter().fold((0.0, 0.0), |(a, b), (x, y)| (a + x, b + y));
--- a/crates/oliveworks-lab/tests/prove.rs
+++ b/crates/oliveworks-lab/tests/prove.rs
@@ -1,4 +1,5 @@
-//! Short proof runs: the whole decisions pass, and each deliberate defect is seen.
+//! Short proof runs: the shipped decision code keeps all invariants, and each deliberate defect
+//! listed here is detected.
 
 use oliveworks_lab::prove::{Broken, run};
 use test_case::test_case;
@@ -12,7 +13,7 @@
     }
 }
 
-// Seeds and steps at which each defect was first seen; see docs/PROOFS.md.
+// Seed and number of steps with which each defect was first detected; see docs/PROOFS.md.
 #[test_case(Broken::MixesTries, 1, 70_000, "whole answer")]
 #[test_case(Broken::RepeatsAll, 1, 50_000, "at most once")]
 #[test_case(Broken::NoQuiet, 4, 50_000, "two groups")]
