--- a/crates/oliveworks-lab/src/load.rs
+++ b/crates/oliveworks-lab/src/load.rs
@@ -34,15 +34,15 @@
 
 /// Results of a load.
 #[derive(Debug)]
-pub struct Result {
+pub struct LoadResult {
     /// Number of complete and correct answers.
-    pub whole: usize,
+    pub succeeded: usize,
     /// Number of all other requests.
     pub failed: usize,
     /// Duration of the load, in seconds.
     pub seconds: f64,
     /// Times to the first byte of an answer's body, in microseconds.
-    pub first: Histogram<u64>,
+    pub first_byte: Histogram<u64>,
     /// Times to the end of an answer, in microseconds.
     pub total: Histogram<u64>,
 }
@@ -52,21 +52,26 @@
 }
 
 struct Shared {
-    left: usize,
-    result: Result,
+    remaining: usize,
+    result: LoadResult,
 }
 
 /// Sends the load and waits until it ends.
 ///
 /// # Errors
 /// If the address is not on loopback.
-pub async fn run(load: &Load) -> anyhow::Result<Result> {
+pub async fn run(load: &Load) -> anyhow::Result<LoadResult> {
     if !load.url.starts_with("http://127.") {
         bail!("refused to send a load to {}: the address is not on loopback", load.url);
     }
-    let result =
-        Result { whole: 0, failed: 0, seconds: 0.0, first: histogram(), total: histogram() };
-    let shared = Rc::new(RefCell::new(Shared { left: load.requests, result }));
+    let result = LoadResult {
+        succeeded: 0,
+        failed: 0,
+        seconds: 0.0,
+        first_byte: histogram(),
+        total: histogram(),
+    };
+    let shared = Rc::new(RefCell::new(Shared { remaining: load.requests, result }));
     let start = Instant::now();
     let callers = (0..load.concurrency).map(|n| caller(load, n, start, shared.clone()));
     join_all(callers).await;
@@ -74,7 +79,7 @@
     let shared = Rc::try_unwrap(shared)
         .map_err(|_| anyhow!("a caller is still running after the load ended"))?
         .into_inner();
-    Ok(Result { seconds, ..shared.result })
+    Ok(LoadResult { seconds, ..shared.result })
 }
 
 async fn caller(load: &Load, number: usize, start: Instant, shared: Rc<RefCell<Shared>>) {
@@ -83,18 +88,19 @@
     while start.elapsed() < load.within {
         {
             let mut shared = shared.borrow_mut();
-            if shared.left == 0 {
+            if shared.remaining == 0 {
                 return;
             }
-            shared.left -= 1;
+            shared.remaining -= 1;
         }
         count += 1;
-        let outcome = one(&http, load, &format!("caller {number} asks {count} times")).await;
+        let outcome =
+            send_completion(&http, load, &format!("caller {number} asks {count} times")).await;
         let mut shared = shared.borrow_mut();
         match outcome {
             Ok((first, total)) => {
-                shared.result.whole += 1;
-                shared.result.first.saturating_record(first.as_micros() as u64);
+                shared.result.succeeded += 1;
+                shared.result.first_byte.saturating_record(first.as_micros() as u64);
                 shared.result.total.saturating_record(total.as_micros() as u64);
             }
             Err(_) => shared.result.failed += 1,
@@ -104,7 +110,11 @@
 
 /// Requests a streamed completion and checks that the answer is complete. Returns the times to the
 /// first byte and to the end of the answer.
-async fn one(http: &Client, load: &Load, text: &str) -> anyhow::Result<(Duration, Duration)> {
+async fn send_completion(
+    http: &Client,
+    load: &Load,
+    text: &str,
+) -> anyhow::Result<(Duration, Duration)> {
     let body = json!({
         "model": load.model, "stream": true, "max_tokens": load.tokens,
         "messages": [{"role": "user", "content": text}],
--- a/crates/oliveworks-lab/src/main.rs
+++ b/crates/oliveworks-lab/src/main.rs
@@ -124,14 +124,14 @@
 
 /// Runs the seeds on one thread per available processor.
 fn prove_all(seed: u64, steps: u64, seeds: u64, broken: Broken, calm: bool) -> Vec<Outcome> {
-    let each = steps.div_ceil(seeds);
+    let steps_per_seed = steps.div_ceil(seeds);
     let threads = std::thread::available_parallelism().map_or(1, usize::from) as u64;
     let mut outcomes = BTreeMap::new();
     std::thread::scope(|scope| {
         let run = |t: u64| {
             (t..seeds)
                 .step_by(threads as usize)
-                .map(|i| (i, prove::run(seed + i, each, broken, calm)))
+                .map(|i| (i, prove::run(seed + i, steps_per_seed, broken, calm)))
                 .collect::<Vec<_>>()
         };
         let handles: Vec<_> = (0..threads).map(|t| scope.spawn(move || run(t))).collect();
@@ -155,7 +155,7 @@
         for breach in outcome.breaches.iter().take(1) {
             println!(
                 "seed {}: breach of {:?} at step {}: {}",
-                outcome.seed, breach.promise, breach.step, breach.what
+                outcome.seed, breach.invariant, breach.step, breach.detail
             );
         }
     }
@@ -195,21 +195,22 @@
 }
 
 fn print_placement(seeds: u64, size: Size) -> ExitCode {
-    let (trace, fetches) = match size {
+    let (trace, concurrent_fetches) = match size {
         Size::Today => (Trace::today(), 4),
         Size::TwoYears => (Trace::two_years(), 64),
     };
-    let costs = Costs { notice: 4.0, spare: 3.5, load: 60.0, bind: 1.5, fetches };
+    let costs =
+        Costs { detection_s: 4.0, failover_s: 3.5, fetch_s: 60.0, bind_s: 1.5, concurrent_fetches };
     println!("{} hosts, {} days, {seeds} traces", trace.hosts, trace.days);
     println!(
         "| placement | downtime Saffah % | downtime Sahel % | floor % | stranded % | floor % | records |"
     );
-    let ways = [
+    let configurations = [
         ("first fit, rebuilds whole", PlacementConfig::first_fit()),
         ("no spares", PlacementConfig::no_spares()),
         ("shipped", PlacementConfig::default()),
     ];
-    for (name, config) in ways {
+    for (name, config) in configurations {
         let runs: Vec<_> = std::thread::scope(|scope| {
             let trace = &trace;
             let handles: Vec<_> = (0..seeds)
@@ -241,11 +242,11 @@
         for policy in [Policy::RoundRobin, Policy::LeastLoaded, Policy::Cost] {
             let runs: Vec<_> =
                 (0..seeds).map(|seed| routing::measure(policy, seed, load, seconds)).collect();
-            let mut first = runs[0].first.clone();
-            let mut between = runs[0].between.clone();
+            let mut first = runs[0].first_token.clone();
+            let mut between = runs[0].between_tokens.clone();
             for run in &runs[1..] {
-                first.add(&run.first).expect("all histograms have the same bounds");
-                between.add(&run.between).expect("all histograms have the same bounds");
+                first.add(&run.first_token).expect("all histograms have the same bounds");
+                between.add(&run.between_tokens).expect("all histograms have the same bounds");
             }
             let quantiles = |h: &hdrhistogram::Histogram<u64>| {
                 [0.5, 0.95, 0.99].map(|q| h.value_at_quantile(q).to_string()).join(" / ")
@@ -285,10 +286,10 @@
             r.open_us,
             r.idle_plan_us,
             r.list_bytes,
-            r.rack.0,
-            r.rack.1,
-            r.domain.0,
-            r.domain.1,
+            r.rack_repair.0,
+            r.rack_repair.1,
+            r.domain_repair.0,
+            r.domain_repair.1,
             r.repair_plan_us
         );
     }
@@ -299,13 +300,16 @@
         ("idle plan us", |r| r.idle_plan_us),
         ("list bytes", |r| r.list_bytes as f64),
     ];
-    for (what, value) in fits {
+    for (label, value) in fits {
         let points: Vec<(f64, f64)> = rows.iter().map(|r| (f64::from(r.hosts), value(r))).collect();
         let (base, slope, residual) = slopes::fit(&points);
-        println!("fit {what}: {base:.1} + {slope:.4} per host, residual {:.1} %", residual * 100.0);
+        println!(
+            "fit {label}: {base:.1} + {slope:.4} per host, residual {:.1} %",
+            residual * 100.0
+        );
     }
-    for (what, bytes) in slopes::message_bytes() {
-        println!("bytes of a {what}: {bytes}");
+    for (label, bytes) in slopes::message_bytes() {
+        println!("bytes of a {label}: {bytes}");
     }
     ExitCode::SUCCESS
 }
@@ -325,10 +329,10 @@
             println!(
                 "{}",
                 serde_json::json!({
-                    "whole": r.whole, "failed": r.failed, "seconds": r.seconds,
-                    "requests_per_s": r.whole as f64 / r.seconds,
-                    "tokens_per_s": r.whole as f64 * f64::from(tokens) / r.seconds,
-                    "first_us": quantiles(&r.first), "total_us": quantiles(&r.total),
+                    "whole": r.succeeded, "failed": r.failed, "seconds": r.seconds,
+                    "requests_per_s": r.succeeded as f64 / r.seconds,
+                    "tokens_per_s": r.succeeded as f64 * f64::from(tokens) / r.seconds,
+                    "first_us": quantiles(&r.first_byte), "total_us": quantiles(&r.total),
                 })
             );
             if r.failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
--- a/crates/oliveworks-lab/src/prove/agents.rs
+++ b/crates/oliveworks-lab/src/prove/agents.rs
@@ -18,12 +18,12 @@
 const REPORT_MS: u64 = 2_000;
 /// Time after a member is told to leave within which its leader must have observed that, in
 /// milliseconds. From then on the member must get no new requests.
-const LEAVE_MS: u64 = 1_700;
+const LEAVE_NOTICE_MS: u64 = 1_700;
 
 impl World {
     /// Returns the current time as an agent's ledger needs it. The wall clock shows real time,
     /// which is within the clock skew allowed for callers.
-    fn moment(&self, host: HostId) -> Option<Now> {
+    fn ledger_time(&self, host: HostId) -> Option<Now> {
         let mono = self.clock(Node::Agent(host));
         let proc = self.agents.get(&host)?;
         let age = proc.reader.feed.age_ms(mono).unwrap_or(u64::MAX);
@@ -32,16 +32,16 @@
 
     pub(super) fn agent_tick(&mut self, host: HostId) {
         let node = Node::Agent(host);
-        let Some(now) = self.moment(host) else { return };
+        let Some(now) = self.ledger_time(host) else { return };
         let Some(proc) = self.agents.get_mut(&host) else {
             return;
         };
         let commands = proc.agent.tick(now.mono);
         proc.agent.tick_home(now);
-        self.obey(host, commands);
+        self.execute_commands(host, commands);
         self.report(host);
         if self.rng.random_range(0..4) == 0 {
-            self.ask_feed(node);
+            self.request_records(node);
         }
         self.queue.push(self.now + TICK_MS, Event::Tick(node));
     }
@@ -76,7 +76,7 @@
             Msg::Lease(lease) => {
                 let Node::Agent(sender) = from else { return };
                 let commands = proc.agent.receive(now, sender, lease);
-                self.obey(host, commands);
+                self.execute_commands(host, commands);
             }
             Msg::Probe => {
                 let leads = proc.agent.led_view().map(|(e, _)| e);
@@ -84,20 +84,20 @@
                 let hello = Msg::Hello { incarnation, clock: now, leads };
                 self.send(node, from, hello);
             }
-            Msg::Run { id, epoch, handed, from: first, total } => {
-                self.agent_run(host, from, id, epoch, handed, first, total)
+            Msg::Run { id, epoch, handover, from: first, total } => {
+                self.agent_run(host, from, id, epoch, handover, first, total)
             }
-            Msg::Revoke { id, handed } => {
+            Msg::Revoke { id, handover } => {
                 let outcome = match self.broken {
                     Broken::RevokesBlindly => Revoked::NotRun,
-                    _ => proc.agent.revoke(now, &handed),
+                    _ => proc.agent.revoke(now, &handover),
                 };
                 self.send(node, from, Msg::Revoked { id, outcome });
             }
-            Msg::FeedAnswer { .. } => {
+            Msg::FeedResponse { .. } => {
                 let claims = self.broken == Broken::ClaimsHome;
                 let proved = claims || proc.reader.feed.age_ms(now).is_some();
-                if self.read(node, from, msg) {
+                if self.apply_feed_response(node, from, msg) {
                     self.assign(host, proved);
                 }
             }
@@ -113,7 +113,7 @@
         };
         let assigned = Assigned::of(&proc.reader.pool, host);
         let commands = proc.agent.assign(now, assigned, proved);
-        self.obey(host, commands);
+        self.execute_commands(host, commands);
     }
 
     #[expect(clippy::too_many_arguments, reason = "the fields of one message")]
@@ -123,23 +123,23 @@
         entry: Node,
         id: AttemptId,
         epoch: Epoch,
-        handed: Handover,
+        handover: Handover,
         from: u64,
         total: u64,
     ) {
         let node = Node::Agent(host);
-        let Some(now) = self.moment(host) else { return };
+        let Some(now) = self.ledger_time(host) else { return };
         let Some(proc) = self.agents.get_mut(&host) else {
             return;
         };
-        let (begin, permit) = proc.agent.gate(now, epoch, &handed);
+        let (begin, permit) = proc.agent.gate(now, epoch, &handover);
         let leader = proc.agent.leader(now.mono).filter(|l| *l != host);
         let members = proc.agent.view_members();
         match (begin, permit) {
             (Begin::Run, Some(permit)) => {
-                proc.runs.insert(id, Running { entry, handed, permit });
+                proc.runs.insert(id, Running { entry, handover, permit });
                 self.check_leaving(&members);
-                self.hand_to_engine(host, id, permit.fence(), from, total, handed);
+                self.forward_to_engine(host, id, permit.fence(), from, total, handover);
             }
             (Begin::Kept(kept), _) => {
                 for (number, piece) in kept.body.chunks(8).enumerate() {
@@ -155,12 +155,12 @@
         }
     }
 
-    /// Checks that no member was told to leave more than `LEAVE_MS` ago, since such a host must get
+    /// Checks that no member was told to leave more than `LEAVE_NOTICE_MS` ago, since such a host must get
     /// no new requests.
     fn check_leaving(&mut self, members: &[HostId]) {
         let late = members.iter().find(|m| {
             let told = self.check.leaving.get(m);
-            told.is_some_and(|t| self.now > t + LEAVE_MS)
+            told.is_some_and(|t| self.now > t + LEAVE_NOTICE_MS)
         });
         if let Some(member) = late {
             self.check.breach(
@@ -170,16 +170,16 @@
         }
     }
 
-    fn hand_to_engine(
+    fn forward_to_engine(
         &mut self,
         host: HostId,
         id: AttemptId,
         fence: Fence,
         from: u64,
         total: u64,
-        handed: Handover,
+        handover: Handover,
     ) {
-        let repeatable = handed.key.is_none() && !is_service(host);
+        let repeatable = handover.key.is_none() && !is_service(host);
         // A pause of the agent between the gate and the engine appears as a late arrival at the
         // engine.
         let late = if self.rng.random_range(0..200) == 0 { 4_000 } else { 3 };
@@ -187,28 +187,30 @@
         let Some(engine) = self.engines.get_mut(&host) else {
             return;
         };
-        engine.coming.insert(id, (fence, from, total, repeatable));
-        let life = engine.life;
-        self.queue.push(self.now + delay, Event::EngineStart { host, life, id });
+        engine.in_transit.insert(id, (fence, from, total, repeatable));
+        let incarnation = engine.incarnation;
+        self.queue.push(self.now + delay, Event::EngineStart { host, incarnation, id });
     }
 
-    pub(super) fn engine_start(&mut self, host: HostId, life: u64, id: AttemptId) {
-        let Some(engine) = self.engines.get_mut(&host).filter(|e| e.life == life) else {
+    pub(super) fn engine_start(&mut self, host: HostId, incarnation: u64, id: AttemptId) {
+        let Some(engine) = self.engines.get_mut(&host).filter(|e| e.incarnation == incarnation)
+        else {
             return;
         };
-        let Some((fence, from, total, repeatable)) = engine.coming.remove(&id) else {
+        let Some((fence, from, total, repeatable)) = engine.in_transit.remove(&id) else {
             return;
         };
-        if engine.checks && fence < engine.fence {
+        if engine.checks_fences && fence < engine.fence {
             return;
         }
         engine.runs.insert(id, (from, total));
-        self.check.ran(id.request, repeatable);
-        self.queue.push(self.now + 8, Event::EngineStep { host, life, id });
+        self.check.record_run(id.request, repeatable);
+        self.queue.push(self.now + 8, Event::EngineStep { host, incarnation, id });
     }
 
-    pub(super) fn engine_step(&mut self, host: HostId, life: u64, id: AttemptId) {
-        let Some(engine) = self.engines.get_mut(&host).filter(|e| e.life == life) else {
+    pub(super) fn engine_step(&mut self, host: HostId, incarnation: u64, id: AttemptId) {
+        let Some(engine) = self.engines.get_mut(&host).filter(|e| e.incarnation == incarnation)
+        else {
             return;
         };
         let Some((next, total)) = engine.runs.get(&id).copied() else {
@@ -217,18 +219,18 @@
         if next < total {
             engine.runs.insert(id, (next + 1, total));
             let wait = self.rng.random_range(8..40);
-            self.queue.push(self.now + wait, Event::EngineStep { host, life, id });
+            self.queue.push(self.now + wait, Event::EngineStep { host, incarnation, id });
         } else {
             engine.runs.remove(&id);
         }
         if self.paused.contains_key(&Node::Agent(host)) {
             // The piece stays in the socket of the paused process. The step is repeated until the
             // process resumes or is gone.
-            let again = Event::EngineStep { host, life, id };
+            let retry = Event::EngineStep { host, incarnation, id };
             if let Some(engine) = self.engines.get_mut(&host) {
                 engine.runs.insert(id, (next, total));
             }
-            self.queue.push(self.now + 50, again);
+            self.queue.push(self.now + 50, retry);
             return;
         }
         self.agent_piece(host, id, next, total);
@@ -246,10 +248,10 @@
         let Some(run) = proc.runs.get(&id) else {
             return;
         };
-        let (entry, permit, handed) = (run.entry, run.permit, run.handed);
+        let (entry, permit, handover) = (run.entry, run.permit, run.handover);
         if !proc.agent.may_pass(now, &permit) && broken != Broken::PassesUnchecked {
             let commands = proc.agent.tick(now);
-            self.obey(host, commands);
+            self.execute_commands(host, commands);
             return;
         }
         let members = proc.agent.view_members();
@@ -260,27 +262,27 @@
             let body = (0..total).flat_map(|n| content(id.request, n).to_be_bytes()).collect();
             let kept = Kept { status: 200, content_type: String::new(), body };
             proc.runs.remove(&id);
-            proc.agent.finish(now, &handed, Some(kept));
+            proc.agent.finish(now, &handover, Some(kept));
             self.send(node, entry, Msg::End { id, pieces: total });
         }
-        self.check_whole(host, permit.epoch(), &members);
+        self.check_group_promises(host, permit.epoch(), &members);
     }
 
     /// Checks that a leader that passes an answer on holds a promise from every member that is in
     /// force.
-    fn check_whole(&mut self, leader: HostId, epoch: Epoch, members: &[HostId]) {
+    fn check_group_promises(&mut self, leader: HostId, epoch: Epoch, members: &[HostId]) {
         if members.is_empty() {
             self.check.breach("whole group", format!("{leader} serves without a view"));
         }
         for member in members {
-            let held = self.promises.get(member);
-            let good =
-                held.is_some_and(|p| p.epoch == epoch && p.leader == leader && p.until >= self.now);
-            if !good {
-                let what = format!(
-                    "{leader} serves in {epoch} without a promise of {member} in force: {held:?}"
+            let promise = self.promises.get(member);
+            let in_force = promise
+                .is_some_and(|p| p.epoch == epoch && p.leader == leader && p.until >= self.now);
+            if !in_force {
+                let detail = format!(
+                    "{leader} serves in {epoch} without a promise of {member} in force: {promise:?}"
                 );
-                self.check.breach("whole group", what);
+                self.check.breach("whole group", detail);
             }
         }
     }
@@ -297,7 +299,7 @@
         let runs = std::mem::take(&mut proc.runs);
         for (id, run) in runs {
             if let Some(proc) = self.agents.get_mut(&host) {
-                proc.agent.finish(now, &run.handed, None);
+                proc.agent.finish(now, &run.handover, None);
             }
             if let Some(engine) = self.engines.get_mut(&host) {
                 engine.runs.remove(&id);
@@ -316,18 +318,18 @@
         let Some(engine) = self.engines.get(&host) else {
             return;
         };
-        let life = engine.life;
-        let refused = engine.checks && fence < engine.fence;
-        let takes = self.rng.random_range(10..ENGINE_ORDER_MAX_MS);
+        let incarnation = engine.incarnation;
+        let refused = engine.checks_fences && fence < engine.fence;
+        let duration_ms = self.rng.random_range(10..ENGINE_ORDER_MAX_MS);
         if !refused && let Some(engine) = self.engines.get_mut(&host) {
             engine.fence = engine.fence.max(fence);
         }
-        let done = Event::OrderDone { host, life, number, done: !refused };
-        self.queue.push(self.now + takes, done);
+        let done = Event::OrderDone { host, incarnation, number, done: !refused };
+        self.queue.push(self.now + duration_ms, done);
     }
 
-    pub(super) fn order_done(&mut self, host: HostId, life: u64, number: u64, done: bool) {
-        if self.engines.get(&host).is_none_or(|e| e.life != life) {
+    pub(super) fn order_done(&mut self, host: HostId, incarnation: u64, number: u64, done: bool) {
+        if self.engines.get(&host).is_none_or(|e| e.incarnation != incarnation) {
             return;
         }
         let now = self.clock(Node::Agent(host));
@@ -335,11 +337,11 @@
             return;
         };
         let commands = proc.agent.order_done(now, number, done);
-        self.obey(host, commands);
+        self.execute_commands(host, commands);
     }
 
     /// Applies the broken variants that change the agents' messages.
-    pub(super) fn bend(&self, msg: LeaseMsg) -> LeaseMsg {
+    pub(super) fn apply_message_defect(&self, msg: LeaseMsg) -> LeaseMsg {
         match (self.broken, msg) {
             (Broken::HidesLeaving, LeaseMsg::Grant { epoch, view, seq, ready, .. }) => {
                 LeaseMsg::Grant { epoch, view, seq, ready, leaving: false }
@@ -349,18 +351,18 @@
     }
 
     /// Notifies a host's agent, on behalf of the platform, that the host is to leave.
-    pub(super) fn tell_leaving(&mut self, host: HostId) {
+    pub(super) fn announce_leaving(&mut self, host: HostId) {
         let Some(proc) = self.agents.get_mut(&host) else {
             return;
         };
         let commands = proc.agent.leave();
         self.check.leaving.insert(host, self.now);
-        self.obey(host, commands);
+        self.execute_commands(host, commands);
     }
 
     /// Publishes templates of both partners at once, and lets each partner try to change the
     /// other's template.
-    pub(super) fn race_operators(&mut self) {
+    pub(super) fn publish_concurrently(&mut self) {
         let replicas = self.rng.random_range(1..=3);
         let spares = self.rng.random_range(0..=1);
         let version = self.rng.random_range(1..=2);
--- a/crates/oliveworks-lab/src/prove/check.rs
+++ b/crates/oliveworks-lab/src/prove/check.rs
@@ -10,9 +10,9 @@
     /// Step at which the breach was found.
     pub step: u64,
     /// Name of the invariant.
-    pub promise: &'static str,
+    pub invariant: &'static str,
     /// Description of the breach.
-    pub what: String,
+    pub detail: String,
 }
 
 /// Promise of a host that is in force, regardless of which incarnation of its agent made it.
@@ -38,7 +38,7 @@
     /// Requests that were refused as "not run".
     pub not_run: HashSet<RequestId>,
     /// Pieces passed to the caller of each outstanding request.
-    pub passed: HashMap<RequestId, Vec<u64>>,
+    pub delivered: HashMap<RequestId, Vec<u64>>,
     /// Digest of the pool at each offset, as first reported by a process.
     pub digests: BTreeMap<u64, u128>,
     /// Hosts that were told to leave, with the real time of that in milliseconds.
@@ -55,18 +55,18 @@
 
 impl Checker {
     /// Records a breach.
-    pub fn breach(&mut self, promise: &'static str, what: String) {
-        self.breaches.push(Breach { step: self.step, promise, what });
+    pub fn breach(&mut self, invariant: &'static str, detail: String) {
+        self.breaches.push(Breach { step: self.step, invariant, detail });
     }
 
     /// Records that a request runs at an engine or service. Checks that a request that may not be
     /// repeated runs at most once, and that a request refused as "not run" does not run.
-    pub fn ran(&mut self, id: RequestId, repeatable: bool) {
+    pub fn record_run(&mut self, id: RequestId, repeatable: bool) {
         let count = self.runs.entry(id).or_default();
         *count += 1;
         if *count > 1 && !repeatable {
-            let what = format!("{id} ran {count} times");
-            self.breach("at most once", what);
+            let detail = format!("{id} ran {count} times");
+            self.breach("at most once", detail);
         }
         if self.not_run.contains(&id) {
             self.breach("not run", format!("{id} ran after it was refused as not run"));
@@ -74,7 +74,7 @@
     }
 
     /// Records that a request was refused as "not run", and checks that it did not run.
-    pub fn told_not_run(&mut self, id: RequestId) {
+    pub fn record_not_run(&mut self, id: RequestId) {
         self.refused_not_run += 1;
         self.not_run.insert(id);
         if self.runs.contains_key(&id) {
@@ -83,21 +83,21 @@
     }
 
     /// Records that a caller's answer ended, and checks that its pieces are complete and in order.
-    pub fn told_whole(&mut self, id: RequestId, total: u64) {
+    pub fn record_complete_answer(&mut self, id: RequestId, total: u64) {
         self.answered += 1;
-        let pieces = self.passed.remove(&id).unwrap_or_default();
+        let pieces = self.delivered.remove(&id).unwrap_or_default();
         let wanted: Vec<u64> = (0..total).map(|n| content(id, n)).collect();
         if pieces != wanted {
-            let what = format!(
+            let detail = format!(
                 "{id} ended with {} of {total} pieces, or with wrong content",
                 pieces.len()
             );
-            self.breach("whole answer", what);
+            self.breach("whole answer", detail);
         }
     }
 
     /// Checks that all processes that reach the offset `next` have the same digest of the pool.
-    pub fn at_offset(&mut self, next: u64, digest: u128) {
+    pub fn check_digest(&mut self, next: u64, digest: u128) {
         let first = *self.digests.entry(next).or_insert(digest);
         if first != digest {
             self.breach("one order", format!("the pools of two processes differ at offset {next}"));
--- a/crates/oliveworks-lab/src/prove/entries.rs
+++ b/crates/oliveworks-lab/src/prove/entries.rs
@@ -16,7 +16,8 @@
 use super::agents::is_service;
 use super::net::{Event, Msg, Node};
 use super::world::{
-    Again, ENTRIES, KEY_REUSE_MS, MODEL_HOSTS, Open, SERVICE_HOSTS, TICK_MS, World,
+    ENTRIES, KEY_REUSE_MS, MODEL_HOSTS, OutstandingRequest, RetryableKey, SERVICE_HOSTS, TICK_MS,
+    World,
 };
 
 /// Time without a message from the agent after which an attempt counts as lost, in milliseconds.
@@ -32,7 +33,7 @@
             return;
         }
         if self.rng.random_range(0..3) == 0 {
-            self.ask_feed(node);
+            self.request_records(node);
         }
         if self.rng.random_range(0..3) == 0 {
             for host in (0..MODEL_HOSTS + SERVICE_HOSTS).map(HostId) {
@@ -40,13 +41,13 @@
             }
         }
         self.decide(entry, now);
-        self.keep_snapshot(entry);
-        self.look_after_requests(entry, now);
+        self.store_snapshot(entry);
+        self.advance_requests(entry, now);
         self.queue.push(self.now + TICK_MS, Event::Tick(node));
     }
 
     fn decide(&mut self, entry: usize, now: Millis) {
-        let mut ids: Vec<RecordId> = (0..8).map(|_| RecordId(self.draw())).collect();
+        let mut ids: Vec<RecordId> = (0..8).map(|_| RecordId(self.random_u128())).collect();
         let all_first = self.faults.two_deciders;
         let Some(proc) = self.entries.get_mut(&entry) else {
             return;
@@ -62,133 +63,138 @@
         }
     }
 
-    fn keep_snapshot(&mut self, entry: usize) {
+    fn store_snapshot(&mut self, entry: usize) {
         let Some(proc) = self.entries.get_mut(&entry) else {
             return;
         };
-        if proc.reader.pool.next().0 < proc.kept_at.0 + SNAPSHOT_EVERY {
+        if proc.reader.pool.next().0 < proc.snapshot_end.0 + SNAPSHOT_EVERY {
             return;
         }
-        proc.kept_at = proc.reader.pool.next();
+        proc.snapshot_end = proc.reader.pool.next();
         let snapshot = Rc::new(Snapshot::of(&proc.reader.pool));
-        self.send(Node::Entry(entry), Node::Log, Msg::Keep(snapshot));
+        self.send(Node::Entry(entry), Node::Log, Msg::StoreSnapshot(snapshot));
     }
 
-    fn look_after_requests(&mut self, entry: usize, now: Millis) {
+    fn advance_requests(&mut self, entry: usize, now: Millis) {
         let Some(proc) = self.entries.get_mut(&entry) else {
             return;
         };
-        let ids: Vec<RequestId> = proc.open.keys().copied().collect();
+        let ids: Vec<RequestId> = proc.outstanding.keys().copied().collect();
         for id in ids {
-            let Some(open) = self.entries.get_mut(&entry).and_then(|p| p.open.get_mut(&id)) else {
+            let Some(request) =
+                self.entries.get_mut(&entry).and_then(|p| p.outstanding.get_mut(&id))
+            else {
                 continue;
             };
-            let next = if now >= open.deadline {
-                open.relay.deadline(open.current.is_some())
-            } else if open.current.is_none() {
+            let next = if now >= request.deadline {
+                request.relay.deadline(request.current.is_some())
+            } else if request.current.is_none() {
                 Next::Send
-            } else if now < open.lost_at {
+            } else if now < request.lost_at {
                 Next::Wait
-            } else if open.revoking {
-                open.relay.revoked(now, None, true)
+            } else if request.revoking {
+                request.relay.revoked(now, None, true)
             } else {
-                open.relay.failed(now, "the agent did not answer in time", true)
+                request.relay.failed(now, "the agent did not answer in time", true)
             };
-            self.follow(entry, id, next);
+            self.apply_decision(entry, id, next);
         }
     }
 
     /// Executes a relay's decision.
-    fn follow(&mut self, entry: usize, id: RequestId, next: Next) {
+    fn apply_decision(&mut self, entry: usize, id: RequestId, next: Next) {
         match next {
             Next::Wait => {}
-            Next::Send => self.hand_over(entry, id),
-            Next::Revoke => self.revoke(entry, id),
+            Next::Send => self.send_attempt(entry, id),
+            Next::Revoke => self.send_revocation(entry, id),
             Next::Answered => {
-                let open = self.entries.get_mut(&entry).and_then(|p| p.open.remove(&id));
-                if let Some(open) = open {
-                    self.check.told_whole(id, open.total);
+                let request = self.entries.get_mut(&entry).and_then(|p| p.outstanding.remove(&id));
+                if let Some(request) = request {
+                    self.check.record_complete_answer(id, request.total);
                 }
             }
             Next::Refuse(refusal) => {
-                let open = self.entries.get_mut(&entry).and_then(|p| p.open.remove(&id));
-                self.check.passed.remove(&id);
+                let request = self.entries.get_mut(&entry).and_then(|p| p.outstanding.remove(&id));
+                self.check.delivered.remove(&id);
                 match refusal.ran {
-                    Ran::No => self.check.told_not_run(id),
+                    Ran::No => self.check.record_not_run(id),
                     _ => self.check.unknown += 1,
                 }
-                let again = open.and_then(|o| o.key.map(|key| Again { id, key, first: o.first }));
-                self.again.extend(again);
+                let retryable = request.and_then(|o| {
+                    o.key.map(|key| RetryableKey { id, key, first_used: o.first_used })
+                });
+                self.retryable_keys.extend(retryable);
             }
         }
     }
 
-    fn revoke(&mut self, entry: usize, id: RequestId) {
+    fn send_revocation(&mut self, entry: usize, id: RequestId) {
         let node = Node::Entry(entry);
         let now = self.clock(node);
-        let Some(open) = self.entries.get_mut(&entry).and_then(|p| p.open.get_mut(&id)) else {
+        let Some(request) = self.entries.get_mut(&entry).and_then(|p| p.outstanding.get_mut(&id))
+        else {
             return;
         };
-        open.revoking = true;
-        open.lost_at = now.plus(LOST_MS);
-        let Some((current, host, handed)) = open.current else {
+        request.revoking = true;
+        request.lost_at = now.plus(LOST_MS);
+        let Some((current, host, handover)) = request.current else {
             return;
         };
-        self.send(node, Node::Agent(host), Msg::Revoke { id: current, handed });
+        self.send(node, Node::Agent(host), Msg::Revoke { id: current, handover });
     }
 
     /// Chooses a group and sends the request to its leader.
-    fn hand_over(&mut self, entry: usize, id: RequestId) {
+    fn send_attempt(&mut self, entry: usize, id: RequestId) {
         let node = Node::Entry(entry);
         let now = self.clock(node);
         let attempt = self.rng.next_u64();
-        let spin = self.rng.random_range(0..1000);
+        let random_index = self.rng.random_range(0..1000);
         let Some(proc) = self.entries.get_mut(&entry) else {
             return;
         };
-        let Some(open) = proc.open.get_mut(&id) else {
+        let Some(request) = proc.outstanding.get_mut(&id) else {
             return;
         };
-        open.revoking = false;
+        request.revoking = false;
         let pool = &proc.reader.pool;
-        let suits = |kind: Kind, epoch: Epoch| {
+        let has_kind = |kind: Kind, epoch: Epoch| {
             let group = pool.group(epoch);
             let template = group.and_then(|g| pool.template(&g.slot.template));
             template.is_some_and(|p| p.template.kind == kind)
         };
         let active: Vec<Epoch> = pool
             .groups()
-            .filter(|g| g.state == GroupState::Active && suits(open.kind, g.epoch))
+            .filter(|g| g.state == GroupState::Active && has_kind(request.kind, g.epoch))
             .map(|g| g.epoch)
             .collect();
-        let chosen = match &mut open.key {
+        let chosen = match &mut request.key {
             Some(key) => home_of(pool, id).map(|(epoch, homes_at)| {
                 key.homes_at = homes_at;
                 epoch
             }),
             None => {
-                let fresh: Vec<&Epoch> =
-                    active.iter().filter(|e| !open.relay.tried().contains(e)).collect();
-                fresh.get(spin % fresh.len().max(1)).map(|e| **e)
+                let untried: Vec<&Epoch> =
+                    active.iter().filter(|e| !request.relay.tried().contains(e)).collect();
+                untried.get(random_index % untried.len().max(1)).map(|e| **e)
             }
         };
         let host = chosen.and_then(|epoch| {
             let first = pool.group(epoch)?.ranked.first().copied();
             proc.leaders.get(&epoch).copied().or(first)
         });
-        let known = host.and_then(|h| proc.agents.get(&h).map(|a| (h, *a)));
-        let (Some(epoch), Some((host, (incarnation, clock, heard)))) = (chosen, known) else {
-            let next = open.relay.no_group();
-            return self.follow(entry, id, next);
+        let target = host.and_then(|h| proc.agents.get(&h).map(|a| (h, *a)));
+        let (Some(epoch), Some((host, (incarnation, clock, heard)))) = (chosen, target) else {
+            let next = request.relay.no_group();
+            return self.apply_decision(entry, id, next);
         };
-        let left = open.deadline.since(now).min(LOST_MS * 2);
-        let not_after = clock.plus(now.since(heard) + left);
-        let handed = Handover { id, attempt, incarnation, not_after, key: open.key };
-        let current = open.relay.sent(epoch, attempt);
-        open.current = Some((current, host, handed));
-        open.lost_at = now.plus(LOST_MS);
-        let (from, total) = (open.relay.passed(), open.total);
-        self.send(node, Node::Agent(host), Msg::Run { id: current, epoch, handed, from, total });
+        let time_left = request.deadline.since(now).min(LOST_MS * 2);
+        let not_after = clock.plus(now.since(heard) + time_left);
+        let handover = Handover { id, attempt, incarnation, not_after, key: request.key };
+        let current = request.relay.sent(epoch, attempt);
+        request.current = Some((current, host, handover));
+        request.lost_at = now.plus(LOST_MS);
+        let (from, total) = (request.relay.passed(), request.total);
+        self.send(node, Node::Agent(host), Msg::Run { id: current, epoch, handover, from, total });
     }
 
     pub(super) fn entry_receive(&mut self, entry: usize, from: Node, msg: Msg) {
@@ -205,30 +211,31 @@
                 }
             }
             Msg::Report(report) => proc.decider.report(now, report),
-            Msg::FeedAsk { from: offset, number } => {
-                self.feed_answer(entry, from, offset.0, number)
+            Msg::FeedRequest { from: offset, number } => {
+                self.answer_feed_request(entry, from, offset.0, number)
             }
-            Msg::FeedAnswer { .. } => {
-                self.read(Node::Entry(entry), from, msg);
+            Msg::FeedResponse { .. } => {
+                self.apply_feed_response(Node::Entry(entry), from, msg);
             }
             Msg::Piece { id, number, content } => self.entry_piece(entry, id, number, content),
             Msg::End { id, pieces } => {
-                let next =
-                    self.with_current(entry, id, |open| open.relay.end(now, id, pieces, true));
-                self.follow(entry, id.request, next);
+                let next = self.apply_to_current(entry, id, |request| {
+                    request.relay.end(now, id, pieces, true)
+                });
+                self.apply_decision(entry, id.request, next);
             }
             Msg::Refused { id, refusal, leader } => {
-                let next = self.with_current(entry, id, |open| {
-                    open.relay.refused(now, refusal, leader.is_some(), true)
+                let next = self.apply_to_current(entry, id, |request| {
+                    request.relay.refused(now, refusal, leader.is_some(), true)
                 });
-                self.follow(entry, id.request, next);
+                self.apply_decision(entry, id.request, next);
             }
             Msg::Revoked { id, outcome } => {
-                let next = self.with_current(entry, id, |open| match open.revoking {
-                    true => open.relay.revoked(now, Some(outcome), true),
+                let next = self.apply_to_current(entry, id, |request| match request.revoking {
+                    true => request.relay.revoked(now, Some(outcome), true),
                     false => Next::Wait,
                 });
-                self.follow(entry, id.request, next);
+                self.apply_decision(entry, id.request, next);
             }
             _ => {}
         }
@@ -236,16 +243,16 @@
 
     /// Applies a message about an attempt. Ignores the message unless the attempt is the current
     /// one of an outstanding request.
-    fn with_current(
+    fn apply_to_current(
         &mut self,
         entry: usize,
         id: AttemptId,
-        apply: impl FnOnce(&mut Open) -> Next,
+        apply: impl FnOnce(&mut OutstandingRequest) -> Next,
     ) -> Next {
         let proc = self.entries.get_mut(&entry);
-        let open = proc.and_then(|p| p.open.get_mut(&id.request));
-        match open {
-            Some(open) if open.current.is_some_and(|(c, _, _)| c == id) => apply(open),
+        let request = proc.and_then(|p| p.outstanding.get_mut(&id.request));
+        match request {
+            Some(request) if request.current.is_some_and(|(c, _, _)| c == id) => apply(request),
             _ => Next::Wait,
         }
     }
@@ -254,29 +261,29 @@
         let now = self.clock(Node::Entry(entry));
         let mixes = self.broken == Broken::MixesTries;
         let proc = self.entries.get_mut(&entry);
-        let Some(open) = proc.and_then(|p| p.open.get_mut(&id.request)) else {
+        let Some(request) = proc.and_then(|p| p.outstanding.get_mut(&id.request)) else {
             return;
         };
-        if open.current.is_some() {
-            open.lost_at = now.plus(LOST_MS);
+        if request.current.is_some() {
+            request.lost_at = now.plus(LOST_MS);
         }
-        let mut action = open.relay.piece(id, number);
+        let mut action = request.relay.piece(id, number);
         if mixes && action != PieceAction::Pass {
             action = PieceAction::Pass;
         }
         match action {
-            PieceAction::Pass => self.check.passed.entry(id.request).or_default().push(content),
+            PieceAction::Pass => self.check.delivered.entry(id.request).or_default().push(content),
             PieceAction::Drop => {}
             PieceAction::Gap => {
-                let next = open.relay.failed(now, "a piece of the answer is missing", true);
-                self.follow(entry, id.request, next);
+                let next = request.relay.failed(now, "a piece of the answer is missing", true);
+                self.apply_decision(entry, id.request, next);
             }
         }
     }
 
-    fn feed_answer(&mut self, entry: usize, to: Node, offset: u64, number: u64) {
+    fn answer_feed_request(&mut self, entry: usize, to: Node, offset: u64, number: u64) {
         let now = self.clock(Node::Entry(entry));
-        let lies = self.broken == Broken::ClaimsCurrent;
+        let claims_current = self.broken == Broken::ClaimsCurrent;
         let Some(proc) = self.entries.get(&entry) else {
             return;
         };
@@ -287,33 +294,34 @@
             Some(_) => Vec::new(),
             None => reader.tail.iter().filter(|(o, _)| o.0 >= offset).cloned().collect(),
         };
-        let age_ms = if lies { Some(0) } else { reader.feed.age_ms(now) };
+        let age_ms = if claims_current { Some(0) } else { reader.feed.age_ms(now) };
         let next = reader.pool.next();
-        let answer = Msg::FeedAnswer { number, snapshot, records, next, age_ms };
+        let answer = Msg::FeedResponse { number, snapshot, records, next, age_ms };
         self.send(Node::Entry(entry), to, answer);
     }
 
     /// Sends a caller's request, new or retried with its key, to a random entry.
-    pub(super) fn arrive(&mut self) {
+    pub(super) fn start_caller_request(&mut self) {
         let gap = self.rng.random_range(20..300);
-        self.queue.push(self.now + gap, Event::Arrive);
+        self.queue.push(self.now + gap, Event::RequestArrival);
         let entry = self.rng.random_range(0..ENTRIES);
         if !self.entries.contains_key(&entry) || self.paused.contains_key(&Node::Entry(entry)) {
             return;
         }
         let now = self.clock(Node::Entry(entry));
         let service = self.rng.random_range(0..3) == 0;
-        let repeats = service && !self.again.is_empty() && self.rng.random_range(0..2) == 0;
+        let is_retry =
+            service && !self.retryable_keys.is_empty() && self.rng.random_range(0..2) == 0;
         let mut total = self.rng.random_range(1..12);
-        let (id, key, first) = if repeats {
-            let at = self.rng.random_range(0..self.again.len());
-            let again = self.again.swap_remove(at);
-            if self.now > again.first + KEY_REUSE_MS {
+        let (id, key, first_used) = if is_retry {
+            let at = self.rng.random_range(0..self.retryable_keys.len());
+            let retried = self.retryable_keys.swap_remove(at);
+            if self.now > retried.first_used + KEY_REUSE_MS {
                 return;
             }
-            (again.id, Some(again.key), again.first)
+            (retried.id, Some(retried.key), retried.first_used)
         } else {
-            let id = RequestId(self.draw());
+            let id = RequestId(self.random_u128());
             let born_ms = (self.rng.random_range(0..4) > 0).then_some(self.now);
             let keyed = service && self.rng.random_range(0..2) == 0;
             (id, keyed.then_some(Key { born_ms, homes_at: Offset(0), digest: 7 }), self.now)
@@ -324,13 +332,13 @@
         let repeatable = !service || self.broken == Broken::RepeatsAll;
         let deadline = now.plus(self.rng.random_range(2_000..8_000));
         let terms = RequestTerms { repeatable, has_key: key.is_some(), deadline, max_attempts: 4 };
-        let open = Open {
+        let request = OutstandingRequest {
             relay: Relay::new(id, terms),
             kind: if service { Kind::Service } else { Kind::Model },
             total,
             deadline,
             key,
-            first,
+            first_used,
             current: None,
             lost_at: now,
             revoking: false,
@@ -338,22 +346,22 @@
         let Some(proc) = self.entries.get_mut(&entry) else {
             return;
         };
-        if proc.open.contains_key(&id) {
+        if proc.outstanding.contains_key(&id) {
             return;
         }
-        self.check.passed.remove(&id);
-        proc.open.insert(id, open);
-        self.hand_over(entry, id);
+        self.check.delivered.remove(&id);
+        proc.outstanding.insert(id, request);
+        self.send_attempt(entry, id);
     }
 
     /// Refreshes the platform's host list unless it is stuck, and passes it to every entry that is
     /// not paused. Runs every second, so the list lags behind the hosts.
-    pub(super) fn read_list(&mut self) {
-        self.queue.push(self.now + 1_000, Event::List);
+    pub(super) fn update_host_list(&mut self) {
+        self.queue.push(self.now + 1_000, Event::ReadHostList);
         if !self.list_stuck {
-            self.list = self.true_list();
+            self.host_list = self.true_list();
         }
-        let list = self.list.clone();
+        let list = self.host_list.clone();
         for entry in 0..ENTRIES {
             let now = self.clock(Node::Entry(entry));
             if self.paused.contains_key(&Node::Entry(entry)) {
@@ -366,7 +374,10 @@
     }
 
     fn true_list(&self) -> Vec<ListedHost> {
-        let hosts = self.engines.iter().filter(|(h, e)| e.life > 0 && !self.list_wrong.contains(h));
+        let hosts = self
+            .engines
+            .iter()
+            .filter(|(h, e)| e.incarnation > 0 && !self.omitted_hosts.contains(h));
         hosts
             .map(|(host, _)| ListedHost {
                 host: *host,
--- a/crates/oliveworks-lab/src/prove/faults.rs
+++ b/crates/oliveworks-lab/src/prove/faults.rs
@@ -9,7 +9,9 @@
 
 use super::agents::is_service;
 use super::net::{Event, Node};
-use super::world::{Again, ENTRIES, MODEL_HOSTS, SERVICE_HOSTS, World, name, service_template};
+use super::world::{
+    ENTRIES, MODEL_HOSTS, RetryableKey, SERVICE_HOSTS, World, name, service_template,
+};
 
 /// Kind of a fault or a planned change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -89,7 +91,7 @@
 
 /// Number of records that the log keeps when it drops old ones, or more if no snapshot covers them
 /// yet.
-const KEPT_RECORDS: u64 = 40;
+const RETAINED_RECORDS: u64 = 40;
 
 /// Faults in progress, and their statistics.
 #[derive(Default)]
@@ -105,19 +107,19 @@
     /// Every entry acts as the first decider.
     pub two_deciders: bool,
     /// Whether random faults are disabled. The caller of the run then causes all faults.
-    pub none: bool,
+    pub disabled: bool,
 }
 
 impl World {
     pub(super) fn begin_fault(&mut self) {
-        if self.faults.none {
+        if self.faults.disabled {
             return;
         }
         let gap = self.rng.random_range(200..6_000);
-        self.queue.push(self.now + gap, Event::Fault);
+        self.queue.push(self.now + gap, Event::BeginFault);
         let kinds: &[Fault] = if self.calm { &PLANNED } else { &ALL };
         let fault = kinds[self.rng.random_range(0..kinds.len())];
-        let Some((nodes, lasts)) = self.inflict(fault) else {
+        let Some((nodes, duration_ms)) = self.start_fault(fault) else {
             return;
         };
         *self.faults.counts.entry(fault).or_default() += 1;
@@ -129,7 +131,7 @@
         self.faults.next += 1;
         let number = self.faults.next;
         self.faults.active.insert(number, (fault, nodes));
-        self.queue.push(self.now + lasts, Event::Heal(number));
+        self.queue.push(self.now + duration_ms, Event::EndFault(number));
     }
 
     fn any_host(&mut self) -> HostId {
@@ -145,7 +147,7 @@
 
     /// Starts a fault. Returns the affected nodes and the duration in milliseconds, or `None` if
     /// the fault does not apply.
-    fn inflict(&mut self, fault: Fault) -> Option<(Vec<Node>, u64)> {
+    fn start_fault(&mut self, fault: Fault) -> Option<(Vec<Node>, u64)> {
         let short = self.rng.random_range(100..3_000);
         let long = self.rng.random_range(1_000..20_000);
         let host = self.any_host();
@@ -153,17 +155,17 @@
         match fault {
             Fault::KillHost => {
                 self.kill_host(host);
-                self.queue.push(self.now + long, Event::Return(Node::Agent(host)));
+                self.queue.push(self.now + long, Event::Restart(Node::Agent(host)));
                 Some((vec![], long))
             }
             Fault::RestartAgent => {
                 self.kill(Node::Agent(host));
-                self.queue.push(self.now + short / 4, Event::Return(Node::Agent(host)));
+                self.queue.push(self.now + short / 4, Event::Restart(Node::Agent(host)));
                 Some((vec![], short))
             }
             Fault::RestartEntry => {
                 self.kill(entry);
-                self.queue.push(self.now + short, Event::Return(entry));
+                self.queue.push(self.now + short, Event::Restart(entry));
                 Some((vec![], short))
             }
             Fault::PauseAgent => self.pause(Node::Agent(host), short.max(long / 3)),
@@ -196,7 +198,7 @@
             }
             Fault::Expire => {
                 let kept = self.log.snapshot.as_ref().map_or(0, |s| s.pool.next().0);
-                let wanted = self.log.next().0.saturating_sub(KEPT_RECORDS);
+                let wanted = self.log.next().0.saturating_sub(RETAINED_RECORDS);
                 self.log.start = self.log.start.max(wanted.min(kept));
                 Some((vec![], short))
             }
@@ -205,12 +207,12 @@
                 Some((vec![], long))
             }
             Fault::ListWrong => {
-                self.list_wrong.insert(host);
+                self.omitted_hosts.insert(host);
                 Some((vec![], long))
             }
             Fault::Storm => {
-                self.net.loss = self.rng.random_range(10..200);
-                self.net.double = self.rng.random_range(10..300);
+                self.net.loss_per_mille = self.rng.random_range(10..200);
+                self.net.duplication_per_mille = self.rng.random_range(10..300);
                 self.net.delay_ms = self.rng.random_range(20..1_500);
                 Some((vec![], long))
             }
@@ -219,7 +221,7 @@
                 Some((vec![], long))
             }
             Fault::Operators => {
-                self.race_operators();
+                self.publish_concurrently();
                 Some((vec![], short))
             }
             Fault::KillEngine => {
@@ -228,10 +230,10 @@
                 commands.extend(proc.agent.engine_health(true));
                 self.start_engine(host);
                 self.cut_requests(host);
-                self.obey(host, commands);
+                self.execute_commands(host, commands);
                 Some((vec![], short))
             }
-            Fault::Leave => self.leave(host, long),
+            Fault::Leave => self.start_leaving(host, long),
             Fault::DrainHost => {
                 let partner = if is_service(host) { "saffah" } else { "sahel" };
                 let author = Author::Partner(name(partner));
@@ -246,22 +248,22 @@
         }
     }
 
-    fn leave(&mut self, host: HostId, lasts: u64) -> Option<(Vec<Node>, u64)> {
+    fn start_leaving(&mut self, host: HostId, duration_ms: u64) -> Option<(Vec<Node>, u64)> {
         if self.check.leaving.contains_key(&host) || self.paused.contains_key(&Node::Agent(host)) {
             return None;
         }
         self.agents.get(&host)?;
-        self.tell_leaving(host);
+        self.announce_leaving(host);
         // A planned stop waits until the agent is idle; see `end_fault`.
-        Some((vec![Node::Agent(host)], lasts + 5_000))
+        Some((vec![Node::Agent(host)], duration_ms + 5_000))
     }
 
-    fn pause(&mut self, node: Node, lasts: u64) -> Option<(Vec<Node>, u64)> {
+    fn pause(&mut self, node: Node, duration_ms: u64) -> Option<(Vec<Node>, u64)> {
         if self.paused.contains_key(&node) {
             return None;
         }
         self.paused.insert(node, Vec::new());
-        Some((vec![node], lasts))
+        Some((vec![node], duration_ms))
     }
 
     fn split(&mut self) -> Vec<Node> {
@@ -283,9 +285,9 @@
     pub(super) fn kill_host(&mut self, host: HostId) {
         self.kill(Node::Agent(host));
         if let Some(engine) = self.engines.get_mut(&host) {
-            engine.life = 0;
+            engine.incarnation = 0;
             engine.runs.clear();
-            engine.coming.clear();
+            engine.in_transit.clear();
         }
     }
 
@@ -300,11 +302,15 @@
             }
             Node::Entry(entry) => {
                 if let Some(proc) = self.entries.remove(&entry) {
-                    for (id, open) in proc.open {
+                    for (id, request) in proc.outstanding {
                         // The callers see a broken connection and do not know the outcome.
-                        self.check.passed.remove(&id);
+                        self.check.delivered.remove(&id);
                         self.check.unknown += 1;
-                        self.again.extend(open.key.map(|key| Again { id, key, first: open.first }));
+                        self.retryable_keys.extend(request.key.map(|key| RetryableKey {
+                            id,
+                            key,
+                            first_used: request.first_used,
+                        }));
                     }
                 }
             }
@@ -312,10 +318,10 @@
         }
     }
 
-    pub(super) fn come_back(&mut self, node: Node) {
+    pub(super) fn restart_node(&mut self, node: Node) {
         match node {
             Node::Agent(host) if !self.agents.contains_key(&host) => {
-                if self.engines.get(&host).is_none_or(|e| e.life == 0) {
+                if self.engines.get(&host).is_none_or(|e| e.incarnation == 0) {
                     self.start_engine(host);
                 }
                 self.start(node);
@@ -325,11 +331,11 @@
         }
     }
 
-    pub(super) fn heal(&mut self, number: u64) {
+    pub(super) fn end_fault(&mut self, number: u64) {
         let Some((fault, nodes)) = self.faults.active.remove(&number) else {
             return;
         };
-        let still = self.faults.active.values().any(|(f, _)| *f == fault);
+        let still_active = self.faults.active.values().any(|(f, _)| *f == fault);
         match fault {
             Fault::PauseAgent | Fault::PauseEntry => {
                 for node in nodes {
@@ -338,25 +344,25 @@
                     }
                 }
             }
-            Fault::CutOneWay | Fault::Split if !still => self.net.cut.clear(),
+            Fault::CutOneWay | Fault::Split if !still_active => self.net.cut.clear(),
             Fault::Isolate => {
                 for node in nodes {
                     self.net.isolated.remove(&node);
                 }
             }
-            Fault::LogDown if !still => self.log.down = false,
-            Fault::LogSlow if !still => self.log.slow_ms = 0,
-            Fault::LoseAnswers if !still => self.log.loses_answers = false,
-            Fault::ListStuck if !still => self.list_stuck = false,
-            Fault::ListWrong if !still => self.list_wrong.clear(),
-            Fault::Storm if !still => {
-                self.net.loss = 0;
-                self.net.double = 0;
+            Fault::LogDown if !still_active => self.log.down = false,
+            Fault::LogSlow if !still_active => self.log.slow_ms = 0,
+            Fault::LoseAnswers if !still_active => self.log.loses_answers = false,
+            Fault::ListStuck if !still_active => self.list_stuck = false,
+            Fault::ListWrong if !still_active => self.omitted_hosts.clear(),
+            Fault::Storm if !still_active => {
+                self.net.loss_per_mille = 0;
+                self.net.duplication_per_mille = 0;
                 self.net.delay_ms = 4;
             }
-            Fault::TwoDeciders if !still => self.faults.two_deciders = false,
+            Fault::TwoDeciders if !still_active => self.faults.two_deciders = false,
             Fault::Leave => self.finish_leaving(nodes),
-            Fault::DrainHost => self.restore(nodes),
+            Fault::DrainHost => self.restore_hosts(nodes),
             _ => {}
         }
     }
@@ -374,19 +380,19 @@
             if busy && self.calm {
                 self.faults.next += 1;
                 self.faults.active.insert(self.faults.next, (Fault::Leave, vec![node]));
-                self.queue.push(self.now + 1_000, Event::Heal(self.faults.next));
+                self.queue.push(self.now + 1_000, Event::EndFault(self.faults.next));
                 continue;
             }
             self.kill(node);
             if let Some(engine) = self.engines.get_mut(&host) {
-                engine.life = 0;
+                engine.incarnation = 0;
             }
-            let back = self.rng.random_range(500..5_000);
-            self.queue.push(self.now + back, Event::Return(node));
+            let return_delay_ms = self.rng.random_range(500..5_000);
+            self.queue.push(self.now + return_delay_ms, Event::Restart(node));
         }
     }
 
-    fn restore(&mut self, nodes: Vec<Node>) {
+    fn restore_hosts(&mut self, nodes: Vec<Node>) {
         for node in nodes {
             let Node::Agent(host) = node else { continue };
             for partner in ["saffah", "sahel"] {
--- a/crates/oliveworks-lab/src/prove/mod.rs
+++ b/crates/oliveworks-lab/src/prove/mod.rs
@@ -76,12 +76,12 @@
 }
 
 /// Number of breaches after which a run stops.
-const BREACHES_MAX: usize = 5;
+const MAX_BREACHES: usize = 5;
 
-/// Runs `steps` steps. Stops earlier if the run has found `BREACHES_MAX` breaches.
+/// Runs `steps` steps. Stops earlier if the run has found `MAX_BREACHES` breaches.
 pub fn run(seed: u64, steps: u64, broken: Broken, calm: bool) -> Outcome {
     let mut world = World::new(seed, broken, calm);
-    while world.check.step < steps && world.check.breaches.len() < BREACHES_MAX {
+    while world.check.step < steps && world.check.breaches.len() < MAX_BREACHES {
         if !world.step() {
             break;
         }
--- a/crates/oliveworks-lab/src/prove/net.rs
+++ b/crates/oliveworks-lab/src/prove/net.rs
@@ -33,7 +33,7 @@
     /// Incarnation and clock of an agent, and the epoch of the group that it leads.
     Hello { incarnation: Incarnation, clock: Millis, leads: Option<Epoch> },
     /// Request that an entry sends to an agent.
-    Run { id: AttemptId, epoch: Epoch, handed: Handover, from: u64, total: u64 },
+    Run { id: AttemptId, epoch: Epoch, handover: Handover, from: u64, total: u64 },
     /// Piece of an answer.
     Piece { id: AttemptId, number: u64, content: u64 },
     /// End of an answer, with its number of pieces.
@@ -41,15 +41,15 @@
     /// Refusal of an attempt, with the leader to try instead if the agent knows one.
     Refused { id: AttemptId, refusal: Refusal, leader: Option<HostId> },
     /// Revocation of an attempt that may not have started.
-    Revoke { id: AttemptId, handed: Handover },
+    Revoke { id: AttemptId, handover: Handover },
     /// Outcome of a revocation.
     Revoked { id: AttemptId, outcome: Revoked },
     /// Report of a group to a decider.
     Report(GroupReport),
     /// Request for records from an offset on. The answer carries the same `number`.
-    FeedAsk { from: Offset, number: u64 },
+    FeedRequest { from: Offset, number: u64 },
     /// Answer to a request for records.
-    FeedAnswer {
+    FeedResponse {
         number: u64,
         snapshot: Option<Rc<Snapshot>>,
         records: Vec<(Offset, Rc<Record>)>,
@@ -59,7 +59,7 @@
     /// Record to append to the log.
     Append(Rc<Record>),
     /// Snapshot to store in the log.
-    Keep(Rc<Snapshot>),
+    StoreSnapshot(Rc<Snapshot>),
 }
 
 /// Future event.
@@ -70,21 +70,21 @@
     /// Arrival of a message.
     Deliver { from: Node, to: Node, msg: Msg },
     /// End of an order at an engine. `done` is false if the engine refused the order.
-    OrderDone { host: HostId, life: u64, number: u64, done: bool },
+    OrderDone { host: HostId, incarnation: u64, number: u64, done: bool },
     /// Arrival of a request at an engine, after the agent's gate.
-    EngineStart { host: HostId, life: u64, id: AttemptId },
+    EngineStart { host: HostId, incarnation: u64, id: AttemptId },
     /// Production of the next piece by an engine.
-    EngineStep { host: HostId, life: u64, id: AttemptId },
+    EngineStep { host: HostId, incarnation: u64, id: AttemptId },
     /// Arrival of a caller's request at an entry.
-    Arrive,
+    RequestArrival,
     /// Periodic read of the platform's host list by the entries.
-    List,
+    ReadHostList,
     /// Start of a random fault.
-    Fault,
+    BeginFault,
     /// End of the fault with the given number.
-    Heal(u64),
+    EndFault(u64),
     /// Restart of a killed process or host.
-    Return(Node),
+    Restart(Node),
 }
 
 /// Future events in order of time. Events of the same time keep the order in which they were added.
@@ -117,17 +117,23 @@
     pub cut: HashSet<(Node, Node)>,
     /// Nodes whose messages are lost in both directions.
     pub isolated: HashSet<Node>,
-    /// In thousandths.
-    pub loss: u32,
-    /// In thousandths.
-    pub double: u32,
+    /// Share of messages that are lost, in thousandths.
+    pub loss_per_mille: u32,
+    /// Share of messages that are sent twice, in thousandths.
+    pub duplication_per_mille: u32,
     /// Maximum delay of a message, in milliseconds.
     pub delay_ms: u64,
 }
 
 impl Default for Network {
     fn default() -> Network {
-        Network { cut: HashSet::new(), isolated: HashSet::new(), loss: 0, double: 0, delay_ms: 4 }
+        Network {
+            cut: HashSet::new(),
+            isolated: HashSet::new(),
+            loss_per_mille: 0,
+            duplication_per_mille: 0,
+            delay_ms: 4,
+        }
     }
 }
 
@@ -194,7 +200,7 @@
     }
 
     /// Returns the approximate real time, in milliseconds, at which the clock shows `shown`.
-    pub fn real_at(&self, shown: Millis) -> u64 {
+    pub fn real_time_of(&self, shown: Millis) -> u64 {
         let since = shown.0.saturating_sub(self.offset) as i64;
         let real = since - since * self.drift_ppm / 1_000_000;
         real.max(0) as u64
--- a/crates/oliveworks-lab/src/prove/outage.rs
+++ b/crates/oliveworks-lab/src/prove/outage.rs
@@ -24,17 +24,17 @@
 }
 
 /// Time before the log goes down, in milliseconds.
-const BEFORE_MS: u64 = 60_000;
+const WARM_UP_MS: u64 = 60_000;
 /// Duration of the log's outage, in milliseconds.
-const DOWN_MS: u64 = 3_600_000;
+const OUTAGE_MS: u64 = 3_600_000;
 /// Time between two kills of a host, in milliseconds.
-const DEATH_MS: u64 = 300_000;
+const KILL_INTERVAL_MS: u64 = 300_000;
 /// Time after which a killed host returns, in milliseconds.
-const GONE_MS: u64 = 900_000;
+const HOST_DOWN_MS: u64 = 900_000;
 /// Time from the end of the outage to the last sample, in milliseconds.
-const AFTER_MS: u64 = 300_000;
+const RECOVERY_MS: u64 = 300_000;
 /// Time between two samples during the outage, in milliseconds.
-const SAMPLE_MS: u64 = 600_000;
+const SAMPLE_INTERVAL_MS: u64 = 600_000;
 
 /// Runs the outage and returns the samples.
 ///
@@ -42,51 +42,52 @@
 /// If an invariant is breached.
 pub fn run(seed: u64) -> Vec<Sample> {
     let mut world = World::new(seed, Broken::None, false);
-    world.faults.none = true;
-    let begin = world.now + BEFORE_MS;
-    until(&mut world, begin);
+    world.faults.disabled = true;
+    let outage_start = world.now + WARM_UP_MS;
+    run_until(&mut world, outage_start);
     world.log.down = true;
     let mut samples = Vec::new();
     let mut killed = 0;
-    let mut next_death = begin + DEATH_MS;
-    let mut next_sample = begin;
-    while next_sample <= begin + DOWN_MS + AFTER_MS {
-        let stop = next_sample.min(next_death);
-        until(&mut world, stop);
-        if stop >= begin + DOWN_MS {
+    let mut next_kill = outage_start + KILL_INTERVAL_MS;
+    let mut next_sample = outage_start;
+    while next_sample <= outage_start + OUTAGE_MS + RECOVERY_MS {
+        let stop = next_sample.min(next_kill);
+        run_until(&mut world, stop);
+        if stop >= outage_start + OUTAGE_MS {
             world.log.down = false;
         }
-        if stop == next_death {
-            next_death += DEATH_MS;
+        if stop == next_kill {
+            next_kill += KILL_INTERVAL_MS;
             if world.log.down {
                 killed += usize::from(kill_member(&mut world));
             }
         }
         if stop == next_sample {
-            samples.push(sample(&world, (stop - begin) / 60_000, killed));
-            next_sample += if stop >= begin + DOWN_MS { AFTER_MS } else { SAMPLE_MS };
+            samples.push(sample(&world, (stop - outage_start) / 60_000, killed));
+            next_sample +=
+                if stop >= outage_start + OUTAGE_MS { RECOVERY_MS } else { SAMPLE_INTERVAL_MS };
         }
     }
     assert!(world.check.breaches.is_empty(), "{:?}", world.check.breaches);
     samples
 }
 
-fn until(world: &mut World, time: u64) {
+fn run_until(world: &mut World, time: u64) {
     while world.now < time && world.step() {}
 }
 
 /// Kills a random member of a serving group. The host returns later with an empty state. Returns
 /// `false` if no group serves.
 fn kill_member(world: &mut World) -> bool {
-    let views =
+    let serving_agents =
         world.agents.iter().filter(|(h, a)| a.agent.is_serving(world.clock(Node::Agent(**h))));
-    let members: Vec<HostId> = views.flat_map(|(_, a)| a.agent.view_members()).collect();
+    let members: Vec<HostId> = serving_agents.flat_map(|(_, a)| a.agent.view_members()).collect();
     if members.is_empty() {
         return false;
     }
     let host = members[world.rng.random_range(0..members.len())];
     world.kill_host(host);
-    world.queue.push(world.now + GONE_MS, Event::Return(Node::Agent(host)));
+    world.queue.push(world.now + HOST_DOWN_MS, Event::Restart(Node::Agent(host)));
     true
 }
 
--- a/crates/oliveworks-lab/src/prove/reading.rs
+++ b/crates/oliveworks-lab/src/prove/reading.rs
@@ -18,13 +18,13 @@
             Msg::Append(record) => {
                 self.log.append(self.now, record);
             }
-            Msg::Keep(snapshot) => {
+            Msg::StoreSnapshot(snapshot) => {
                 let old = self.log.snapshot.as_ref().map(|s| s.pool.next());
                 if old.is_none_or(|o| snapshot.pool.next() > o) {
                     self.log.snapshot = Some(snapshot);
                 }
             }
-            Msg::FeedAsk { from: offset, number } => {
+            Msg::FeedRequest { from: offset, number } => {
                 if self.log.loses_answers && self.rng.random_range(0..2) == 0 {
                     return;
                 }
@@ -38,7 +38,7 @@
                     .map(|o| (Offset(o), self.log.records[o as usize].clone()))
                     .collect();
                 let next = self.log.next();
-                let answer = Msg::FeedAnswer { number, snapshot, records, next, age_ms: Some(0) };
+                let answer = Msg::FeedResponse { number, snapshot, records, next, age_ms: Some(0) };
                 self.send(Node::Log, from, answer);
             }
             _ => {}
@@ -46,8 +46,8 @@
     }
 
     /// Applies an answer of the feed. Returns whether the pool changed.
-    pub fn read(&mut self, node: Node, from: Node, msg: Msg) -> bool {
-        let Msg::FeedAnswer { number, snapshot, records, next, age_ms } = msg else {
+    pub fn apply_feed_response(&mut self, node: Node, from: Node, msg: Msg) -> bool {
+        let Msg::FeedResponse { number, snapshot, records, next, age_ms } = msg else {
             return false;
         };
         let now = self.clock(node);
@@ -73,14 +73,14 @@
                 reader.tail.clear();
             }
         }
-        let mut at = Vec::new();
+        let mut digests = Vec::new();
         let mut applied = Vec::new();
         for (offset, record) in records {
             if offset != reader.pool.next() {
                 continue;
             }
             let _ = reader.pool.apply(offset, &record);
-            at.push((reader.pool.next().0, reader.pool.digest()));
+            digests.push((reader.pool.next().0, reader.pool.digest()));
             reader.tail.push_back((offset, record.clone()));
             applied.push(record);
             if reader.tail.len() > TAIL {
@@ -89,15 +89,15 @@
         }
         let held = reader.pool.next();
         if held < before {
-            let what = format!("{node:?} went back from offset {before} to {held}");
-            self.check.breach("configuration", what);
+            let detail = format!("{node:?} went back from offset {before} to {held}");
+            self.check.breach("configuration", detail);
         }
         reader.feed.record_answer(now, source, number, next, age_ms, held);
         if let Err(e) = reader.pool.verify() {
             self.check.breach("two groups", e);
         }
-        for (next, digest) in at {
-            self.check.at_offset(next, digest);
+        for (next, digest) in digests {
+            self.check.check_digest(next, digest);
         }
         if let Node::Entry(entry) = node
             && let Some(entry) = self.entries.get_mut(&entry)
@@ -106,13 +106,13 @@
                 entry.decider.applied(record);
             }
         }
-        self.check_age(node);
+        self.check_configuration_age(node);
         held != before
     }
 
     /// Checks the age that a process reports for its configuration: the process must hold all
     /// records that the log held at that age.
-    pub(super) fn check_age(&mut self, node: Node) {
+    pub(super) fn check_configuration_age(&mut self, node: Node) {
         let now = self.clock(node);
         let reader = match node {
             Node::Agent(host) => self.agents.get(&host).map(|a| &a.reader),
@@ -125,18 +125,18 @@
         };
         // The age was measured on drifting clocks. A margin of 4/1000 and 2 ms covers their errors.
         let real_age = age + age * 4 / 1000 + 2;
-        let was = self.log.next_at(self.now.saturating_sub(real_age));
-        if reader.pool.next().0 < was {
-            let what = format!(
-                "{node:?} reports offset {} as the latest {age} ms ago, when the log was at {was}",
+        let next_then = self.log.next_at(self.now.saturating_sub(real_age));
+        if reader.pool.next().0 < next_then {
+            let detail = format!(
+                "{node:?} reports offset {} as the latest {age} ms ago, when the log was at {next_then}",
                 reader.pool.next()
             );
-            self.check.breach("configuration", what);
+            self.check.breach("configuration", detail);
         }
     }
 
     /// Requests records from the process's current source.
-    pub fn ask_feed(&mut self, node: Node) {
+    pub fn request_records(&mut self, node: Node) {
         let now = self.clock(node);
         let reader = match node {
             Node::Agent(host) => self.agents.get_mut(&host).map(|a| &mut a.reader),
@@ -150,7 +150,7 @@
             Source::Entry(e) => Node::Entry(e.0 as usize),
         };
         let number = reader.feed.ask(now);
-        let ask = Msg::FeedAsk { from: reader.pool.next(), number };
+        let ask = Msg::FeedRequest { from: reader.pool.next(), number };
         self.send(node, to, ask);
     }
 }
--- a/crates/oliveworks-lab/src/prove/world.rs
+++ b/crates/oliveworks-lab/src/prove/world.rs
@@ -54,7 +54,7 @@
     /// Entry that waits for the answer.
     pub entry: Node,
     /// Request as the entry handed it over.
-    pub handed: Handover,
+    pub handover: Handover,
     /// Permit of the view that started the request.
     pub permit: RunPermit,
 }
@@ -74,20 +74,20 @@
 /// Engine or plain service: the backend server of a host.
 pub struct Engine {
     /// Incarnation of the engine. Zero while the engine is dead.
-    pub life: u64,
+    pub incarnation: u64,
     /// Highest fence received.
     pub fence: Fence,
     /// Whether the engine refuses orders and requests with a lower fence.
-    pub checks: bool,
+    pub checks_fences: bool,
     /// Running requests: number of the next piece, and total number of pieces.
     pub runs: BTreeMap<AttemptId, (u64, u64)>,
     /// Requests in transit from the agent to the engine: fence, first piece, total number of
     /// pieces, and whether the request may be repeated.
-    pub coming: BTreeMap<AttemptId, (Fence, u64, u64, bool)>,
+    pub in_transit: BTreeMap<AttemptId, (Fence, u64, u64, bool)>,
 }
 
 /// Outstanding request at its entry.
-pub struct Open {
+pub struct OutstandingRequest {
     /// Decision code under test.
     pub relay: Relay,
     /// Kind of the requested template.
@@ -99,7 +99,7 @@
     /// Idempotency key of the caller.
     pub key: Option<oliveworks_core::ledger::Key>,
     /// Real time of the first use of the request or its key, in milliseconds.
-    pub first: u64,
+    pub first_used: u64,
     /// Current attempt.
     pub current: Option<(AttemptId, HostId, Handover)>,
     /// Time, by the entry's clock, from which the current attempt or its revocation counts as lost.
@@ -110,13 +110,13 @@
 
 /// Key whose caller does not know the outcome and may retry.
 #[derive(Clone, Copy, Debug)]
-pub struct Again {
+pub struct RetryableKey {
     /// Request that the key belongs to.
     pub id: RequestId,
     /// Idempotency key.
     pub key: oliveworks_core::ledger::Key,
     /// Real time of the first use of the key, in milliseconds.
-    pub first: u64,
+    pub first_used: u64,
 }
 
 /// Time after its first use during which callers may reuse a key, in milliseconds.
@@ -138,9 +138,9 @@
     /// Last reported leader of each group.
     pub leaders: BTreeMap<Epoch, HostId>,
     /// Outstanding requests.
-    pub open: BTreeMap<RequestId, Open>,
+    pub outstanding: BTreeMap<RequestId, OutstandingRequest>,
     /// Offset that follows the last record in the last snapshot stored by this entry.
-    pub kept_at: Offset,
+    pub snapshot_end: Offset,
 }
 
 /// State of the whole run.
@@ -168,11 +168,11 @@
     /// Promises that are in force at each host.
     pub promises: BTreeMap<HostId, TruePromise>,
     /// Host list that the platform currently serves.
-    pub list: Vec<ListedHost>,
+    pub host_list: Vec<ListedHost>,
     /// Whether the platform's host list is stuck at its last state.
     pub list_stuck: bool,
     /// Hosts that the platform wrongly omits from its host list.
-    pub list_wrong: BTreeSet<HostId>,
+    pub omitted_hosts: BTreeSet<HostId>,
     /// Invariant checks.
     pub check: Checker,
     /// Faults in progress, and their statistics.
@@ -184,9 +184,9 @@
     /// Running digest of all events.
     pub digest: u64,
     /// Keys whose callers do not know the outcome and may retry.
-    pub again: Vec<Again>,
+    pub retryable_keys: Vec<RetryableKey>,
     /// Number of engine starts so far. The source of engine incarnations.
-    pub lives: u64,
+    pub engine_starts: u64,
 }
 
 /// Returns a name that is known to be valid.
@@ -212,16 +212,16 @@
             entries: BTreeMap::new(),
             paused: BTreeMap::new(),
             promises: BTreeMap::new(),
-            list: Vec::new(),
+            host_list: Vec::new(),
             list_stuck: false,
-            list_wrong: BTreeSet::new(),
+            omitted_hosts: BTreeSet::new(),
             check: Checker::default(),
             faults: Faults::default(),
             broken,
             calm,
             digest: 0,
-            again: Vec::new(),
-            lives: 0,
+            retryable_keys: Vec::new(),
+            engine_starts: 0,
         };
         world.publish_first();
         for host in (0..MODEL_HOSTS + SERVICE_HOSTS).map(HostId) {
@@ -231,9 +231,9 @@
         for entry in 0..ENTRIES {
             world.start(Node::Entry(entry));
         }
-        world.queue.push(world.now, Event::List);
-        world.queue.push(world.now + 5_000, Event::Arrive);
-        world.queue.push(world.now + 8_000, Event::Fault);
+        world.queue.push(world.now, Event::ReadHostList);
+        world.queue.push(world.now + 5_000, Event::RequestArrival);
+        world.queue.push(world.now + 8_000, Event::BeginFault);
         world
     }
 
@@ -259,12 +259,12 @@
         if self.log.down {
             return;
         }
-        let id = RecordId(self.draw());
+        let id = RecordId(self.random_u128());
         self.log.append(self.now, Rc::new(Record { id, author, body }));
     }
 
     /// Draws a random number of 128 bits.
-    pub fn draw(&mut self) -> u128 {
+    pub fn random_u128(&mut self) -> u128 {
         (u128::from(self.rng.next_u64()) << 64) | u128::from(self.rng.next_u64())
     }
 
@@ -301,7 +301,7 @@
         match node {
             Node::Agent(host) => {
                 let incarnation = Incarnation(self.rng.next_u64());
-                let checks = self.engines.get(&host).is_some_and(|e| e.checks);
+                let checks_fences = self.engines.get(&host).is_some_and(|e| e.checks_fences);
                 let config = AgentConfig {
                     host,
                     lease: LeaseConfig::default(),
@@ -310,7 +310,7 @@
                         key_fresh_ms: KEY_FRESH_MS,
                         ..LedgerConfig::default()
                     },
-                    order_max_ms: if checks { 0 } else { ENGINE_ORDER_MAX_MS },
+                    order_max_ms: if checks_fences { 0 } else { ENGINE_ORDER_MAX_MS },
                 };
                 // The broken variant starts as if it had already been quiet for 10 s.
                 let quiet = if self.broken == Broken::NoQuiet { 10_000 } else { 0 };
@@ -333,8 +333,8 @@
                     decider,
                     agents: BTreeMap::new(),
                     leaders: BTreeMap::new(),
-                    open: BTreeMap::new(),
-                    kept_at: Offset(0),
+                    outstanding: BTreeMap::new(),
+                    snapshot_end: Offset(0),
                 };
                 self.entries.insert(entry, proc);
             }
@@ -346,13 +346,13 @@
 
     /// Starts a host's backend server as a new incarnation with an empty state.
     pub fn start_engine(&mut self, host: HostId) {
-        self.lives += 1;
+        self.engine_starts += 1;
         let engine = Engine {
-            life: self.lives,
+            incarnation: self.engine_starts,
             fence: Fence::default(),
-            checks: !host.0.is_multiple_of(3),
+            checks_fences: !host.0.is_multiple_of(3),
             runs: BTreeMap::new(),
-            coming: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
         };
         self.engines.insert(host, engine);
     }
@@ -367,9 +367,9 @@
         if !self.net.connects(from, to) {
             return;
         }
-        let copies = 1 + u32::from(self.rng.random_range(0..1000) < self.net.double);
+        let copies = 1 + u32::from(self.rng.random_range(0..1000) < self.net.duplication_per_mille);
         for _ in 0..copies {
-            if self.rng.random_range(0..1000) < self.net.loss {
+            if self.rng.random_range(0..1000) < self.net.loss_per_mille {
                 continue;
             }
             let slow = if from == Node::Log { self.log.slow_ms } else { 0 };
@@ -386,7 +386,7 @@
         };
         self.now = self.now.max(at);
         self.check.step += 1;
-        self.mix(at, &event);
+        self.update_digest(at, &event);
         let node = match &event {
             Event::Tick(node) | Event::Deliver { to: node, .. } => Some(*node),
             Event::OrderDone { host, .. } => Some(Node::Agent(*host)),
@@ -400,18 +400,18 @@
         true
     }
 
-    fn mix(&mut self, at: u64, event: &Event) {
+    fn update_digest(&mut self, at: u64, event: &Event) {
         let tag = match event {
             Event::Tick(_) => 1,
             Event::Deliver { msg, .. } => 100 + msg.tag(),
             Event::OrderDone { number, .. } => 1000 + number,
             Event::EngineStart { .. } => 3,
             Event::EngineStep { .. } => 4,
-            Event::Arrive => 5,
-            Event::List => 6,
-            Event::Fault => 7,
-            Event::Heal(n) => 2000 + n,
-            Event::Return(_) => 8,
+            Event::RequestArrival => 5,
+            Event::ReadHostList => 6,
+            Event::BeginFault => 7,
+            Event::EndFault(n) => 2000 + n,
+            Event::Restart(_) => 8,
         };
         let bytes = [at.to_be_bytes(), u64::to_be_bytes(tag)].concat();
         self.digest = xxhash_rust::xxh3::xxh3_64_with_seed(&bytes, self.digest);
@@ -423,16 +423,18 @@
             Event::Tick(Node::Entry(entry)) => self.entry_tick(entry),
             Event::Tick(Node::Log) => {}
             Event::Deliver { from, to, msg } => self.deliver(from, to, msg),
-            Event::OrderDone { host, life, number, done } => {
-                self.order_done(host, life, number, done)
+            Event::OrderDone { host, incarnation, number, done } => {
+                self.order_done(host, incarnation, number, done)
             }
-            Event::EngineStart { host, life, id } => self.engine_start(host, life, id),
-            Event::EngineStep { host, life, id } => self.engine_step(host, life, id),
-            Event::Arrive => self.arrive(),
-            Event::List => self.read_list(),
-            Event::Fault => self.begin_fault(),
-            Event::Heal(number) => self.heal(number),
-            Event::Return(node) => self.come_back(node),
+            Event::EngineStart { host, incarnation, id } => {
+                self.engine_start(host, incarnation, id)
+            }
+            Event::EngineStep { host, incarnation, id } => self.engine_step(host, incarnation, id),
+            Event::RequestArrival => self.start_caller_request(),
+            Event::ReadHostList => self.update_host_list(),
+            Event::BeginFault => self.begin_fault(),
+            Event::EndFault(number) => self.end_fault(number),
+            Event::Restart(node) => self.restart_node(node),
         }
     }
 
@@ -445,23 +447,25 @@
     }
 
     /// Executes an agent's commands.
-    pub fn obey(&mut self, host: HostId, commands: Vec<Command>) {
+    pub fn execute_commands(&mut self, host: HostId, commands: Vec<Command>) {
         for command in commands {
             match command {
-                Command::Send(to, msg) => {
-                    self.send(Node::Agent(host), Node::Agent(to), Msg::Lease(self.bend(msg)))
-                }
+                Command::Send(to, msg) => self.send(
+                    Node::Agent(host),
+                    Node::Agent(to),
+                    Msg::Lease(self.apply_message_defect(msg)),
+                ),
                 Command::Order(number, order) => self.engine_order(host, number, order.fence()),
                 Command::CutRequests => self.cut_requests(host),
                 Command::Note(..) => {}
             }
         }
-        self.note_promise(host);
+        self.track_promise(host);
     }
 
     /// Records the promise that is in force at a host, and checks that a restarted agent does not
     /// make a different promise before the earlier one has ended.
-    fn note_promise(&mut self, host: HostId) {
+    fn track_promise(&mut self, host: HostId) {
         let now = self.clock(Node::Agent(host));
         let Some(proc) = self.agents.get(&host) else {
             return;
@@ -479,13 +483,13 @@
                     && old.until > self.now
                     && (old.epoch, old.leader) != (p.epoch, p.leader)
                 {
-                    let what = format!(
+                    let detail = format!(
                         "{host} joins {} while its promise to {} is still in force",
                         p.epoch, old.epoch
                     );
-                    self.check.breach("two groups", what);
+                    self.check.breach("two groups", detail);
                 }
-                let until = clock.real_at(p.until).saturating_sub(1);
+                let until = clock.real_time_of(p.until).saturating_sub(1);
                 let promise = TruePromise { epoch: p.epoch, leader: p.leader, until };
                 self.promises.insert(host, promise);
             }
@@ -513,10 +517,10 @@
             Msg::Revoke { .. } => 7,
             Msg::Revoked { .. } => 8,
             Msg::Report(_) => 9,
-            Msg::FeedAsk { from, .. } => 1000 + from.0,
-            Msg::FeedAnswer { next, .. } => 100_000 + next.0,
+            Msg::FeedRequest { from, .. } => 1000 + from.0,
+            Msg::FeedResponse { next, .. } => 100_000 + next.0,
             Msg::Append(_) => 12,
-            Msg::Keep(_) => 13,
+            Msg::StoreSnapshot(_) => 13,
         }
     }
 }
--- a/crates/oliveworks-lab/src/slopes.rs
+++ b/crates/oliveworks-lab/src/slopes.rs
@@ -11,11 +11,11 @@
 use oliveworks_core::template::{Kind, Limits, Role, Template};
 
 /// Number of hosts of one replica.
-const WIDTH: u16 = 8;
+const HOSTS_PER_REPLICA: u16 = 8;
 /// Number of hosts of each fabric domain at the full size.
-const DOMAIN_HOSTS: u32 = 273;
+const HOSTS_PER_DOMAIN: u32 = 273;
 /// Number of replicas of each template.
-const REPLICAS: u16 = 16;
+const REPLICAS_PER_TEMPLATE: u16 = 16;
 
 /// Costs at one fleet size.
 #[derive(Clone, Debug)]
@@ -37,9 +37,9 @@
     /// Size of the platform's host list as JSON, in bytes.
     pub list_bytes: usize,
     /// Numbers of records and of planning rounds after the loss of a rack of 40 hosts.
-    pub rack: (usize, usize),
+    pub rack_repair: (usize, usize),
     /// Numbers of records and of planning rounds after the loss of a fabric domain.
-    pub domain: (usize, usize),
+    pub domain_repair: (usize, usize),
     /// Time of the longest planning round of these repairs, in microseconds.
     pub repair_plan_us: f64,
 }
@@ -48,12 +48,12 @@
     Name::new(text).expect("the name literal is valid")
 }
 
-fn listed(hosts: u32, gone: &dyn Fn(u32) -> bool) -> Vec<ListedHost> {
-    let there = (0..hosts).filter(|h| !gone(*h));
-    there
+fn host_list(hosts: u32, is_lost: &dyn Fn(u32) -> bool) -> Vec<ListedHost> {
+    let present = (0..hosts).filter(|h| !is_lost(*h));
+    present
         .map(|h| ListedHost {
             host: HostId(h),
-            domain: DomainId((h / DOMAIN_HOSTS) as u16),
+            domain: DomainId((h / HOSTS_PER_DOMAIN) as u16),
             address: ([10, 1, (h >> 8) as u8, h as u8], 7000).into(),
             leaving: false,
             service: None,
@@ -73,7 +73,7 @@
         adapter: None,
         version: name("1"),
         role: Role::Combined,
-        hosts: WIDTH,
+        hosts: HOSTS_PER_REPLICA,
         spares: 0,
         replicas,
         priority: 5,
@@ -93,18 +93,18 @@
         let record = Record { id: RecordId(u128::from(self.next)), author, body };
         let start = Instant::now();
         let _ = self.pool.apply(Offset(self.next), &record);
-        self.applied_us += micros(start);
+        self.applied_us += elapsed_us(start);
         self.next += 1;
     }
 }
 
-fn micros(start: Instant) -> f64 {
+fn elapsed_us(start: Instant) -> f64 {
     start.elapsed().as_nanos() as f64 / 1000.0
 }
 
-fn report_all(log: &Log, fleet: &mut Fleet, now: Millis, gone: &dyn Fn(u32) -> bool) {
+fn report_all(log: &Log, fleet: &mut Fleet, now: Millis, is_lost: &dyn Fn(u32) -> bool) {
     for group in log.pool.groups() {
-        let lost: Vec<HostId> = group.ranked.iter().copied().filter(|h| gone(h.0)).collect();
+        let lost: Vec<HostId> = group.ranked.iter().copied().filter(|h| is_lost(h.0)).collect();
         let from = group.ranked[0];
         let (view, serving) = (View(1), lost.is_empty());
         let report = GroupReport {
@@ -122,18 +122,18 @@
 
 /// Runs the planner until it has nothing left to change, for at most 201 rounds. Returns the number
 /// of records, the number of rounds, and the time of the longest round in microseconds.
-fn settle(
+fn plan_until_stable(
     log: &mut Log,
     fleet: &mut Fleet,
     now: Millis,
-    gone: &dyn Fn(u32) -> bool,
+    is_lost: &dyn Fn(u32) -> bool,
 ) -> (usize, usize, f64) {
     let (mut records, mut rounds, mut longest) = (0, 0, 0.0f64);
     loop {
-        report_all(log, fleet, now, gone);
+        report_all(log, fleet, now, is_lost);
         let start = Instant::now();
         let planned = plan(&log.pool, fleet, &PlacementConfig::default());
-        longest = longest.max(micros(start));
+        longest = longest.max(elapsed_us(start));
         let before = log.pool.digest();
         if planned.records.is_empty() || rounds > 200 {
             return (records, rounds, longest);
@@ -156,22 +156,22 @@
     let mut log =
         Log { pool: Pool::new([name("saffah"), name("sahel")]), next: 0, applied_us: 0.0 };
     // One sixteenth of the replicas that fit is left out, so that repairs find free hosts.
-    let mut left = hosts / u32::from(WIDTH) * 15 / 16;
+    let mut replicas_left = hosts / u32::from(HOSTS_PER_REPLICA) * 15 / 16;
     let mut number = 0;
-    while left > 0 {
-        let replicas = left.min(u32::from(REPLICAS)) as u16;
+    while replicas_left > 0 {
+        let replicas = replicas_left.min(u32::from(REPLICAS_PER_TEMPLATE)) as u16;
         let t = template(number, replicas);
         log.append(
             Author::Partner(t.partner.clone()),
             Body::PublishTemplate { template: t, edits: None },
         );
-        left -= u32::from(replicas);
+        replicas_left -= u32::from(replicas);
         number += 1;
     }
-    let none = |_: u32| false;
+    let no_host = |_: u32| false;
     let mut fleet = Fleet::new(FleetConfig { settle_ms: 0, ..FleetConfig::default() });
-    fleet.update_list(Millis(0), &listed(hosts, &none));
-    settle(&mut log, &mut fleet, Millis(0), &none);
+    fleet.update_list(Millis(0), &host_list(hosts, &no_host));
+    plan_until_stable(&mut log, &mut fleet, Millis(0), &no_host);
     let apply_us = log.applied_us / log.next as f64;
     let groups = log.pool.groups().count();
     let snapshot = Snapshot::of(&log.pool).to_bytes();
@@ -179,21 +179,21 @@
     Snapshot::from_bytes(&snapshot)
         .and_then(Snapshot::into_verified_pool)
         .expect("a snapshot that was just written is valid");
-    let open_us = micros(start);
+    let open_us = elapsed_us(start);
     let start = Instant::now();
     for _ in 0..20 {
         plan(&log.pool, &fleet, &PlacementConfig::default());
     }
-    let idle_plan_us = micros(start) / 20.0;
-    let repair = |gone: &dyn Fn(u32) -> bool| {
+    let idle_plan_us = elapsed_us(start) / 20.0;
+    let repair = |is_lost: &dyn Fn(u32) -> bool| {
         let mut log = Log { pool: log.pool.clone(), next: log.next, applied_us: 0.0 };
         let mut fleet = fleet.clone();
-        fleet.update_list(Millis(10_000), &listed(hosts, gone));
+        fleet.update_list(Millis(10_000), &host_list(hosts, is_lost));
         fleet.tick(Millis(20_000));
-        settle(&mut log, &mut fleet, Millis(20_000), gone)
+        plan_until_stable(&mut log, &mut fleet, Millis(20_000), is_lost)
     };
-    let rack = repair(&|h| (100..140).contains(&h));
-    let domain = repair(&|h| h / DOMAIN_HOSTS == 0);
+    let rack_repair = repair(&|h| (100..140).contains(&h));
+    let domain_repair = repair(&|h| h / HOSTS_PER_DOMAIN == 0);
     let form = log.pool.groups().next().map(|g| Body::FormGroup {
         slot: g.slot.clone(),
         template_at: Offset(1),
@@ -212,10 +212,10 @@
         apply_us,
         open_us,
         idle_plan_us,
-        list_bytes: serde_json::to_string(&listed(hosts, &none)).map_or(0, |t| t.len()),
-        rack: (rack.0, rack.1),
-        domain: (domain.0, domain.1),
-        repair_plan_us: rack.2.max(domain.2),
+        list_bytes: serde_json::to_string(&host_list(hosts, &no_host)).map_or(0, |t| t.len()),
+        rack_repair: (rack_repair.0, rack_repair.1),
+        domain_repair: (domain_repair.0, domain_repair.1),
+        repair_plan_us: rack_repair.2.max(domain_repair.2),
     }
 }
 
@@ -249,7 +249,7 @@
     let sxy: f64 = points.iter().map(|(x, y)| x * y).sum();
     let slope = (n * sxy - sx * sy) / (n * sxx - sx * sx);
     let base = (sy - slope * sx) / n;
-    let most = points.iter().map(|(_, y)| y.abs()).fold(f64::MIN_POSITIVE, f64::max);
+    let max_value = points.iter().map(|(_, y)| y.abs()).fold(f64::MIN_POSITIVE, f64::max);
     let residual = points.iter().map(|(x, y)| (y - base - slope * x).abs()).fold(0.0, f64::max);
-    (base, slope, residual / most)
+    (base, slope, residual / max_value)
 }
--- a/crates/oliveworks-lab/tests/prove.rs
+++ b/crates/oliveworks-lab/tests/prove.rs
@@ -19,9 +19,9 @@
 #[test_case(Broken::NoQuiet, 4, 50_000, "two groups")]
 #[test_case(Broken::ClaimsCurrent, 1, 1_000, "configuration")]
 #[test_case(Broken::ClaimsHome, 226, 50_000, "at most once")]
-fn a_deliberate_defect_is_seen(broken: Broken, seed: u64, steps: u64, promise: &str) {
+fn a_deliberate_defect_is_seen(broken: Broken, seed: u64, steps: u64, invariant: &str) {
     let outcome = run(seed, steps, broken, false);
-    assert!(outcome.breaches.iter().any(|b| b.promise == promise), "{:?}", outcome.breaches);
+    assert!(outcome.breaches.iter().any(|b| b.invariant == invariant), "{:?}", outcome.breaches);
     assert!(run(seed, steps, Broken::None, false).breaches.is_empty());
 }
 
