--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -1,6 +1,6 @@
 """Starts a small fleet of oliveworks processes on loopback, for demonstrations and fault tests.
 
-Only the standard library. Every process that is started here is ended here, by its id.
+Uses the standard library only. Ends every process that it started, by process id.
 """
 
 import http.client
@@ -19,13 +19,13 @@
 PROFILE = os.environ.get("OLIVEWORKS_PROFILE", "dev")
 PARTNERS = ("saffah", "sahel")
 
-# Whoever ends a script early, as `timeout` does, must not leave its fleet behind: the exception runs
-# the `finally` that ends every process.
+# A script that is terminated early, for example by `timeout`, must not leave its fleet running. The
+# exception runs the `finally` block that ends every process.
 signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))
 
 
 def build():
-    """Builds the binaries, unless they are said to be built."""
+    """Builds the binaries, unless OLIVEWORKS_BUILT is set."""
     if os.environ.get("OLIVEWORKS_BUILT"):
         return
     command = ["cargo", "build", "--workspace", "--locked", "--quiet", "--profile", PROFILE]
@@ -33,14 +33,14 @@
 
 
 def binary(name):
-    """The path of a built binary."""
+    """Returns the path of a built binary."""
     target = os.environ.get("CARGO_TARGET_DIR", os.path.join(ROOT, "target"))
     folder = "debug" if PROFILE == "dev" else PROFILE
     return os.path.join(target, folder, name)
 
 
 class Ports:
-    """Ports that the operating system gave, held until all are chosen."""
+    """Allocator of free ports. Holds the ports until all are allocated, so that they differ."""
 
     def __init__(self):
         self.held = []
@@ -63,7 +63,7 @@
 
 
 def request(url, method="GET", body=None, headers=None, timeout=10):
-    """One HTTP request; returns status, headers and the whole body."""
+    """Sends one HTTP request. Returns the status, the headers and the complete body."""
     parts = urllib.parse.urlsplit(url)
     conn = http.client.HTTPConnection(parts.hostname, parts.port, timeout=timeout)
     path = parts.path + (f"?{parts.query}" if parts.query else "")
@@ -80,7 +80,7 @@
 
 
 class Fleet:
-    """A platform, entries, agents and backend servers."""
+    """Fleet of a platform, entries, agents and backend servers."""
 
     def __init__(self, entries=3, models=12, services=2, domains=2, engine_args=(),
                  platform_args=(), unchecked=3, extra_agent="", extra_entry=""):
@@ -105,7 +105,8 @@
         ports.release()
         self.models = list(range(1, models + 1))
         self.services = list(range(models + 1, models + services + 1))
-        # Hosts of one fabric domain stand together: 1 to n in the first, the rest in the next.
+        # Model hosts of one fabric domain have consecutive numbers: 1 to n are in the first domain,
+        # the following ones in the next.
         self.domain = {h: 1 + (h - 1) * domains // models for h in self.models}
         self.domain.update({h: 1 + i % domains for i, h in enumerate(self.services)})
         self.platform = f"http://127.0.0.1:{self.platform_port}"
@@ -117,7 +118,7 @@
         return os.path.join(self.dir, name)
 
     def ctl(self, *args, partner=None, check=True, output="json"):
-        """Runs the operators' command line; returns what it printed."""
+        """Runs oliveworksctl. Returns its output, parsed if it is JSON."""
         command = [binary("oliveworksctl"), "--output", output]
         if partner:
             command += ["--context", self.path(f"{partner}.yaml")]
@@ -175,7 +176,7 @@
 
     def template(self, partner, name, hosts=4, spares=0, replicas=1, priority=5, kind="model",
                  repeatable=True, version="1", concurrent=32):
-        """A template as YAML."""
+        """Returns a template as YAML."""
         return (f"  - partner: {partner}\n    workspace: main\n    name: {name}\n    kind: {kind}\n"
                 f"    model: {name}\n    version: '{version}'\n    hosts: {hosts}\n"
                 f"    spares: {spares}\n    replicas: {replicas}\n    priority: {priority}\n"
@@ -183,7 +184,7 @@
                 f"    limits: {{concurrent: {concurrent}, deadline_ms: 20000}}\n")
 
     def publish(self, partner, templates, shares=None, wait=True, check=True):
-        """Publishes templates with the partner's workspace."""
+        """Publishes templates together with the partner's workspace."""
         digest = self.tokens[partner]["digest"]
         text = (f"workspaces:\n  - partner: {partner}\n    workspace: main\n"
                 f"    tokens: ['{digest}']\ntemplates:\n" + "".join(templates))
@@ -196,7 +197,7 @@
     # Processes
 
     def start(self, role, *command):
-        """Starts a process; its output goes to a file of its own."""
+        """Starts a process. Its output goes to the log file of its role."""
         self.commands[role] = command
         log = open(self.path(f"{role}.log"), "ab")
         self.procs[role] = subprocess.Popen(
@@ -207,7 +208,7 @@
         self.start(role, *self.commands[role])
 
     def kill(self, role, sig=signal.SIGKILL, wait=True):
-        """Ends one process that was started here."""
+        """Sends a signal to a process of this fleet, and waits for its end if `wait` is set."""
         proc = self.procs[role]
         if proc.poll() is None:
             os.kill(proc.pid, sig)
@@ -241,7 +242,7 @@
                    self.path(f"entry-{e}.yaml"))
 
     def start_all(self):
-        """Makes keys and settings and starts everything."""
+        """Creates keys and settings, starts all processes and waits until the entries are ready."""
         self.make_keys()
         self.write_settings()
         self.start("platform", binary("oliveworks-standin"), "platform", "--listen",
@@ -257,7 +258,10 @@
             self.until(f"entry-{e} is ready", lambda url=url: request(url)[0] == 200)
 
     def until(self, what, test, within=40):
-        """Waits until a test holds."""
+        """Waits until `test` returns a true value, and returns that value.
+
+        Raises TimeoutError after `within` seconds, and RuntimeError if a process fails.
+        """
         end = time.monotonic() + within
         while True:
             try:
@@ -267,10 +271,11 @@
             except OSError:
                 pass
             if time.monotonic() > end:
-                raise TimeoutError(f"not within {within} s: {what}")
+                raise TimeoutError(f"condition not met within {within} s: {what}")
             for role, proc in self.procs.items():
                 if proc.poll() not in (None, 0, -signal.SIGKILL, -signal.SIGTERM):
-                    raise RuntimeError(f"{role} ended with {proc.poll()}:\n{self.log(role)}")
+                    raise RuntimeError(
+                        f"process {role} ended with status {proc.poll()}:\n{self.log(role)}")
             time.sleep(0.05)
 
     def log(self, role, lines=15):
@@ -278,7 +283,7 @@
             return "".join(file.readlines()[-lines:])
 
     def stop_all(self):
-        """Ends whatever was started, by process id."""
+        """Ends all processes of this fleet by process id, and removes their files."""
         for proc in self.procs.values():
             if proc.poll() is None:
                 os.kill(proc.pid, signal.SIGCONT)
@@ -301,7 +306,7 @@
         return None
 
     def serving(self, name=None):
-        """Groups that serve, by the reports that the deciders have."""
+        """Returns the serving groups by group id, according to the status of all entries."""
         groups = {}
         for e in self.entry_ports:
             for group in (self.status(e) or {"groups": []})["groups"]:
@@ -311,7 +316,7 @@
         return groups
 
     def wait_serving(self, counts, within=40):
-        """Waits until each template has as many serving groups as named."""
+        """Waits until each template has at least the given number of serving groups."""
         def test():
             return all(len(self.serving(name)) >= n for name, n in counts.items())
         self.until(f"groups serve: {counts}", test, within)
@@ -324,7 +329,10 @@
         return {"authorization": f"Bearer {token}"}
 
     def chat(self, e, partner, model, text, tokens=None, stream=False, headers=None, timeout=30):
-        """A chat completion; returns the text of the whole answer, or the refusal."""
+        """Sends a chat completion. Returns the status, and the text of the answer or the refusal.
+
+        The text is None if a streamed answer is incomplete.
+        """
         body = {"model": model, "messages": [{"role": "user", "content": text}], "stream": stream}
         if tokens:
             body["max_tokens"] = tokens
@@ -338,13 +346,13 @@
         return code, join_stream(data.decode())
 
     def book(self, e, key, partner="saffah", headers=None, timeout=10):
-        """A booking at the plain service."""
+        """Sends a booking to the plain service."""
         all_headers = {**self.auth(self.tokens[partner]["token"]), **(headers or {})}
         return request(self.callers(e) + "/services/booking/book", "POST", {"id": key},
                        all_headers, timeout)
 
     def counts(self):
-        """How often each booking truly ran, over all services."""
+        """Returns how often each booking ran, summed over all services."""
         total = {}
         for h in self.services:
             url = f"http://127.0.0.1:{self.host_ports[h]['backend']}/counts"
@@ -357,12 +365,12 @@
         return total
 
     def faults(self, **faults):
-        """Switches the platform's faults."""
+        """Sets the platform's faults. Faults that are not given are ended."""
         request(self.platform + "/faults", "POST", faults)
 
 
 def join_stream(text):
-    """The text of a streamed answer; None if it is not whole."""
+    """Returns the text of a streamed answer, or None if the answer is incomplete."""
     out, done = "", False
     for line in text.splitlines():
         if not line.startswith("data: "):
@@ -379,7 +387,7 @@
 
 
 def expected(text, tokens=16):
-    """The stand-in engine's answer."""
+    """Returns the answer that the stand-in engine gives to a prompt."""
     words = text.split()
     return " ".join(words[i % len(words)] for i in range(tokens))
 
