--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -43,22 +43,22 @@
     """Allocator of free ports. Holds the ports until all are allocated, so that they differ."""
 
     def __init__(self):
-        self.held = []
+        self.sockets = []
 
     def tcp(self):
-        return self._take(socket.SOCK_STREAM)
+        return self._allocate(socket.SOCK_STREAM)
 
     def udp(self):
-        return self._take(socket.SOCK_DGRAM)
+        return self._allocate(socket.SOCK_DGRAM)
 
-    def _take(self, kind):
+    def _allocate(self, kind):
         sock = socket.socket(socket.AF_INET, kind)
         sock.bind(("127.0.0.1", 0))
-        self.held.append(sock)
+        self.sockets.append(sock)
         return sock.getsockname()[1]
 
     def release(self):
-        for sock in self.held:
+        for sock in self.sockets:
             sock.close()
 
 
@@ -83,13 +83,13 @@
     """Fleet of a platform, entries, agents and backend servers."""
 
     def __init__(self, entries=3, models=12, services=2, domains=2, engine_args=(),
-                 platform_args=(), unchecked=3, extra_agent="", extra_entry=""):
+                 platform_args=(), unchecked_every=3, extra_agent="", extra_entry=""):
         self.dir = tempfile.mkdtemp(prefix="oliveworks-")
         self.procs = {}
         self.commands = {}
         self.engine_args = list(engine_args)
         self.platform_args = list(platform_args)
-        self.unchecked = unchecked
+        self.unchecked_every = unchecked_every
         self.extra_agent = extra_agent
         self.extra_entry = extra_entry
         ports = Ports()
@@ -160,7 +160,7 @@
                 f"operator_token_digest: '{self.operator['digest']}'\n{self.extra_entry}"))
         for h, p in self.host_ports.items():
             name = f"host-{h}"
-            checks = "false" if h in self.services or h % self.unchecked == 0 else "true"
+            checks = "false" if h in self.services or h % self.unchecked_every == 0 else "true"
             self.write(f"{name}.yaml", self.shared_settings(name) + (
                 f"host: {h}\ndomain: {self.domain[h]}\npeer: 127.0.0.1:{p['peer']}\n"
                 f"admin: 127.0.0.1:{p['admin']}\n"
@@ -230,7 +230,8 @@
         if kind == "service":
             args += ["--name", "booking"]
         else:
-            args += self.engine_args + ([] if h % self.unchecked == 0 else ["--checks-fences"])
+            checks = [] if h % self.unchecked_every == 0 else ["--checks-fences"]
+            args += self.engine_args + checks
         self.start(f"backend-{h}", binary("oliveworks-standin"), kind, *args)
 
     def start_agent(self, h):
@@ -247,7 +248,8 @@
         self.write_settings()
         self.start("platform", binary("oliveworks-standin"), "platform", "--listen",
                    f"127.0.0.1:{self.platform_port}", *self.platform_args)
-        self.until("the platform answers", lambda: request(self.platform + "/faults")[0] == 200)
+        self.wait_until("the platform answers",
+                        lambda: request(self.platform + "/faults")[0] == 200)
         for h in self.host_ports:
             self.start_backend(h)
             self.start_agent(h)
@@ -255,9 +257,9 @@
             self.start_entry(e)
         for e, p in self.entry_ports.items():
             url = f"http://127.0.0.1:{p['admin']}/ready"
-            self.until(f"entry-{e} is ready", lambda url=url: request(url)[0] == 200)
+            self.wait_until(f"entry-{e} is ready", lambda url=url: request(url)[0] == 200)
 
-    def until(self, what, test, within=40):
+    def wait_until(self, what, test, within=40):
         """Waits until `test` returns a true value, and returns that value.
 
         Raises TimeoutError after `within` seconds, and RuntimeError if a process fails.
@@ -298,7 +300,8 @@
         for entry in [e] if e else list(self.entry_ports):
             url = f"http://127.0.0.1:{self.entry_ports[entry]['admin']}/admin/status"
             try:
-                code, _, body = request(url, headers=self.auth(self.operator["token"]), timeout=3)
+                headers = self.auth_headers(self.operator["token"])
+                code, _, body = request(url, headers=headers, timeout=3)
             except OSError:
                 continue
             if code == 200:
@@ -319,13 +322,13 @@
         """Waits until each template has at least the given number of serving groups."""
         def test():
             return all(len(self.serving(name)) >= n for name, n in counts.items())
-        self.until(f"groups serve: {counts}", test, within)
+        self.wait_until(f"groups serve: {counts}", test, within)
 
-    def callers(self, e):
+    def caller_url(self, e):
         return f"http://127.0.0.1:{self.entry_ports[e]['listen']}"
 
     @staticmethod
-    def auth(token):
+    def auth_headers(token):
         return {"authorization": f"Bearer {token}"}
 
     def chat(self, e, partner, model, text, tokens=None, stream=False, headers=None, timeout=30):
@@ -336,8 +339,8 @@
         body = {"model": model, "messages": [{"role": "user", "content": text}], "stream": stream}
         if tokens:
             body["max_tokens"] = tokens
-        all_headers = {**self.auth(self.tokens[partner]["token"]), **(headers or {})}
-        code, _, data = request(self.callers(e) + "/v1/chat/completions", "POST", body,
+        all_headers = {**self.auth_headers(self.tokens[partner]["token"]), **(headers or {})}
+        code, _, data = request(self.caller_url(e) + "/v1/chat/completions", "POST", body,
                                 all_headers, timeout)
         if code != 200:
             return code, json.loads(data)
@@ -347,11 +350,11 @@
 
     def book(self, e, key, partner="saffah", headers=None, timeout=10):
         """Sends a booking to the plain service."""
-        all_headers = {**self.auth(self.tokens[partner]["token"]), **(headers or {})}
-        return request(self.callers(e) + "/services/booking/book", "POST", {"id": key},
+        all_headers = {**self.auth_headers(self.tokens[partner]["token"]), **(headers or {})}
+        return request(self.caller_url(e) + "/services/booking/book", "POST", {"id": key},
                        all_headers, timeout)
 
-    def counts(self):
+    def booking_counts(self):
         """Returns how often each booking ran, summed over all services."""
         total = {}
         for h in self.services:
@@ -364,7 +367,7 @@
                 total[key] = total.get(key, 0) + n
         return total
 
-    def faults(self, **faults):
+    def set_faults(self, **faults):
         """Sets the platform's faults. Faults that are not given are ended."""
         request(self.platform + "/faults", "POST", faults)
 
