--- a/crates/oliveworks-lab/src/prove/world.rs
+++ b/crates/oliveworks-lab/src/prove/world.rs
@@ -1,4 +1,4 @@
-//! The world of a proof run: processes, engines, callers and time.
+//! State of a proof run: processes, engines, callers and simulated time.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -26,174 +26,179 @@
 use super::faults::Faults;
 use super::net::{Clock, Event, Log, Msg, Network, Node, Queue};
 
-/// Model hosts, half in each of two fabric domains.
+/// Number of model hosts. Half of them are in each of two fabric domains.
 pub const MODEL_HOSTS: u32 = 16;
-/// Hosts with a plain service, one in each domain.
+/// Number of hosts with a plain service, spread over the two fabric domains.
 pub const SERVICE_HOSTS: u32 = 3;
-/// Entries.
+/// Number of entries.
 pub const ENTRIES: usize = 3;
-/// Between two ticks of a process, in milliseconds.
+/// Time between two ticks of a process, in milliseconds.
 pub const TICK_MS: u64 = 100;
-/// The clocks' rates are off by at most this.
+/// Maximum error of a clock's rate, in parts per million.
 const DRIFT_PPM: i64 = 1000;
-/// Records that an entry keeps to pass on.
+/// Number of recent records that a process keeps, to serve them to other processes.
 pub const TAIL: usize = 64;
 
-/// What every process keeps of the log.
+/// Copy of the log's state in a process.
 pub struct Reader {
-    /// The pool.
+    /// Pool that results from the records applied so far.
     pub pool: Pool,
-    /// Where records come from.
+    /// Source of records.
     pub feed: Feed,
-    /// Recent records, to pass on.
+    /// Recent records, kept to serve them to other processes.
     pub tail: VecDeque<(Offset, Rc<Record>)>,
 }
 
-/// A request that an agent runs.
+/// Request that an agent runs.
 pub struct Running {
-    /// The entry that waits.
+    /// Entry that waits for the answer.
     pub entry: Node,
-    /// What was handed over.
-    pub handed: Handover,
-    /// The view that began it.
+    /// Request as the entry handed it over.
+    pub handover: Handover,
+    /// Permit of the view that started the request.
     pub permit: RunPermit,
 }
 
-/// An agent process.
+/// Agent process.
 pub struct AgentProc {
-    /// The decisions.
+    /// Decision code under test.
     pub agent: Agent,
-    /// The log as known here.
+    /// Log as read by this process.
     pub reader: Reader,
-    /// What runs.
+    /// Requests that run at the engine.
     pub runs: BTreeMap<AttemptId, Running>,
-    /// When to report again.
+    /// Real time from which the next periodic report is due, in milliseconds.
     pub report_at: u64,
 }
 
-/// An engine or a plain service.
+/// Engine or plain service: the backend server of a host.
 pub struct Engine {
-    /// Which life of the engine this is; zero while it is dead.
-    pub life: u64,
-    /// The highest fence seen.
+    /// Incarnation of the engine. Zero while the engine is dead.
+    pub incarnation: u64,
+    /// Highest fence received.
     pub fence: Fence,
-    /// Whether it refuses orders and requests with a lower fence.
-    pub checks: bool,
-    /// What runs: the next piece and the total.
+    /// Whether the engine refuses orders and requests with a lower fence.
+    pub checks_fences: bool,
+    /// Running requests: number of the next piece, and total number of pieces.
     pub runs: BTreeMap<AttemptId, (u64, u64)>,
-    /// Requests on their way to it.
-    pub coming: BTreeMap<AttemptId, (Fence, u64, u64, bool)>,
+    /// Requests in transit from the agent to the engine: fence, first piece, total number of
+    /// pieces, and whether the request may be repeated.
+    pub in_transit: BTreeMap<AttemptId, (Fence, u64, u64, bool)>,
 }
 
-/// A request at its entry.
-pub struct Open {
-    /// The decisions.
+/// Outstanding request at its entry.
+pub struct OutstandingRequest {
+    /// Decision code under test.
     pub relay: Relay,
-    /// What it asks for.
+    /// Kind of the requested template.
     pub kind: Kind,
-    /// Pieces of the whole answer.
+    /// Number of pieces of the complete answer.
     pub total: u64,
-    /// Latest end by the entry's clock.
+    /// Deadline by the entry's clock.
     pub deadline: Millis,
-    /// The caller's key.
+    /// Idempotency key of the caller.
     pub key: Option<oliveworks_core::ledger::Key>,
-    /// When the request, or its key, was first used, in real time.
-    pub first: u64,
-    /// The present try.
+    /// Real time of the first use of the request or its key, in milliseconds.
+    pub first_used: u64,
+    /// Current attempt.
     pub current: Option<(AttemptId, HostId, Handover)>,
-    /// When the present try, or its revocation, counts as lost.
+    /// Time, by the entry's clock, from which the current attempt or its revocation counts as lost.
     pub lost_at: Millis,
-    /// Waiting for the answer to a revocation.
+    /// Whether the entry waits for the answer to a revocation.
     pub revoking: bool,
 }
 
-/// A key whose caller may ask again.
+/// Key whose caller does not know the outcome and may retry.
 #[derive(Clone, Copy, Debug)]
-pub struct Again {
-    /// The request.
+pub struct RetryableKey {
+    /// Request that the key belongs to.
     pub id: RequestId,
-    /// The key.
+    /// Idempotency key.
     pub key: oliveworks_core::ledger::Key,
-    /// When it was first used, in real time.
-    pub first: u64,
+    /// Real time of the first use of the key, in milliseconds.
+    pub first_used: u64,
 }
 
-/// Callers may use a key again until this long after its first use, in milliseconds.
+/// Time after its first use during which callers may reuse a key, in milliseconds.
 pub const KEY_REUSE_MS: u64 = KEY_WINDOW_MS - KEY_FRESH_MS;
-/// How long keys are remembered.
+/// Time for which agents keep a key, in milliseconds.
 const KEY_WINDOW_MS: u64 = 60_000;
-/// How current a configuration must be to decide on keys.
+/// Maximum age of a configuration for decisions on keys, in milliseconds.
 const KEY_FRESH_MS: u64 = 10_000;
 
-/// An entry process.
+/// Entry process.
 pub struct EntryProc {
-    /// The log as known here.
+    /// Log as read by this process.
     pub reader: Reader,
-    /// The deciding role.
+    /// Decider of the entry.
     pub decider: Decider,
-    /// Agents as last heard: incarnation, clock and when.
+    /// Last `Hello` of each agent: incarnation, time by the agent's clock, and time of receipt by
+    /// the entry's clock.
     pub agents: BTreeMap<HostId, (Incarnation, Millis, Millis)>,
-    /// Leaders of groups as last heard.
+    /// Last reported leader of each group.
     pub leaders: BTreeMap<Epoch, HostId>,
-    /// Requests.
-    pub open: BTreeMap<RequestId, Open>,
-    /// Snapshot taken at.
-    pub kept_at: Offset,
+    /// Outstanding requests.
+    pub outstanding: BTreeMap<RequestId, OutstandingRequest>,
+    /// Offset that follows the last record in the last snapshot stored by this entry.
+    pub snapshot_end: Offset,
 }
 
-/// Everything.
+/// State of the whole run.
 pub struct World {
-    /// Real time in milliseconds.
+    /// Real time, in milliseconds.
     pub now: u64,
-    /// What is to happen.
+    /// Future events.
     pub queue: Queue,
-    /// The seed's stream.
+    /// Random number generator, seeded with the seed of the run.
     pub rng: ChaCha8Rng,
-    /// The network.
+    /// Network between the nodes.
     pub net: Network,
-    /// The log.
+    /// Log of the platform.
     pub log: Log,
-    /// Clocks of processes.
+    /// Clocks of the processes.
     pub clocks: BTreeMap<Node, Clock>,
-    /// Running agents.
+    /// Running agent processes.
     pub agents: BTreeMap<HostId, AgentProc>,
-    /// Engines.
+    /// Engines and plain services, including dead ones.
     pub engines: BTreeMap<HostId, Engine>,
-    /// Running entries.
+    /// Running entry processes.
     pub entries: BTreeMap<usize, EntryProc>,
-    /// Paused processes with what waits for them.
+    /// Paused processes, with the events that are delivered to them when they resume.
     pub paused: BTreeMap<Node, Vec<Event>>,
-    /// What hosts truly promised.
+    /// Promises that are in force at each host.
     pub promises: BTreeMap<HostId, TruePromise>,
-    /// The platform's list, as it will be shown.
-    pub list: Vec<ListedHost>,
-    /// The platform's list is stuck.
+    /// Host list that the platform currently serves.
+    pub host_list: Vec<ListedHost>,
+    /// Whether the platform's host list is stuck at its last state.
     pub list_stuck: bool,
-    /// Hosts that the platform wrongly leaves out.
-    pub list_wrong: BTreeSet<HostId>,
-    /// The judge.
+    /// Hosts that the platform wrongly omits from its host list.
+    pub omitted_hosts: BTreeSet<HostId>,
+    /// Invariant checks.
     pub check: Checker,
-    /// Faults in progress and counts.
+    /// Faults in progress, and their statistics.
     pub faults: Faults,
-    /// The deliberate defect of this run.
+    /// Deliberate defect of this run.
     pub broken: Broken,
-    /// Only planned changes, no faults.
+    /// Whether the run makes planned changes only, without faults.
     pub calm: bool,
-    /// A running digest of all that happened.
+    /// Running digest of all events.
     pub digest: u64,
-    /// Keys whose callers do not know the outcome and will ask again.
-    pub again: Vec<Again>,
-    /// Numbers engines' lives.
-    pub lives: u64,
+    /// Keys whose callers do not know the outcome and may retry.
+    pub retryable_keys: Vec<RetryableKey>,
+    /// Number of engine starts so far. The source of engine incarnations.
+    pub engine_starts: u64,
 }
 
-/// A name that is known to be good.
+/// Returns a name that is known to be valid.
+///
+/// # Panics
+/// If the name is invalid.
 pub fn name(text: &str) -> Name {
-    Name::new(text).expect("a constant name")
+    Name::new(text).expect("the name literal is valid")
 }
 
 impl World {
-    /// A world at rest, with both partners' templates in the log.
+    /// Creates a run without faults in progress, with both partners' templates in the log.
     pub fn new(seed: u64, broken: Broken, calm: bool) -> World {
         let mut world = World {
             now: 10_000,
@@ -207,16 +212,16 @@
             entries: BTreeMap::new(),
             paused: BTreeMap::new(),
             promises: BTreeMap::new(),
-            list: Vec::new(),
+            host_list: Vec::new(),
             list_stuck: false,
-            list_wrong: BTreeSet::new(),
+            omitted_hosts: BTreeSet::new(),
             check: Checker::default(),
             faults: Faults::default(),
             broken,
             calm,
             digest: 0,
-            again: Vec::new(),
-            lives: 0,
+            retryable_keys: Vec::new(),
+            engine_starts: 0,
         };
         world.publish_first();
         for host in (0..MODEL_HOSTS + SERVICE_HOSTS).map(HostId) {
@@ -226,9 +231,9 @@
         for entry in 0..ENTRIES {
             world.start(Node::Entry(entry));
         }
-        world.queue.push(world.now, Event::List);
-        world.queue.push(world.now + 5_000, Event::Arrive);
-        world.queue.push(world.now + 8_000, Event::Fault);
+        world.queue.push(world.now, Event::ReadHostList);
+        world.queue.push(world.now + 5_000, Event::RequestArrival);
+        world.queue.push(world.now + 8_000, Event::BeginFault);
         world
     }
 
@@ -242,27 +247,28 @@
         }
     }
 
-    /// A partner's operators publish a template straight to the log.
+    /// Appends a template to the log on behalf of its partner's operators.
     pub fn publish(&mut self, template: Template) {
         let author = Author::Partner(template.partner.clone());
         self.operator(author, Body::PublishTemplate { template, edits: None });
     }
 
-    /// An operator's record, straight to the log unless that is down.
+    /// Appends an operator's record to the log, without the network. Does nothing while the log is
+    /// down.
     pub fn operator(&mut self, author: Author, body: Body) {
         if self.log.down {
             return;
         }
-        let id = RecordId(self.draw());
+        let id = RecordId(self.random_u128());
         self.log.append(self.now, Rc::new(Record { id, author, body }));
     }
 
-    /// A random number of 128 bits.
-    pub fn draw(&mut self) -> u128 {
+    /// Draws a random number of 128 bits.
+    pub fn random_u128(&mut self) -> u128 {
         (u128::from(self.rng.next_u64()) << 64) | u128::from(self.rng.next_u64())
     }
 
-    /// A process's clock.
+    /// Returns the current time by the clock of a process.
     pub fn clock(&self, node: Node) -> Millis {
         self.clocks.get(&node).map_or(Millis(0), |c| c.read(self.now))
     }
@@ -285,7 +291,7 @@
         }
     }
 
-    /// Starts a process that knows nothing.
+    /// Starts a process with an empty state and a new clock.
     pub fn start(&mut self, node: Node) {
         let drift_ppm = self.rng.random_range(-DRIFT_PPM..=DRIFT_PPM);
         let offset = self.rng.random_range(0..1_000_000);
@@ -295,7 +301,7 @@
         match node {
             Node::Agent(host) => {
                 let incarnation = Incarnation(self.rng.next_u64());
-                let checks = self.engines.get(&host).is_some_and(|e| e.checks);
+                let checks_fences = self.engines.get(&host).is_some_and(|e| e.checks_fences);
                 let config = AgentConfig {
                     host,
                     lease: LeaseConfig::default(),
@@ -304,9 +310,9 @@
                         key_fresh_ms: KEY_FRESH_MS,
                         ..LedgerConfig::default()
                     },
-                    order_max_ms: if checks { 0 } else { ENGINE_ORDER_MAX_MS },
+                    order_max_ms: if checks_fences { 0 } else { ENGINE_ORDER_MAX_MS },
                 };
-                // The broken variant believes that it has been quiet for long enough already.
+                // The broken variant starts as if it had already been quiet for 10 s.
                 let quiet = if self.broken == Broken::NoQuiet { 10_000 } else { 0 };
                 let began = Millis(now.0.saturating_sub(quiet));
                 let mut agent = Agent::new(began, incarnation, config);
@@ -327,8 +333,8 @@
                     decider,
                     agents: BTreeMap::new(),
                     leaders: BTreeMap::new(),
-                    open: BTreeMap::new(),
-                    kept_at: Offset(0),
+                    outstanding: BTreeMap::new(),
+                    snapshot_end: Offset(0),
                 };
                 self.entries.insert(entry, proc);
             }
@@ -338,32 +344,32 @@
         self.queue.push(self.now + jitter, Event::Tick(node));
     }
 
-    /// Starts a host's backend server afresh.
+    /// Starts a host's backend server as a new incarnation with an empty state.
     pub fn start_engine(&mut self, host: HostId) {
-        self.lives += 1;
+        self.engine_starts += 1;
         let engine = Engine {
-            life: self.lives,
+            incarnation: self.engine_starts,
             fence: Fence::default(),
-            checks: !host.0.is_multiple_of(3),
+            checks_fences: !host.0.is_multiple_of(3),
             runs: BTreeMap::new(),
-            coming: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
         };
         self.engines.insert(host, engine);
     }
 
-    /// The fabric domain of a host.
+    /// Returns the fabric domain of a host.
     pub fn domain(host: HostId) -> DomainId {
         DomainId((host.0 % 2) as u16)
     }
 
-    /// Sends a message through the network as it is now.
+    /// Sends a message through the network, subject to the current network faults.
     pub fn send(&mut self, from: Node, to: Node, msg: Msg) {
         if !self.net.connects(from, to) {
             return;
         }
-        let copies = 1 + u32::from(self.rng.random_range(0..1000) < self.net.double);
+        let copies = 1 + u32::from(self.rng.random_range(0..1000) < self.net.duplication_per_mille);
         for _ in 0..copies {
-            if self.rng.random_range(0..1000) < self.net.loss {
+            if self.rng.random_range(0..1000) < self.net.loss_per_mille {
                 continue;
             }
             let slow = if from == Node::Log { self.log.slow_ms } else { 0 };
@@ -373,14 +379,14 @@
         }
     }
 
-    /// One step. Returns false when nothing is left to do.
+    /// Processes the next event. Returns `false` if no event is left.
     pub fn step(&mut self) -> bool {
         let Some((at, event)) = self.queue.pop() else {
             return false;
         };
         self.now = self.now.max(at);
         self.check.step += 1;
-        self.mix(at, &event);
+        self.update_digest(at, &event);
         let node = match &event {
             Event::Tick(node) | Event::Deliver { to: node, .. } => Some(*node),
             Event::OrderDone { host, .. } => Some(Node::Agent(*host)),
@@ -394,18 +400,18 @@
         true
     }
 
-    fn mix(&mut self, at: u64, event: &Event) {
+    fn update_digest(&mut self, at: u64, event: &Event) {
         let tag = match event {
             Event::Tick(_) => 1,
             Event::Deliver { msg, .. } => 100 + msg.tag(),
             Event::OrderDone { number, .. } => 1000 + number,
             Event::EngineStart { .. } => 3,
             Event::EngineStep { .. } => 4,
-            Event::Arrive => 5,
-            Event::List => 6,
-            Event::Fault => 7,
-            Event::Heal(n) => 2000 + n,
-            Event::Return(_) => 8,
+            Event::RequestArrival => 5,
+            Event::ReadHostList => 6,
+            Event::BeginFault => 7,
+            Event::EndFault(n) => 2000 + n,
+            Event::Restart(_) => 8,
         };
         let bytes = [at.to_be_bytes(), u64::to_be_bytes(tag)].concat();
         self.digest = xxhash_rust::xxh3::xxh3_64_with_seed(&bytes, self.digest);
@@ -417,16 +423,18 @@
             Event::Tick(Node::Entry(entry)) => self.entry_tick(entry),
             Event::Tick(Node::Log) => {}
             Event::Deliver { from, to, msg } => self.deliver(from, to, msg),
-            Event::OrderDone { host, life, number, done } => {
-                self.order_done(host, life, number, done)
+            Event::OrderDone { host, incarnation, number, done } => {
+                self.order_done(host, incarnation, number, done)
             }
-            Event::EngineStart { host, life, id } => self.engine_start(host, life, id),
-            Event::EngineStep { host, life, id } => self.engine_step(host, life, id),
-            Event::Arrive => self.arrive(),
-            Event::List => self.read_list(),
-            Event::Fault => self.begin_fault(),
-            Event::Heal(number) => self.heal(number),
-            Event::Return(node) => self.come_back(node),
+            Event::EngineStart { host, incarnation, id } => {
+                self.engine_start(host, incarnation, id)
+            }
+            Event::EngineStep { host, incarnation, id } => self.engine_step(host, incarnation, id),
+            Event::RequestArrival => self.start_caller_request(),
+            Event::ReadHostList => self.update_host_list(),
+            Event::BeginFault => self.begin_fault(),
+            Event::EndFault(number) => self.end_fault(number),
+            Event::Restart(node) => self.restart_node(node),
         }
     }
 
@@ -438,23 +446,26 @@
         }
     }
 
-    /// Carries an agent's commands out.
-    pub fn obey(&mut self, host: HostId, commands: Vec<Command>) {
+    /// Executes an agent's commands.
+    pub fn execute_commands(&mut self, host: HostId, commands: Vec<Command>) {
         for command in commands {
             match command {
-                Command::Send(to, msg) => {
-                    self.send(Node::Agent(host), Node::Agent(to), Msg::Lease(self.bend(msg)))
-                }
+                Command::Send(to, msg) => self.send(
+                    Node::Agent(host),
+                    Node::Agent(to),
+                    Msg::Lease(self.apply_message_defect(msg)),
+                ),
                 Command::Order(number, order) => self.engine_order(host, number, order.fence()),
                 Command::CancelRequests => self.cut_requests(host),
                 Command::RecordEvent(..) => {}
             }
         }
-        self.note_promise(host);
+        self.track_promise(host);
     }
 
-    /// Tracks what a host has truly promised.
-    fn note_promise(&mut self, host: HostId) {
+    /// Records the promise that is in force at a host, and checks that a restarted agent does not
+    /// make a different promise before the earlier one has ended.
+    fn track_promise(&mut self, host: HostId) {
         let now = self.clock(Node::Agent(host));
         let Some(proc) = self.agents.get(&host) else {
             return;
@@ -465,17 +476,20 @@
         match proc.agent.promise(now) {
             Some(p) => {
                 let old = self.promises.get(&host).copied();
-                // A promise of an earlier run of the agent must have ended by now.
+                // A promise made before the agent restarted must have ended by now.
                 let forgotten = self.faults.restarted.remove(&host);
                 if let Some(old) = old
                     && forgotten
                     && old.until > self.now
                     && (old.epoch, old.leader) != (p.epoch, p.leader)
                 {
-                    let what = format!("{host} joins {} while bound to {}", p.epoch, old.epoch);
-                    self.check.breach("two groups", what);
+                    let detail = format!(
+                        "{host} joins {} while its promise to {} is still in force",
+                        p.epoch, old.epoch
+                    );
+                    self.check.breach("two groups", detail);
                 }
-                let until = clock.real_at(p.until).saturating_sub(1);
+                let until = clock.real_time_of(p.until).saturating_sub(1);
                 let promise = TruePromise { epoch: p.epoch, leader: p.leader, until };
                 self.promises.insert(host, promise);
             }
@@ -487,7 +501,7 @@
     }
 }
 
-/// The longest that an order takes at an engine, in milliseconds.
+/// Maximum time that an order takes at an engine, in milliseconds.
 pub const ENGINE_ORDER_MAX_MS: u64 = 900;
 
 impl Msg {
@@ -503,15 +517,15 @@
             Msg::Revoke { .. } => 7,
             Msg::Revoked { .. } => 8,
             Msg::Report(_) => 9,
-            Msg::FeedAsk { from, .. } => 1000 + from.0,
-            Msg::FeedAnswer { next, .. } => 100_000 + next.0,
+            Msg::FeedRequest { from, .. } => 1000 + from.0,
+            Msg::FeedResponse { next, .. } => 100_000 + next.0,
             Msg::Append(_) => 12,
-            Msg::Keep(_) => 13,
+            Msg::StoreSnapshot(_) => 13,
         }
     }
 }
 
-/// A model's template for the run.
+/// Returns a model template for the run.
 pub fn model_template(
     partner: &str,
     model: &str,
@@ -537,7 +551,7 @@
     }
 }
 
-/// The plain service's template for the run.
+/// Returns the template of the plain service for the run.
 pub fn service_template(replicas: u16) -> Template {
     let mut template = model_template("saffah", "booking", 0, replicas, 5);
     template.kind = Kind::Service;
--- a/crates/oliveworks-lab/tests/prove.rs
+++ b/crates/oliveworks-lab/tests/prove.rs
@@ -1,4 +1,5 @@
-//! Short proof runs: the whole decisions pass, and each deliberate defect is seen.
+//! Short proof runs: the shipped decision code keeps all invariants, and each deliberate defect
+//! listed here is detected.
 
 use oliveworks_lab::prove::{Broken, run};
 use test_case::test_case;
@@ -12,15 +13,15 @@
     }
 }
 
-// Seeds and steps at which each defect was first seen; see docs/PROOFS.md.
+// Seed and number of steps with which each defect was first detected; see docs/PROOFS.md.
 #[test_case(Broken::MixesTries, 1, 70_000, "whole answer")]
 #[test_case(Broken::RepeatsAll, 1, 50_000, "at most once")]
 #[test_case(Broken::NoQuiet, 4, 50_000, "two groups")]
 #[test_case(Broken::ClaimsCurrent, 1, 1_000, "configuration")]
 #[test_case(Broken::ClaimsHome, 226, 50_000, "at most once")]
-fn a_deliberate_defect_is_seen(broken: Broken, seed: u64, steps: u64, promise: &str) {
+fn a_deliberate_defect_is_seen(broken: Broken, seed: u64, steps: u64, invariant: &str) {
     let outcome = run(seed, steps, broken, false);
-    assert!(outcome.breaches.iter().any(|b| b.promise == promise), "{:?}", outcome.breaches);
+    assert!(outcome.breaches.iter().any(|b| b.invariant == invariant), "{:?}", outcome.breaches);
     assert!(run(seed, steps, Broken::None, false).breaches.is_empty());
 }
 
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -1,6 +1,6 @@
 """Starts a small fleet of oliveworks processes on loopback, for demonstrations and fault tests.
 
-Only the standard library. Every process that is started here is ended here, by its id.
+Uses the standard library only. Ends every process that it started, by process id.
 """
 
 import http.client
@@ -19,13 +19,13 @@
 PROFILE = os.environ.get("OLIVEWORKS_PROFILE", "dev")
 PARTNERS = ("saffah", "sahel")
 
-# Whoever ends a script early, as `timeout` does, must not leave its fleet behind: the exception runs
-# the `finally` that ends every process.
+# A script that is terminated early, for example by `timeout`, must not leave its fleet running. The
+# exception runs the `finally` block that ends every process.
 signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))
 
 
 def build():
-    """Builds the binaries, unless they are said to be built."""
+    """Builds the binaries, unless OLIVEWORKS_BUILT is set."""
     if os.environ.get("OLIVEWORKS_BUILT"):
         return
     command = ["cargo", "build", "--workspace", "--locked", "--quiet", "--profile", PROFILE]
@@ -33,37 +33,37 @@
 
 
 def binary(name):
-    """The path of a built binary."""
+    """Returns the path of a built binary."""
     target = os.environ.get("CARGO_TARGET_DIR", os.path.join(ROOT, "target"))
     folder = "debug" if PROFILE == "dev" else PROFILE
     return os.path.join(target, folder, name)
 
 
 class Ports:
-    """Ports that the operating system gave, held until all are chosen."""
+    """Allocator of free ports. Holds the ports until all are allocated, so that they differ."""
 
     def __init__(self):
-        self.held = []
+        self.sockets = []
 
     def tcp(self):
-        return self._take(socket.SOCK_STREAM)
+        return self._allocate(socket.SOCK_STREAM)
 
     def udp(self):
-        return self._take(socket.SOCK_DGRAM)
+        return self._allocate(socket.SOCK_DGRAM)
 
-    def _take(self, kind):
+    def _allocate(self, kind):
         sock = socket.socket(socket.AF_INET, kind)
         sock.bind(("127.0.0.1", 0))
-        self.held.append(sock)
+        self.sockets.append(sock)
         return sock.getsockname()[1]
 
     def release(self):
-        for sock in self.held:
+        for sock in self.sockets:
             sock.close()
 
 
 def request(url, method="GET", body=None, headers=None, timeout=10):
-    """One HTTP request; returns status, headers and the whole body."""
+    """Sends one HTTP request. Returns the status, the headers and the complete body."""
     parts = urllib.parse.urlsplit(url)
     conn = http.client.HTTPConnection(parts.hostname, parts.port, timeout=timeout)
     path = parts.path + (f"?{parts.query}" if parts.query else "")
@@ -80,16 +80,16 @@
 
 
 class Fleet:
-    """A platform, entries, agents and backend servers."""
+    """Fleet of a platform, entries, agents and backend servers."""
 
     def __init__(self, entries=3, models=12, services=2, domains=2, engine_args=(),
-                 platform_args=(), unchecked=3, extra_agent="", extra_entry=""):
+                 platform_args=(), unchecked_every=3, extra_agent="", extra_entry=""):
         self.dir = tempfile.mkdtemp(prefix="oliveworks-")
         self.procs = {}
         self.commands = {}
         self.engine_args = list(engine_args)
         self.platform_args = list(platform_args)
-        self.unchecked = unchecked
+        self.unchecked_every = unchecked_every
         self.extra_agent = extra_agent
         self.extra_entry = extra_entry
         ports = Ports()
@@ -105,7 +105,8 @@
         ports.release()
         self.models = list(range(1, models + 1))
         self.services = list(range(models + 1, models + services + 1))
-        # Hosts of one fabric domain stand together: 1 to n in the first, the rest in the next.
+        # Model hosts of one fabric domain have consecutive numbers: 1 to n are in the first domain,
+        # the following ones in the next.
         self.domain = {h: 1 + (h - 1) * domains // models for h in self.models}
         self.domain.update({h: 1 + i % domains for i, h in enumerate(self.services)})
         self.platform = f"http://127.0.0.1:{self.platform_port}"
@@ -117,7 +118,7 @@
         return os.path.join(self.dir, name)
 
     def ctl(self, *args, partner=None, check=True, output="json"):
-        """Runs the operators' command line; returns what it printed."""
+        """Runs oliveworksctl. Returns its output, parsed if it is JSON."""
         command = [binary("oliveworksctl"), "--output", output]
         if partner:
             command += ["--context", self.path(f"{partner}.yaml")]
@@ -159,7 +160,7 @@
                 f"operator_token_digest: '{self.operator['digest']}'\n{self.extra_entry}"))
         for h, p in self.host_ports.items():
             name = f"host-{h}"
-            checks = "false" if h in self.services or h % self.unchecked == 0 else "true"
+            checks = "false" if h in self.services or h % self.unchecked_every == 0 else "true"
             self.write(f"{name}.yaml", self.shared_settings(name) + (
                 f"host: {h}\ndomain: {self.domain[h]}\npeer: 127.0.0.1:{p['peer']}\n"
                 f"admin: 127.0.0.1:{p['admin']}\n"
@@ -175,7 +176,7 @@
 
     def template(self, partner, name, hosts=4, spares=0, replicas=1, priority=5, kind="model",
                  repeatable=True, version="1", concurrent=32):
-        """A template as YAML."""
+        """Returns a template as YAML."""
         return (f"  - partner: {partner}\n    workspace: main\n    name: {name}\n    kind: {kind}\n"
                 f"    model: {name}\n    version: '{version}'\n    hosts: {hosts}\n"
                 f"    spares: {spares}\n    replicas: {replicas}\n    priority: {priority}\n"
@@ -183,7 +184,7 @@
                 f"    limits: {{concurrent: {concurrent}, deadline_ms: 20000}}\n")
 
     def publish(self, partner, templates, shares=None, wait=True, check=True):
-        """Publishes templates with the partner's workspace."""
+        """Publishes templates together with the partner's workspace."""
         digest = self.tokens[partner]["digest"]
         text = (f"workspaces:\n  - partner: {partner}\n    workspace: main\n"
                 f"    tokens: ['{digest}']\ntemplates:\n" + "".join(templates))
@@ -196,7 +197,7 @@
     # Processes
 
     def start(self, role, *command):
-        """Starts a process; its output goes to a file of its own."""
+        """Starts a process. Its output goes to the log file of its role."""
         self.commands[role] = command
         log = open(self.path(f"{role}.log"), "ab")
         self.procs[role] = subprocess.Popen(
@@ -207,7 +208,7 @@
         self.start(role, *self.commands[role])
 
     def kill(self, role, sig=signal.SIGKILL, wait=True):
-        """Ends one process that was started here."""
+        """Sends a signal to a process of this fleet, and waits for its end if `wait` is set."""
         proc = self.procs[role]
         if proc.poll() is None:
             os.kill(proc.pid, sig)
@@ -229,7 +230,8 @@
         if kind == "service":
             args += ["--name", "booking"]
         else:
-            args += self.engine_args + ([] if h % self.unchecked == 0 else ["--checks-fences"])
+            checks = [] if h % self.unchecked_every == 0 else ["--checks-fences"]
+            args += self.engine_args + checks
         self.start(f"backend-{h}", binary("oliveworks-standin"), kind, *args)
 
     def start_agent(self, h):
@@ -241,12 +243,13 @@
                    self.path(f"entry-{e}.yaml"))
 
     def start_all(self):
-        """Makes keys and settings and starts everything."""
+        """Creates keys and settings, starts all processes and waits until the entries are ready."""
         self.make_keys()
         self.write_settings()
         self.start("platform", binary("oliveworks-standin"), "platform", "--listen",
                    f"127.0.0.1:{self.platform_port}", *self.platform_args)
-        self.until("the platform answers", lambda: request(self.platform + "/faults")[0] == 200)
+        self.wait_until("the platform answers",
+                        lambda: request(self.platform + "/faults")[0] == 200)
         for h in self.host_ports:
             self.start_backend(h)
             self.start_agent(h)
@@ -254,10 +257,13 @@
             self.start_entry(e)
         for e, p in self.entry_ports.items():
             url = f"http://127.0.0.1:{p['admin']}/ready"
-            self.until(f"entry-{e} is ready", lambda url=url: request(url)[0] == 200)
+            self.wait_until(f"entry-{e} is ready", lambda url=url: request(url)[0] == 200)
 
-    def until(self, what, test, within=40):
-        """Waits until a test holds."""
+    def wait_until(self, what, test, within=40):
+        """Waits until `test` returns a true value, and returns that value.
+
+        Raises TimeoutError after `within` seconds, and RuntimeError if a process fails.
+        """
         end = time.monotonic() + within
         while True:
             try:
@@ -267,10 +273,11 @@
             except OSError:
                 pass
             if time.monotonic() > end:
-                raise TimeoutError(f"not within {within} s: {what}")
+                raise TimeoutError(f"condition not met within {within} s: {what}")
             for role, proc in self.procs.items():
                 if proc.poll() not in (None, 0, -signal.SIGKILL, -signal.SIGTERM):
-                    raise RuntimeError(f"{role} ended with {proc.poll()}:\n{self.log(role)}")
+                    raise RuntimeError(
+                        f"process {role} ended with status {proc.poll()}:\n{self.log(role)}")
             time.sleep(0.05)
 
     def log(self, role, lines=15):
@@ -278,7 +285,7 @@
             return "".join(file.readlines()[-lines:])
 
     def stop_all(self):
-        """Ends whatever was started, by process id."""
+        """Ends all processes of this fleet by process id, and removes their files."""
         for proc in self.procs.values():
             if proc.poll() is None:
                 os.kill(proc.pid, signal.SIGCONT)
@@ -293,7 +300,8 @@
         for entry in [e] if e else list(self.entry_ports):
             url = f"http://127.0.0.1:{self.entry_ports[entry]['admin']}/admin/status"
             try:
-                code, _, body = request(url, headers=self.auth(self.operator["token"]), timeout=3)
+                headers = self.auth_headers(self.operator["token"])
+                code, _, body = request(url, headers=headers, timeout=3)
             except OSError:
                 continue
             if code == 200:
@@ -301,7 +309,7 @@
         return None
 
     def serving(self, name=None):
-        """Groups that serve, by the reports that the deciders have."""
+        """Returns the serving groups by group id, according to the status of all entries."""
         groups = {}
         for e in self.entry_ports:
             for group in (self.status(e) or {"groups": []})["groups"]:
@@ -311,25 +319,28 @@
         return groups
 
     def wait_serving(self, counts, within=40):
-        """Waits until each template has as many serving groups as named."""
+        """Waits until each template has at least the given number of serving groups."""
         def test():
             return all(len(self.serving(name)) >= n for name, n in counts.items())
-        self.until(f"groups serve: {counts}", test, within)
+        self.wait_until(f"groups serve: {counts}", test, within)
 
-    def callers(self, e):
+    def caller_url(self, e):
         return f"http://127.0.0.1:{self.entry_ports[e]['listen']}"
 
     @staticmethod
-    def auth(token):
+    def auth_headers(token):
         return {"authorization": f"Bearer {token}"}
 
     def chat(self, e, partner, model, text, tokens=None, stream=False, headers=None, timeout=30):
-        """A chat completion; returns the text of the whole answer, or the refusal."""
+        """Sends a chat completion. Returns the status, and the text of the answer or the refusal.
+
+        The text is None if a streamed answer is incomplete.
+        """
         body = {"model": model, "messages": [{"role": "user", "content": text}], "stream": stream}
         if tokens:
             body["max_tokens"] = tokens
-        all_headers = {**self.auth(self.tokens[partner]["token"]), **(headers or {})}
-        code, _, data = request(self.callers(e) + "/v1/chat/completions", "POST", body,
+        all_headers = {**self.auth_headers(self.tokens[partner]["token"]), **(headers or {})}
+        code, _, data = request(self.caller_url(e) + "/v1/chat/completions", "POST", body,
                                 all_headers, timeout)
         if code != 200:
             return code, json.loads(data)
@@ -338,13 +349,13 @@
         return code, join_stream(data.decode())
 
     def book(self, e, key, partner="saffah", headers=None, timeout=10):
-        """A booking at the plain service."""
-        all_headers = {**self.auth(self.tokens[partner]["token"]), **(headers or {})}
-        return request(self.callers(e) + "/services/booking/book", "POST", {"id": key},
+        """Sends a booking to the plain service."""
+        all_headers = {**self.auth_headers(self.tokens[partner]["token"]), **(headers or {})}
+        return request(self.caller_url(e) + "/services/booking/book", "POST", {"id": key},
                        all_headers, timeout)
 
-    def counts(self):
-        """How often each booking truly ran, over all services."""
+    def booking_counts(self):
+        """Returns how often each booking ran, summed over all services."""
         total = {}
         for h in self.services:
             url = f"http://127.0.0.1:{self.host_ports[h]['backend']}/counts"
@@ -356,13 +367,13 @@
                 total[key] = total.get(key, 0) + n
         return total
 
-    def faults(self, **faults):
-        """Switches the platform's faults."""
+    def set_faults(self, **faults):
+        """Sets the platform's faults. Faults that are not given are ended."""
         request(self.platform + "/faults", "POST", faults)
 
 
 def join_stream(text):
-    """The text of a streamed answer; None if it is not whole."""
+    """Returns the text of a streamed answer, or None if the answer is incomplete."""
     out, done = "", False
     for line in text.splitlines():
         if not line.startswith("data: "):
@@ -379,7 +390,7 @@
 
 
 def expected(text, tokens=16):
-    """The stand-in engine's answer."""
+    """Returns the answer that the stand-in engine gives to a prompt."""
     words = text.split()
     return " ".join(words[i % len(words)] for i in range(tokens))
 
