--- a/crates/oliveworks-gateway-core/tests/backoff.rs
+++ b/crates/oliveworks-gateway-core/tests/backoff.rs
@@ -12,7 +12,7 @@
 #[test_case(&[(0, 3_000), (1_000, 3_000)], 3_500, Some(4_000); "asked anew")]
 #[test_case(&[(0, u64::MAX)], 10, Some(BACKOFF_MAX_MS); "never for good")]
 #[test_case(&[], 0, None; "never asked")]
-fn a_host_is_left_alone(asked: &[(u64, u64)], now: u64, expected: Option<u64>) {
+fn a_backoff_lasts_as_long_as_asked(asked: &[(u64, u64)], now: u64, expected: Option<u64>) {
     let mut backoffs = Backoffs::default();
     for (at, ms) in asked {
         backoffs.asked(*at, HOST, *ms);
@@ -22,7 +22,7 @@
 
 /// A log line is written once per backoff, not once per refusal.
 #[test]
-fn only_the_first_refusal_of_a_time_is_news() {
+fn only_the_first_refusal_of_a_backoff_is_new() {
     let mut backoffs = Backoffs::default();
     assert!(backoffs.asked(0, HOST, 3_000));
     assert!(!backoffs.asked(10, HOST, 3_000));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_host_that_starts_again_has_asked_for_nothing() {
+fn a_host_that_restarts_has_no_backoff() {
     let mut backoffs = Backoffs::default();
     backoffs.asked(0, HOST, 3_000);
     backoffs.remove(HOST);
--- a/crates/oliveworks-gateway-core/tests/configuration.rs
+++ b/crates/oliveworks-gateway-core/tests/configuration.rs
@@ -56,7 +56,12 @@
 #[test_case("a.example", "/x/", None, Err(Unmatched::NoKey); "no key")]
 #[test_case("a.example", "/x/", Some("k2"), Err(Unmatched::NoKey); "nobody's key")]
 #[test_case("a.example", "/open/", None, Ok("open"); "a public route needs none")]
-fn finds(host: &str, path: &str, key: Option<&str>, expected: Result<&str, Unmatched>) {
+fn a_request_finds_its_route(
+    host: &str,
+    path: &str,
+    key: Option<&str>,
+    expected: Result<&str, Unmatched>,
+) {
     let lookup = Lookup::new(configuration(workspaces()));
     let found = lookup.find(host, path, key).map(|found| found.route.name.as_str());
     assert_eq!(found, expected);
@@ -69,14 +74,14 @@
 }
 
 #[test]
-fn the_key_tells_the_workspace() {
+fn the_key_selects_the_workspace() {
     let lookup = Lookup::new(configuration(workspaces()));
     let found = lookup.find("a.example", "/x/", Some("k1")).expect("a route and a key");
     assert_eq!(found.workspace.map(|workspace| workspace.name.as_str()), Some("riders"));
 }
 
 #[test]
-fn a_split_route_keeps_its_weights_and_its_mind() {
+fn a_split_route_follows_its_weights_and_is_deterministic() {
     let route = route("r", "a", "/", true);
     let chosen = |n: u32| route.service_for(&format!("request-{n}")).expect("a service");
     let spare = (0..10_000).filter(|n| chosen(*n) == "spare").count();
--- a/crates/oliveworks-gateway-core/tests/crashers.rs
+++ b/crates/oliveworks-gateway-core/tests/crashers.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn whoever_comes_to_its_end_is_cleared() {
+fn a_request_that_survives_restarts_its_chain() {
     let mut crashers = Crashers::default();
     crashers.host_ended(1_000, request(GUILTY), Target(1), 0);
     crashers.host_ended(2_000, request(GUILTY), Target(2), 0);
@@ -78,7 +78,7 @@
 /// Backend servers also end for other reasons: each such moment raises the number of ends that
 /// convict a request by one.
 #[test]
-fn other_ends_ask_for_a_longer_chain() {
+fn unrelated_ends_require_a_longer_chain() {
     let mut crashers = Crashers::default();
     for host in 50..60 {
         crashers.host_ended(900, request(7), Target(host), 0);
@@ -97,7 +97,7 @@
 /// Two gateways each observe a concurrent end of the same request as its third end, while an
 /// innocent request runs at one of the two hosts.
 #[test]
-fn ends_side_by_side_are_explained_too() {
+fn concurrent_ends_at_different_gateways_are_explained_too() {
     let (mut one, mut other) = (Crashers::default(), Crashers::default());
     for (end, host) in [(1_000, 1), (2_000, 2)] {
         for number in [GUILTY, 1] {
@@ -171,7 +171,7 @@
 /// The number of remembered chains stays bounded when more requests lose their host than run in a
 /// failure domain of a large deployment.
 #[test]
-fn the_weakest_are_forgotten_first() {
+fn the_weakest_chains_are_evicted_first() {
     let mut crashers = Crashers::default();
     for (end, host) in [(1_000, 1), (2_000, 2), (3_000, 3)] {
         crashers.host_ended(end, request(GUILTY), Target(host), 0);
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_chain_is_told_once_and_not_for_ever() {
+fn a_chain_is_applied_once_and_not_reported_forever() {
     let (mut one, mut other) = (Crashers::default(), Crashers::default());
     one.host_ended(1_000, request(GUILTY), Target(1), 0);
     let reported = one.chains_to_report(1_000);
@@ -241,7 +241,7 @@
 /// A process that started after the last end of a chain cannot compute the age of that end, and
 /// therefore does not forward the chain.
 #[test]
-fn an_end_from_before_the_process_is_not_told_on() {
+fn an_end_from_before_the_process_start_is_not_forwarded() {
     let (mut one, mut other) = (Crashers::default(), Crashers::default());
     for (end, host) in [(1_000, 1), (2_000, 2), (3_000, 3)] {
         one.host_ended(end, request(GUILTY), Target(host), 0);
--- a/crates/oliveworks-gateway-core/tests/crashers_under_load.rs
+++ b/crates/oliveworks-gateway-core/tests/crashers_under_load.rs
@@ -315,7 +315,7 @@
 #[test_case(1, None; "one")]
 #[test_case(2, None; "two at once")]
 #[test_case(1, Some(2_000); "one beside crashes")]
-fn it_is_convicted_in_time(guilty: u64, crash_interval_ms: Option<u64>) {
+fn a_guilty_request_is_convicted_in_time(guilty: u64, crash_interval_ms: Option<u64>) {
     let mut ended = 0;
     for seed in 0..seeds() {
         let world = simulate(seed, guilty, crash_interval_ms);
@@ -336,7 +336,7 @@
 
 #[test_case(None; "no crash")]
 #[test_case(Some(1_000); "a crash a second")]
-fn nobody_is_convicted_without_one(crash_interval_ms: Option<u64>) {
+fn no_request_is_convicted_without_a_guilty_one(crash_interval_ms: Option<u64>) {
     for seed in 0..seeds() {
         assert_eq!(simulate(seed, 0, crash_interval_ms).convicted, BTreeSet::new(), "seed {seed}");
     }
@@ -345,7 +345,7 @@
 /// Hosts that end for other reasons raise the number of ends needed for a conviction, but not
 /// without bound.
 #[test]
-fn other_ends_put_a_conviction_off_for_a_while_only() {
+fn unrelated_ends_delay_a_conviction_within_a_bound() {
     let mut crashers = Crashers::default();
     for end in 0..ENDS_MAX as u64 {
         let now = 1_000 + end * 1_500;
@@ -358,7 +358,7 @@
 /// Guards against the end of a conviction when a host ends for another reason: the request was
 /// rejected and then sent again.
 #[test]
-fn a_conviction_lasts_whatever_ends_afterwards() {
+fn a_conviction_outlasts_unrelated_ends() {
     let mut crashers = Crashers::default();
     for end in 0..3 {
         crashers.host_ended(1_000 + end * 1_000, fingerprint(0), Target(end), 0);
@@ -373,7 +373,7 @@
 
 /// Each copy of the request arrives at a different gateway and ends one host there.
 #[test]
-fn gateways_that_saw_one_end_each_convict_it_together() {
+fn gateways_that_observed_one_end_each_convict_the_request() {
     let mut gateways = vec![Crashers::default(); 3];
     for end in 0..3 {
         let now = 1_000 + end * 500;
--- a/crates/oliveworks-gateway-core/tests/decisions.rs
+++ b/crates/oliveworks-gateway-core/tests/decisions.rs
@@ -22,7 +22,12 @@
 #[test_case(&[(1_000, 2_000)], 6_900, Some(5_000), true; "held back proves later")]
 #[test_case(&[(5_000, 0), (1_000, 0)], 8_900, Some(5_000), true; "an older proof takes nothing back")]
 #[test_case(&[(1_000, 0)], 90_000, None, true; "without a bound any proof will do")]
-fn keys_are_honoured(proofs: &[(u64, u64)], now: u64, bound: Option<u64>, expected: bool) {
+fn keys_are_accepted_while_the_proof_is_recent(
+    proofs: &[(u64, u64)],
+    now: u64,
+    bound: Option<u64>,
+    expected: bool,
+) {
     let mut freshness = Freshness::default();
     for (sent, held) in proofs {
         freshness.proved(*sent, *held);
@@ -70,7 +75,7 @@
 /// heartbeats of others, five gateways that were each killed three times in ten seconds sent 740
 /// repeats where 660 are allowed.
 #[test]
-fn gateways_that_start_anew_stay_within_the_bound() {
+fn restarted_gateways_stay_within_the_bound() {
     /// Time after which the other gateways count a gateway that has started, in ms.
     const COUNTED_AFTER_MS: u64 = 300;
     let mut budgets = vec![Budget::new(BUDGET, 0); 5];
@@ -127,7 +132,7 @@
 #[test_case(ONCE, 2, Failure::Refused, false, 10, Next::GiveUp(Verdict::NotRun); "refused by all")]
 #[test_case(ONCE, 0, Failure::NotSent, false, 10, Next::Again; "not sent at all")]
 #[test_case(ONCE, 0, Failure::NotSent, false, 1_000, Next::GiveUp(Verdict::NotRun); "not sent in time")]
-fn after_a_failure(
+fn next_step_after_a_failure(
     terms: Terms,
     sent: u32,
     failure: Failure,
@@ -145,7 +150,7 @@
 
 /// A request that may have run is never reported as "not run" afterwards.
 #[test]
-fn uncertainty_stays() {
+fn a_request_that_may_have_run_never_counts_as_not_run() {
     let mut attempts = Attempts::new(Terms { max_attempts: 3, ..TERMS });
     attempts.sending();
     attempts.failed(10, Failure::Lost, false);
@@ -161,7 +166,7 @@
 #[test_case(Verdict::NoRoute, 404, false)]
 #[test_case(Verdict::BodyTooLarge, 413, false)]
 #[test_case(Verdict::HeadTooLarge, 431, false)]
-fn answers(verdict: Verdict, status: u16, come_back: bool) {
+fn verdicts_map_to_answers(verdict: Verdict, status: u16, come_back: bool) {
     let answer = verdict.answer();
     assert_eq!((answer.status, answer.come_back), (status, come_back));
 }
@@ -169,7 +174,7 @@
 proptest! {
     /// The same complete events are found wherever the bytes of a stream are split.
     #[test]
-    fn events_do_not_depend_on_cuts(ids in prop::collection::vec(0u64..99, 0..9), cut in 1usize..9) {
+    fn events_do_not_depend_on_chunk_boundaries(ids in prop::collection::vec(0u64..99, 0..9), cut in 1usize..9) {
         let text: String = ids.iter().map(|id| format!("id: {id}\ndata: x{id}\n\n")).collect();
         let mut splitter = Splitter::default();
         let mut events = Vec::new();
@@ -185,7 +190,7 @@
 
     /// No bytes from a backend server cause a panic or growth without bound.
     #[test]
-    fn any_bytes_are_borne(bytes in prop::collection::vec(any::<u8>(), 0..2_000)) {
+    fn arbitrary_event_stream_bytes_are_tolerated(bytes in prop::collection::vec(any::<u8>(), 0..2_000)) {
         let mut splitter = Splitter::default();
         let events = splitter.push(&bytes).expect("below the bound");
         let passed: usize = events.iter().map(|event| event.bytes.len()).sum();
@@ -212,7 +217,11 @@
 #[test_case(Some(2), &[Some(2), Some(3)], &[Pass::Known, Pass::On]; "taken up with a repeat")]
 #[test_case(Some(2), &[Some(4)], &[Pass::Gap]; "a piece is missing")]
 #[test_case(Some(2), &[None, Some(3)], &[Pass::On, Pass::On]; "an event without an id")]
-fn taken_up(after: Option<u64>, ids: &[Option<u64>], expected: &[Pass]) {
+fn a_resumed_stream_skips_known_events_and_detects_gaps(
+    after: Option<u64>,
+    ids: &[Option<u64>],
+    expected: &[Pass],
+) {
     let mut progress = Progress::after(after);
     let passes: Vec<Pass> = ids.iter().map(|id| progress.next(*id)).collect();
     assert_eq!(passes, expected);
@@ -250,7 +259,7 @@
 
 /// Gateways with the same information do not all choose the single least loaded target.
 #[test]
-fn gateways_with_the_same_old_news_spread_their_requests() {
+fn gateways_with_the_same_stale_load_reports_spread_their_requests() {
     let candidates = candidates(12);
     let mut balance = Balance::default();
     let busy = candidates[1..].iter().map(|c| (c.target, Load { requests: 3, tokens: 0 }));
@@ -275,7 +284,7 @@
 /// A gateway starts while the store is unavailable, and another gateway that is also cut off
 /// reports an old proof. The clock of the process begins at 0, and the proof is older than that.
 #[test]
-fn a_proof_from_before_the_process_began_is_no_younger_for_it() {
+fn a_peer_proof_older_than_the_process_keeps_its_age() {
     let mut freshness = Freshness::default();
     freshness.proved_by_peer(40, 0, 4_600);
     assert_eq!(freshness.age_ms(200), Some(4_760));
@@ -304,7 +313,7 @@
 /// Requests that wait for one host at the same time all fail when the host misses a call. These
 /// failures count once.
 #[test]
-fn calls_that_fail_together_are_no_loss() {
+fn concurrent_failures_count_once() {
     let mut suspensions = Suspensions::default();
     suspensions.suspend(0, Target(1));
     suspensions.suspend(5, Target(1));
@@ -322,7 +331,11 @@
 #[test_case(true, Some(1_600), 1_400 + PASS_MS + 50; "what others hear is no help to our own stream")]
 #[test_case(false, None, 1_000 + 2 * PASS_MS + 100; "all of ours wait for a first event")]
 #[test_case(false, Some(1_600), 1_600 + 2 * PASS_MS + 100; "others hear from it meanwhile")]
-fn a_group_stands_still(begun: bool, other_receipt: Option<u64>, expected: u64) {
+fn a_group_counts_as_stalled_after_its_bound(
+    begun: bool,
+    other_receipt: Option<u64>,
+    expected: u64,
+) {
     let mut balance = Balance::default();
     let target = Target::of("head");
     balance.started(1_000, target, 500);
@@ -355,7 +368,7 @@
 }
 
 #[test]
-fn the_first_start_needs_no_patience() {
+fn a_claim_on_the_first_start_is_made_at_once() {
     let mut first = election(1);
     assert_eq!(first.claim(0, 0), None, "the topic was not read yet");
     first.read(0, None, place(0));
@@ -377,7 +390,7 @@
 }
 
 #[test]
-fn records_that_have_gone_are_no_first_start() {
+fn expired_leader_records_are_no_first_start() {
     let mut late = election(4);
     late.read(0, None, place(9));
     assert_eq!(late.claim(0, 0), None);
@@ -413,7 +426,7 @@
 /// Heartbeats that are forwarded late, or by a gateway that was paused, do not keep a silent leader
 /// in office.
 #[test]
-fn only_news_of_a_leader_counts_as_hearing_it() {
+fn only_new_heartbeats_of_the_leader_count() {
     let mut election = election(2);
     election.read(0, Some(claim(5, 1)), place(5));
     assert!(election.observe_heartbeat(1_000, heartbeat(5, 8)));
@@ -463,7 +476,7 @@
 
 /// A process that was paused has not received the heartbeats of that time.
 #[test]
-fn a_pause_is_not_the_leaders_silence() {
+fn a_local_pause_does_not_count_as_silence_of_the_leader() {
     let mut election = election(2);
     election.read(0, Some(claim(5, 1)), place(5));
     election.awake_since(4_000);
--- a/crates/oliveworks-gateway-core/tests/drains.rs
+++ b/crates/oliveworks-gateway-core/tests/drains.rs
@@ -46,7 +46,7 @@
 /// Pages form no consistent snapshot: a drain ended and began again while they were read. The
 /// records since the first page follow and correct this.
 #[test]
-fn what_changed_between_pages_is_put_right() {
+fn changes_between_pages_are_corrected() {
     let mut drains = Drains::default();
     drains.begin(100, "west");
     drains.replace_all(200, &names(&[]));
@@ -58,7 +58,7 @@
 /// A gateway that has read further than the gateway that it asks does not treat a drain as ended
 /// that the other gateway does not know yet.
 #[test]
-fn newest_records_of_a_gateway_that_is_behind_are_told_apart() {
+fn newest_records_of_a_gateway_that_is_behind_are_recognized() {
     let mut replay_buffer = ReplayBuffer::default();
     assert!(!replay_buffer.is_ahead_of(place(0)), "the topic was not read yet");
     replay_buffer.append(vec!["drain"], place(8));
@@ -72,7 +72,7 @@
 /// and with whatever delay they report it. A gateway that observed the end itself learns nothing
 /// new.
 #[test]
-fn an_end_that_others_tell_is_news_once() {
+fn an_end_reported_by_peers_is_new_once() {
     let mut drains = Drains::default();
     assert!(drains.record_remote_end("west", 5_000));
     assert!(!drains.record_remote_end("west", 5_040));
@@ -90,7 +90,7 @@
 /// (`"ms_ago":101` for an end 5.1 s before), so the other gateways treated it as new again and
 /// again.
 #[test]
-fn only_ends_that_were_seen_are_told_on() {
+fn only_observed_ends_are_forwarded() {
     let mut drains = Drains::default();
     drains.record_remote_end("west", 0);
     assert!(drains.ended_within(100, 1_000).is_empty(), "the process started after the end");
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_drain_that_is_written_again_is_no_longer_doubted() {
+fn a_rewritten_drain_is_no_longer_unconfirmed() {
     let mut drains = Drains::default();
     drains.begin(100, "west");
     drains.read_in_part(&names(&[]));
--- a/crates/oliveworks-gateway-core/tests/era.rs
+++ b/crates/oliveworks-gateway-core/tests/era.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn the_first_era_told_is_news() {
+fn the_first_reported_era_is_new() {
     let mut era = StoreEra::default();
     assert_eq!(era.known_since(), None);
     assert_eq!(era.observe(10, 5, Era(0)), EraChange::New { before: None });
@@ -25,7 +25,7 @@
 #[test_case(2_000, 1_990, Era(40), EraChange::New { before: Some(Era(3)) }, Era(40); "one that leaps")]
 #[test_case(2_000, 900, Era(2), EraChange::Late, Era(3); "a former one by an answer that was held back")]
 #[test_case(2_000, 1_990, Era(2), EraChange::New { before: Some(Era(3)) }, Era(2); "a lower one of a new call")]
-fn an_era_is_told(now: u64, sent: u64, reported: Era, expected: EraChange, known: Era) {
+fn era_changes_are_classified(now: u64, sent: u64, reported: Era, expected: EraChange, known: Era) {
     let mut era = in_era_3();
     assert_eq!(era.observe(now, sent, reported), expected);
     assert_eq!(era.era(), known);
--- a/crates/oliveworks-gateway-core/tests/fan_out.rs
+++ b/crates/oliveworks-gateway-core/tests/fan_out.rs
@@ -74,7 +74,7 @@
 
 /// The sum that a failure domain reports contains the load of its own gateways only.
 #[test]
-fn a_domain_tells_only_what_its_own_gateways_have_open() {
+fn a_domain_reports_only_the_load_of_its_own_gateways() {
     let target = Target(1);
     let mut balance = Balance::default();
     balance.started(0, target, 10);
--- a/crates/oliveworks-gateway-core/tests/leaving.rs
+++ b/crates/oliveworks-gateway-core/tests/leaving.rs
@@ -24,7 +24,7 @@
 /// The record of a leaving server may be written later and lack that state, because the state
 /// reaches the store late or never.
 #[test]
-fn records_of_that_life_do_not_take_it_back() {
+fn records_of_the_same_incarnation_do_not_revoke_leaving() {
     let mut directory = Directory::default();
     directory.put(record(5, 1));
     assert!(directory.leaves("h1", Some(Born(5))));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_later_life_takes_it_back() {
+fn a_later_incarnation_is_not_leaving() {
     let mut directory = Directory::default();
     directory.put(record(5, 1));
     directory.leaves("h1", Some(Born(5)));
@@ -48,7 +48,7 @@
 /// An answer of an earlier incarnation is read after the record of the next incarnation, for
 /// example because this process was paused.
 #[test]
-fn an_answer_of_an_earlier_life_says_nothing_of_this_one() {
+fn an_answer_of_an_earlier_incarnation_is_ignored() {
     let mut directory = Directory::default();
     directory.put(record(6, 1));
     assert!(!directory.leaves("h1", Some(Born(5))));
--- a/crates/oliveworks-gateway-core/tests/listing.rs
+++ b/crates/oliveworks-gateway-core/tests/listing.rs
@@ -12,14 +12,14 @@
 #[test_case(&[(0, true), (300, false), (600, false), (1_500, false)], 1_950; "no new one for long")]
 #[test_case(&[(0, true), (1_000, true), (2_000, true), (3_900, true)], 300; "new ones keep coming")]
 #[test_case(&[(0, true), (1_000, true), (8_900, true), (9_100, true)], 1_950; "the start is over")]
-fn pauses(reads: &[(u64, bool)], expected: u64) {
+fn the_interval_between_reads_follows_new_hosts(reads: &[(u64, bool)], expected: u64) {
     let mut listing = Listing::new(CONFIG);
     let pauses: Vec<u64> = reads.iter().map(|(at, new)| listing.read(10_000 + at, *new)).collect();
     assert_eq!(pauses.last(), Some(&expected));
 }
 
 #[test]
-fn a_tighter_bound_goes_before_the_quick_pace() {
+fn a_shorter_configured_interval_takes_precedence() {
     let mut listing = Listing::new(ListingConfig { every_ms: 200, ..CONFIG });
     assert_eq!(listing.read(0, true), 200);
 }
--- a/crates/oliveworks-gateway-core/tests/load_report.rs
+++ b/crates/oliveworks-gateway-core/tests/load_report.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn what_a_domain_tells_another_grows_less_than_targets() {
+fn a_remote_report_grows_slower_than_its_targets() {
     let (bytes_for_few, bytes_for_many) = (bytes_per_second(50), bytes_per_second(1_000));
     assert!(
         bytes_for_many <= bytes_for_few * 6,
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn each_domain_is_told_all_within_half_a_second() {
+fn each_domain_gets_a_full_report_within_half_a_second() {
     let mut intervals = ReportIntervals::default();
     for source in [EAST, Source::FailureDomain(2)] {
         let due_count = (0..20).filter(|beat| intervals.is_due(beat * 100, source, 5_000)).count();
@@ -68,7 +68,7 @@
 /// The load of the recipient's own targets is reported with each heartbeat. Other targets from
 /// which data was received are reported only if the recipient has outstanding requests there.
 #[test]
-fn a_domain_is_told_what_matters_to_it_at_once() {
+fn load_of_the_recipients_targets_is_reported_at_once() {
     let mut balance = Balance::default();
     balance.record_peer_load_elsewhere(0, EAST, HashMap::from([(Target(7), load(2))]));
     let is_recipients_target = |target: Target| target.0 < 3;
@@ -89,7 +89,7 @@
 /// Sums for targets outside the reporting failure domain are reported less often than sums for the
 /// domain's own targets, and therefore expire later. Both count.
 #[test]
-fn what_is_told_now_and_then_still_counts() {
+fn load_that_is_reported_rarely_still_counts() {
     let mut balance = Balance::default();
     balance.record_peer_load_elsewhere(0, EAST, HashMap::from([(Target(1), load(5))]));
     balance.record_peer_load(0, EAST, HashMap::from([(Target(2), load(3))]));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_record_is_told_again_after_a_while_or_when_it_is_news() {
+fn a_record_is_resent_after_a_while_or_when_it_is_new() {
     let mut repeats = Repeats::default();
     let id = Rc::from("host-1");
     assert!(!repeats.is_repeat(0, &id, true), "the record is new");
--- a/crates/oliveworks-gateway-core/tests/members.rs
+++ b/crates/oliveworks-gateway-core/tests/members.rs
@@ -36,7 +36,7 @@
 /// If there are more gateways than requests, each backend server has other gateways with a share of
 /// one request.
 #[test]
-fn no_gateway_has_no_part_at_any() {
+fn every_gateway_has_a_share_at_some_target() {
     let all: Vec<u64> = (0..53).collect();
     for own in &all {
         let members = members_known_to(*own, &all);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_new_gateway_has_none_until_others_have_heard_of_it() {
+fn a_new_gateway_has_no_share_until_peers_have_heard_of_it() {
     let mut members = Members::new(0, false, 5_000);
     members.heard(1, 5_100);
     assert_eq!(members.part(6_999, 47.0, Target(1)), 0);
@@ -64,12 +64,12 @@
 }
 
 #[test]
-fn a_gateway_without_others_has_all_at_once() {
+fn a_gateway_without_peers_has_the_whole_share_at_once() {
     assert_eq!(Members::new(0, true, 5_000).part(5_000, 47.0, Target(1)), shared_part(47.0));
 }
 
 #[test]
-fn one_that_was_paused_for_long_begins_anew() {
+fn a_gateway_paused_for_long_counts_as_new() {
     let mut members = members_known_to(0, &[0, 1, 2]);
     members.paused(20_000, 3_500);
     assert_eq!(members.part(21_999, 47.0, Target(1)), 0);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn one_that_hears_nobody_keeps_its_part() {
+fn a_gateway_that_hears_nobody_keeps_its_share() {
     let mut members = members_known_to(0, &[0, 1, 2, 3]);
     let before = members.part(10_000, 47.0, Target(1));
     (11..1_000).for_each(|second| members.retain(second * 1_000));
@@ -86,7 +86,7 @@
 
 /// Three of fifteen gateways that are cut off together still receive each other's heartbeats.
 #[test]
-fn some_that_hear_only_each_other_keep_their_parts() {
+fn gateways_that_hear_only_each_other_keep_their_shares() {
     let all: Vec<u64> = (0..15).collect();
     let mut members = members_known_to(0, &all);
     for second in 11..1_000 {
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn others_that_are_gone_are_forgotten_in_time() {
+fn gone_peers_are_forgotten_after_a_minute() {
     let all: Vec<u64> = (0..15).collect();
     let mut members = members_known_to(0, &all);
     let observe = |members: &mut Members, now| (1..12).for_each(|other| members.heard(other, now));
@@ -112,7 +112,7 @@
 
 /// Gateways that are reachable again are not forgotten before their heartbeats can be received.
 #[test]
-fn one_that_was_cut_off_gives_others_time_to_be_heard() {
+fn a_gateway_that_was_cut_off_does_not_forget_peers_at_once() {
     let all: Vec<u64> = (0..15).collect();
     let mut members = members_known_to(0, &all);
     members.retain(100_000);
@@ -123,7 +123,7 @@
 
 /// Silent gateways are reported to new gateways.
 #[test]
-fn silent_ones_are_told_on() {
+fn silent_peers_are_reported() {
     let members = members_known_to(0, &[0, 1, 2]);
     assert_eq!(members.silent(13_000).count(), 0);
     assert_eq!(members.silent(13_001).count(), 2);
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn one_that_hears_others_late_waits_until_they_have_heard_of_it() {
+fn a_gateway_that_hears_peers_late_waits_until_they_have_heard_of_it() {
     let mut members = Members::new(0, false, 5_000);
     members.heard(1, 20_000);
     assert_eq!(members.part(21_999, 47.0, Target(1)), 0);
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn what_is_over_is_not_told_on() {
+fn peers_silent_for_a_minute_are_not_reported() {
     let members = members_known_to(0, &[0, 1, 2]);
     assert_eq!(members.silent(70_000).count(), 0);
 }
@@ -154,7 +154,7 @@
 /// Gateways that receive no heartbeats, and that each restart while cut off, have no share of a
 /// limit. The failure: each of them used the whole limit.
 #[test]
-fn one_that_starts_without_others_has_no_part() {
+fn a_gateway_that_starts_cut_off_has_no_share() {
     let members = Members::new(0, false, 5_000);
     assert_eq!(members.sharers(30_000), None);
     let mut members = Members::new(0, false, 5_000);
@@ -165,7 +165,7 @@
 
 /// A gateway that receives no more heartbeats still counts the other gateways.
 #[test]
-fn one_that_is_cut_off_counts_all() {
+fn a_gateway_that_is_cut_off_counts_all_peers() {
     let mut members = members_known_to(0, &[0, 1, 2, 3, 4]);
     (11..200).for_each(|second| members.retain(second * 1_000));
     assert_eq!(members.sharers(200_000), Some(5));
--- a/crates/oliveworks-gateway-core/tests/missing.rs
+++ b/crates/oliveworks-gateway-core/tests/missing.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn one_that_a_record_drops_is_gone_at_once() {
+fn a_server_that_a_record_drops_is_gone_at_once() {
     let mut missing = Missing::default();
     missing.dropped(1_100, "h1".into());
     assert_eq!(departed(&mut missing, 1_200, read_at(1_100)).len(), 1);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn one_that_an_older_copy_lacks_is_gone_once_it_had_time_to_write_again() {
+fn a_server_that_a_copy_lacks_is_gone_after_the_time_to_rewrite() {
     let mut missing = Missing::default();
     missing.absent(1_100, "h1".into(), era(KNOWN_SINCE), true);
     assert_eq!(departed(&mut missing, LACKS_UNTIL - 1, read_at(LACKS_UNTIL - 1)), []);
@@ -68,7 +68,7 @@
 /// Covers a gateway that was paused, or that asked a gateway without access to the store: neither
 /// has read the records that hosts rewrote.
 #[test]
-fn one_that_may_have_written_again_since_the_list_was_read_is_not_gone() {
+fn a_server_that_may_have_rewritten_since_the_read_is_not_gone() {
     let mut missing = Missing::default();
     missing.absent(1_100, "h1".into(), era(KNOWN_SINCE), true);
     assert_eq!(departed(&mut missing, 9_000, read_at(LACKS_UNTIL - 1)), []);
@@ -76,7 +76,7 @@
 
 /// The store was restored from a copy a second time before hosts had rewritten their records.
 #[test]
-fn a_second_copy_gives_time_anew() {
+fn a_second_restore_restarts_the_time_to_rewrite() {
     let mut missing = Missing::default();
     missing.absent(1_100, "h1".into(), era(KNOWN_SINCE), true);
     missing.absent(3_100, "h1".into(), era(3_000), true);
@@ -85,14 +85,14 @@
 }
 
 #[test]
-fn one_that_another_gateway_lacks_has_the_time_of_that_gateway() {
+fn a_server_that_a_peer_lacks_has_longer_to_rewrite() {
     let mut missing = Missing::default();
     missing.absent(1_100, "h1".into(), era(KNOWN_SINCE), false);
     assert_eq!(departed(&mut missing, LACKS_UNTIL, read_at(LACKS_UNTIL)), []);
 }
 
 #[test]
-fn one_that_only_the_copy_lacked_was_not_lost() {
+fn a_server_that_only_the_copy_lacked_was_not_lost() {
     let mut missing = Missing::default();
     missing.absent(1_100, "h1".into(), era(KNOWN_SINCE), true);
     assert!(!missing.found(2_000, "h1"));
@@ -120,7 +120,7 @@
 
 /// A second record that removes the server must not erase the identity of the server's last record.
 #[test]
-fn one_that_is_dropped_twice_is_remembered_with_its_life() {
+fn a_server_that_is_dropped_twice_keeps_its_incarnation() {
     let mut missing = gone();
     missing.dropped(950, "h1".into());
     missing.sweep(950, read_at(950), &Directory::default());
--- a/crates/oliveworks-gateway-core/tests/obstacles.rs
+++ b/crates/oliveworks-gateway-core/tests/obstacles.rs
@@ -27,7 +27,11 @@
 #[test_case(&[NO_PERMIT, Leaving], NoTarget::Limited, At(500); "no permit")]
 #[test_case(&[TAKEN, NO_PERMIT], NoTarget::Cold, At(500); "a cold one and no permit")]
 #[test_case(&[NO_PERMIT, BACKOFF], NoTarget::Backoff, At(500); "no permit and one that is left alone")]
-fn what_keeps_a_request_from_all(obstacles: &[Obstacle], reason: NoTarget, free_at: FreeAt) {
+fn obstacles_give_a_reason_and_a_free_time(
+    obstacles: &[Obstacle],
+    reason: NoTarget,
+    free_at: FreeAt,
+) {
     assert_eq!(NoPlace::from_obstacles(obstacles), NoPlace { reason, free_at });
 }
 
@@ -35,7 +39,7 @@
 #[test_case(At(900), 900, false)]
 #[test_case(NotSoon, 900, true)]
 #[test_case(Unknown, 900, false)]
-fn a_wait_is_known_to_be_in_vain(free_at: FreeAt, until: u64, expected: bool) {
+fn a_futile_wait_is_detected(free_at: FreeAt, until: u64, expected: bool) {
     let no_place = NoPlace { reason: NoTarget::Backoff, free_at };
     assert_eq!(no_place.lasts_until(until), expected);
 }
@@ -47,7 +51,7 @@
 #[test_case(Suspended, false)]
 #[test_case(TAKEN, false)]
 #[test_case(NO_PERMIT, false; "its own permit is looked at")]
-fn what_stops_a_request_that_was_given_to_a_place(obstacle: Obstacle, expected: bool) {
+fn obstacles_that_stop_a_send_to_a_chosen_place(obstacle: Obstacle, expected: bool) {
     assert_eq!(obstacle.stops_a_send(), expected);
 }
 
@@ -55,7 +59,7 @@
 #[test_case(&[Region, Leaving], true)]
 #[test_case(&[Leaving], false)]
 #[test_case(&[Region, BACKOFF], false)]
-fn a_region_alone_keeps_it(obstacles: &[Obstacle], expected: bool) {
+fn exclusion_by_region_alone_is_recognized(obstacles: &[Obstacle], expected: bool) {
     assert_eq!(is_kept_by_region(obstacles), expected);
 }
 
--- a/crates/oliveworks-gateway-core/tests/planner/domain_return.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/domain_return.rs
@@ -94,7 +94,7 @@
 /// The quotas of a domain are the same after its first hosts are listed and after its last hosts
 /// are listed.
 #[test]
-fn what_is_wanted_does_not_change_with_each_host_that_is_listed() {
+fn quotas_do_not_change_with_each_returning_host() {
     let (mut world, mut leader) = wide_pool();
     let domain = DOMAINS[0];
     run_with_demand(&mut world, &mut leader, 2_000, &EXCESS_DEMAND);
@@ -147,7 +147,7 @@
 /// all domains stage models for the next loss. A spare of the other model loads the model of the
 /// twelfth member at once, in addition to these loads.
 #[test]
-fn the_last_of_twelve_hosts_is_loaded_before_what_may_be_needed() {
+fn a_missing_member_is_loaded_while_other_hosts_stage() {
     let (mut world, mut leader) = wide_pool();
     let domain = DOMAINS[0];
     kill_spares(&mut world, &leader, domain);
@@ -175,7 +175,7 @@
 /// Gateways observe only one stalled group of a lost domain, because no other group receives
 /// requests. All hosts of the domain, including spares, are recognized as lost at once.
 #[test]
-fn a_dark_domain_is_seen_as_a_whole() {
+fn a_lost_domain_is_recognized_as_a_whole() {
     let (mut world, mut leader) = wide_pool();
     let domain = DOMAINS[0];
     run_with_demand(&mut world, &mut leader, 2_000, &EXCESS_DEMAND);
@@ -211,7 +211,7 @@
 /// Eleven of twelve hosts are free and no host can load the model as the twelfth member. The
 /// waiting hosts are reported once, after three seconds.
 #[test]
-fn hosts_that_wait_are_told() {
+fn waiting_hosts_are_reported_once() {
     let (mut world, mut leader) = wide_pool();
     let domain = DOMAINS[0];
     kill_spares(&mut world, &leader, domain);
--- a/crates/oliveworks-gateway-core/tests/planner/drain.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/drain.rs
@@ -70,7 +70,7 @@
 
 /// All domains but one are drained. The remaining domain forms groups of both models.
 #[test]
-fn what_is_wanted_moves_to_other_domains() {
+fn quotas_of_drained_domains_move_to_other_domains() {
     let (mut world, mut leader) = formed(FEW);
     run_for(&mut world, &mut leader, 30_000, true);
     drain(&mut leader, &DOMAINS[1..]);
@@ -88,7 +88,7 @@
 /// A member of a group of a drained domain dies. The head is ordered to leave, the hosts join no
 /// group before the drain ends, and form a group again afterwards.
 #[test]
-fn a_hurt_group_of_a_drained_domain_is_made_safe() {
+fn a_group_of_a_drained_domain_that_loses_a_member_stops_serving() {
     let (mut world, mut leader) = formed(FEW);
     run_for(&mut world, &mut leader, 30_000, true);
     let before = epochs(&world, &leader, DOMAINS[0]);
--- a/crates/oliveworks-gateway-core/tests/planner/follow.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/follow.rs
@@ -19,7 +19,7 @@
 /// The configured shares are equal, but the demand is not. The groups of both models follow the
 /// demand, and follow again when the demand reverses.
 #[test]
-fn groups_follow_callers_there_and_back() {
+fn groups_follow_demand_in_both_directions() {
     let (mut world, mut leader) = formed_pool(true);
     run_with_demand(&mut world, &mut leader, 50_000, &MANY_SMALL);
     let (large, small) = counts(&world, &leader);
@@ -32,7 +32,7 @@
 
 /// Control run: without following demand, the test above would fail.
 #[test]
-fn groups_stay_where_shares_alone_count() {
+fn groups_do_not_follow_demand_when_only_shares_count() {
     let (mut world, mut leader) = formed_pool(false);
     run_with_demand(&mut world, &mut leader, 50_000, &MANY_SMALL);
     let (_, small) = counts(&world, &leader);
@@ -43,7 +43,7 @@
 
 /// A peak of demand that is shorter than a load preempts no group.
 #[test]
-fn a_wave_moves_nothing() {
+fn a_short_demand_peak_preempts_no_group() {
     let (mut world, mut leader) = formed_pool(true);
     run_with_demand(&mut world, &mut leader, 20_000, &[("large", 2.0), ("small", 5.0)]);
     let (before, _) = counts(&world, &leader);
--- a/crates/oliveworks-gateway-core/tests/planner/policy.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/policy.rs
@@ -10,7 +10,7 @@
 
 /// Before traffic every domain gets groups of both models, and spares that can serve either model.
 #[test]
-fn the_first_start_is_even() {
+fn the_first_start_gives_each_domain_groups_and_spares() {
     let mut world = World::new(1, HostFaults::default());
     for _ in 0..10 {
         DOMAINS.iter().for_each(|domain| world.add_host(domain));
@@ -214,7 +214,7 @@
 /// Without a spare, a small group whose hosts have the large model staged is preempted for one of
 /// its hosts. The remaining host forms a small group with a host whose own group had ended.
 #[test]
-fn a_small_group_gives_a_host_and_comes_back() {
+fn a_small_group_is_preempted_for_a_host_and_reformed() {
     let (mut world, mut leader) = formed(FEW);
     let domain = DOMAINS[0];
     for _ in 0..2 {
@@ -343,7 +343,7 @@
 /// The hosts of a domain fail one after the other. No group of another domain is preempted because
 /// of quotas that are computed halfway through the outage.
 #[test]
-fn groups_elsewhere_serve_on_while_a_domain_goes_dark() {
+fn groups_elsewhere_serve_on_while_a_domain_fails() {
     let (mut world, mut leader) = formed(MANY);
     let lost_hosts: Vec<BackendServerId> = world
         .hosts
--- a/crates/oliveworks-gateway-core/tests/planner/safety.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/safety.rs
@@ -201,7 +201,7 @@
 /// Control run: hosts that ignore fences accept the orders of an old leader, and the run must
 /// detect the violation.
 #[test_case(HostFaults { ignore_fences: true, ..HostFaults::default() }, "TWO"; "fences are ignored")]
-fn a_broken_host_is_seen(host_faults: HostFaults, rule: &str) {
+fn a_host_that_ignores_fences_is_detected(host_faults: HostFaults, rule: &str) {
     let seen = (0..60)
         .any(|seed| run(seed, host_faults).0.iter().any(|violation| violation.contains(rule)));
     assert!(seen, "no seed of 60 shows {rule}");
--- a/crates/oliveworks-gateway-core/tests/planner/spread.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/spread.rs
@@ -54,7 +54,7 @@
 
 /// The gap in the spread is reported when only one failure domain remains.
 #[test]
-fn a_model_that_cannot_be_spread_is_told() {
+fn a_model_that_cannot_be_spread_is_reported() {
     let (mut world, mut leader) = formed_over(1);
     for host in world.hosts.values_mut().filter(|host| host.server.domain != DOMAINS[0]) {
         host.alive = false;
--- a/crates/oliveworks-gateway-core/tests/quota/main.rs
+++ b/crates/oliveworks-gateway-core/tests/quota/main.rs
@@ -109,7 +109,7 @@
 
 /// Packing many groups at once gives the same quotas as packing one group after the other.
 #[test]
-fn many_at_once_are_as_one_by_one() {
+fn packing_many_groups_equals_packing_one_by_one() {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     for _ in 0..400 {
         let mut models = vec![
--- a/crates/oliveworks-gateway-core/tests/quota/spread.rs
+++ b/crates/oliveworks-gateway-core/tests/quota/spread.rs
@@ -74,7 +74,7 @@
 /// A model whose groups all serve in one domain gets a group in another domain. The other groups
 /// stay.
 #[test]
-fn groups_that_stand_together_are_parted() {
+fn groups_in_a_single_domain_are_spread() {
     let models = [model("large", 8, 0.3), model("small", 4, 0.7)];
     let held =
         |large, small| BTreeMap::from([("large".to_owned(), large), ("small".to_owned(), small)]);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn two_losses_are_borne() {
+fn models_are_spread_to_survive_two_losses() {
     let models = [model("large", 8, 0.1), model("small", 4, 0.9)];
     let capacities =
         named([unassigned(12, 0), unassigned(12, 0), unassigned(12, 0), unassigned(12, 0)]);
@@ -120,7 +120,7 @@
 
 /// Models whose groups do not fit into enough failure domains are reported.
 #[test]
-fn gaps_are_told() {
+fn spread_gaps_are_reported() {
     let models = [model("large", 8, 0.5), model("small", 4, 0.5)];
     let capacities = named([unassigned(13, 0), unassigned(5, 0), unassigned(4, 0)]);
     let spread = one_failure_domain_each(&capacities, 1);
--- a/crates/oliveworks-gateway-core/tests/rate_limits/limits.rs
+++ b/crates/oliveworks-gateway-core/tests/rate_limits/limits.rs
@@ -37,7 +37,7 @@
 #[test_case(&[(0, 10, Some(4.2)), (5, 20, Some(2.0))], Some(2.0); "but a lower limit holds at once")]
 #[test_case(&[(0, 10, Some(4.2)), (11, 20, Some(9.0))], Some(9.0); "raised")]
 #[test_case(&[(0, 10, Some(4.2)), (11, 20, None), (12, 30, Some(1.0))], Some(1.0); "named again")]
-fn answers_tell_the_limit(answers: &[(u64, u64, Option<f64>)], expected: Option<f64>) {
+fn answers_set_and_end_the_limit(answers: &[(u64, u64, Option<f64>)], expected: Option<f64>) {
     let mut limits = Limits::default();
     for (sent_at, at, named) in answers {
         limits.observe(*at, observation(*sent_at, *named));
@@ -51,7 +51,7 @@
 #[test_case(&[limit(FIRST, 1, Some(2.0)), limit(FIRST, 1, Some(4.2))], Some(2.0); "whichever comes first")]
 #[test_case(&[limit(FIRST, 7, Some(4.2)), limit(SECOND, 1, None)], None; "another life")]
 #[test_case(&[limit(SECOND, 1, None), limit(FIRST, 7, Some(4.2))], None; "an earlier life")]
-fn gateways_agree(reports: &[Limit], expected: Option<f64>) {
+fn gateways_agree_on_a_limit(reports: &[Limit], expected: Option<f64>) {
     let mut limits = Limits::default();
     for limit in reports {
         limits.apply_report(10, *limit);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn an_answer_of_an_earlier_life_says_nothing() {
+fn an_answer_of_an_earlier_incarnation_does_not_change_limits() {
     let mut limits = Limits::default();
     limits.apply_report(10, limit(SECOND, 1, Some(4.2)));
     assert!(!limits.observe(20, observation(15, None)));
@@ -70,7 +70,7 @@
 /// Guards against an early end of a limit: the answer to the leader's call to a host in need may
 /// omit the limit, and ended the limit of that host.
 #[test]
-fn an_answer_that_may_lack_the_limit_ends_nothing() {
+fn an_answer_that_may_omit_the_limit_does_not_end_it() {
     let mut limits = Limits::default();
     limits.observe(10, observation(0, Some(4.2)));
     limits.observe(30, RateObservation { would_name: false, ..observation(20, None) });
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_change_is_told_first_and_older_limits_by_turns() {
+fn changed_limits_are_reported_first_and_others_in_turn() {
     let mut limits = Limits::default();
     for host in 0..100 {
         limits.apply_report(0, Limit { target: Target(host), ..limit(FIRST, 1, Some(4.2)) });
--- a/crates/oliveworks-gateway-core/tests/rate_limits/permits.rs
+++ b/crates/oliveworks-gateway-core/tests/rate_limits/permits.rs
@@ -31,7 +31,7 @@
 
 /// The last permit is reserved for a request that has no other place.
 #[test]
-fn requests_that_could_go_elsewhere_leave_one() {
+fn optional_requests_leave_the_last_permit() {
     let mut buckets = Buckets::default();
     buckets.ask(0, HOST, 2.0, Need::Optional);
     assert!(matches!(buckets.ask(500, HOST, 2.0, Need::Optional), Grant::After(_)));
@@ -41,7 +41,7 @@
 /// A host with a limit of zero is probed occasionally, because only its answers show that the limit
 /// has been raised.
 #[test]
-fn a_host_that_takes_nothing_is_tried() {
+fn a_host_with_a_limit_of_zero_is_probed() {
     let mut buckets = Buckets::default();
     buckets.ask(0, HOST, 0.0, Need::Only);
     assert_eq!(buckets.ask(3_900, HOST, 0.0, Need::Only), Grant::After(4_000));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn calls_that_cannot_wait_count() {
+fn calls_that_cannot_wait_consume_permits() {
     let mut buckets = Buckets::default();
     buckets.ask(0, HOST, 2.0, Need::Only);
     buckets.spend(500, HOST, 2.0);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_limit_that_has_ended_needs_none() {
+fn an_ended_limit_needs_no_permit() {
     let (mut rate_limits, _) = without_peers();
     rate_limits.limits.apply_report(10, limit(2, None));
     assert!(rate_limits.check(10, HOST, Need::Only).is_ok());
@@ -102,7 +102,7 @@
 
 #[test_case(2_000, 1.0; "all are heard")]
 #[test_case(9_000, 0.25; "one of four that hears nobody grants its part")]
-fn a_limiter_grants_the_part_of_those_that_it_hears(now: u64, expected: f64) {
+fn a_limiter_grants_the_share_of_the_peers_it_hears(now: u64, expected: f64) {
     let mut members = Members::new(0, false, 0);
     (1..4).for_each(|other| members.heard(other, 1_000));
     assert_eq!(members.heard_part(now), expected);
@@ -111,7 +111,7 @@
 /// Two outstanding requests at a host with eight slots and a limit of two requests per second count
 /// as much as eight at a host without a limit.
 #[test]
-fn a_host_that_takes_little_is_as_busy_as_that() {
+fn a_rate_limited_host_counts_as_busier() {
     let host = Candidate { target: HOST, slots: 8, is_local: true, open_ms: 10.0, token_ms: 1.0 };
     assert_eq!(host.with_rate_limit(2.0).open_ms, 40.0);
     assert_eq!(host.with_rate_limit(0.1).open_ms, 80.0);
--- a/crates/oliveworks-gateway-core/tests/replay.rs
+++ b/crates/oliveworks-gateway-core/tests/replay.rs
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn a_key_that_was_taken_away_serves_nowhere_beyond_its_bound() {
+fn a_revoked_key_is_accepted_nowhere_beyond_its_bound() {
     let mut accepted_checks = 0;
     for seed in 0..seeds() {
         let world = run(seed, Variant::Sound);
@@ -284,12 +284,12 @@
 
 #[test_case(Variant::FromArrival)]
 #[test_case(Variant::WithoutRecords)]
-fn a_wrong_variant_is_seen(variant: Variant) {
+fn each_wrong_variant_causes_a_breach(variant: Variant) {
     assert!((0..40).any(|seed| !run(seed, variant).breaches.is_empty()));
 }
 
 #[test]
-fn whoever_asks_gets_what_it_lacks() {
+fn a_replay_answer_holds_the_records_that_the_asker_lacks() {
     let mut replay_buffer = ReplayBuffer::default();
     assert_eq!(replay_buffer.since(None), ReplayAnswer::Unread);
     replay_buffer.restart_at(place(10));
@@ -316,7 +316,7 @@
 /// A reader that follows thousands of backend servers replays changed records, and repeated records
 /// only to gateways that ask for repeats.
 #[test]
-fn repeats_are_told_to_those_who_ask_for_them() {
+fn repeats_are_replayed_only_on_request() {
     let kept = |record, is_repeat| Kept { record, is_repeat };
     let mut replay_buffer = ReplayBuffer::default();
     replay_buffer.restart_at(place(10));
@@ -360,7 +360,7 @@
 #[test_case("a", true, ReadFrom::Store; "the first by name reads")]
 #[test_case("b2", true, ReadFrom::Gateway(address(b'1'.into())); "the others ask it")]
 #[test_case("a", false, ReadFrom::Gateway(address(b'1'.into())); "one that is turned away asks")]
-fn one_of_a_domain_reads(name: &str, store_answers: bool, expected: ReadFrom) {
+fn one_gateway_of_a_domain_reads_the_store(name: &str, store_answers: bool, expected: ReadFrom) {
     let others = [
         peer("b1", true, true),
         peer("b5", true, true),
@@ -376,7 +376,7 @@
 /// The reader does not respond: other gateways that the store answers are asked, in the local or a
 /// remote failure domain.
 #[test]
-fn who_gets_no_answer_asks_another() {
+fn a_gateway_without_an_answer_asks_another_peer() {
     let silent = PeerState { is_unresponsive: true, ..peer("b1", true, true) };
     let this = own("c", true);
     let source = next_source(this, &[silent.clone(), peer("d4", false, true)], 0, 0);
@@ -405,7 +405,7 @@
 
 /// The store rejects all gateways of a failure domain: they read from a remote failure domain.
 #[test]
-fn a_domain_that_the_store_turns_away_asks_another() {
+fn a_domain_rejected_by_the_store_asks_another() {
     let rejected_by_store = |name| PeerState { has_recent_proof: false, ..peer(name, true, false) };
     let others = [rejected_by_store("a1"), rejected_by_store("b2"), peer("z3", false, true)];
     let first = own("a0", false);
@@ -436,7 +436,7 @@
 /// Each unanswered request takes half a second, and there is always another gateway to ask, so the
 /// number of such requests before a read of the store is limited.
 #[test]
-fn after_questions_in_vain_the_store_is_read() {
+fn the_store_is_read_after_unanswered_requests() {
     let others = [peer("b1", true, true), peer("b2", true, true), peer("b3", true, true)];
     assert_eq!(next_source(own("c", true), &others, 2, 0), ReadFrom::Store);
     assert_ne!(
--- a/crates/oliveworks-gateway-core/tests/restored_store/main.rs
+++ b/crates/oliveworks-gateway-core/tests/restored_store/main.rs
@@ -53,6 +53,6 @@
 #[test_case(Variant::CopiesEndDrains; "a drain that a copy lacks has ended")]
 #[test_case(Variant::CopiesListHosts; "a host that a copy lists is there")]
 #[test_case(Variant::CopiesDropHosts; "a host that a copy lacks is gone")]
-fn a_wrong_variant_is_seen(variant: Variant) {
+fn each_wrong_variant_causes_a_breach(variant: Variant) {
     assert!((0..VARIANT_SEEDS).any(|seed| !run(seed, variant).breaches().is_empty()));
 }
--- a/crates/oliveworks-gateway-core/tests/returning.rs
+++ b/crates/oliveworks-gateway-core/tests/returning.rs
@@ -13,7 +13,7 @@
 #[test_case(&[4_800, 3_500, 4_300, 3_400, 4_700, 2_600, 4_400, 3_300, 4_900, 3_100], 3_500, true; "half have come back")]
 #[test_case(&[4_800, 3_500, 4_300, 3_400, 4_700, 2_600, 4_400, 3_300, 4_900, 3_100], 4_300, false; "the other half")]
 #[test_case(&[5_000, 5_000, 5_000, 5_000, 5_000, 5_000, 5_000, 5_000, 5_000, 5_000, 5_000, 30_000], 5_000, false; "one far more patient")]
-fn comes_back(before_ms: &[u32], left_ms: u32, expected: bool) {
+fn returning_callers_are_detected(before_ms: &[u32], left_ms: u32, expected: bool) {
     let mut waits = Waits::default();
     for before_ms in before_ms {
         waits.came_back("route", *before_ms);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn routes_are_apart_and_are_forgotten() {
+fn routes_are_tracked_separately_and_can_be_dropped() {
     let mut waits = Waits::default();
     for _ in 0..20 {
         waits.came_back("slow", 30_000);
@@ -36,7 +36,7 @@
 
 /// The usual remaining time follows a change of the callers' timeout after some attempts.
 #[test]
-fn what_is_usual_follows_a_change() {
+fn the_usual_remaining_time_follows_a_change_of_timeout() {
     let mut waits = Waits::default();
     (0..64).for_each(|_| {
         waits.came_back("route", 8_000);
--- a/crates/oliveworks-gateway-core/tests/slow_start/cold.rs
+++ b/crates/oliveworks-gateway-core/tests/slow_start/cold.rs
@@ -22,13 +22,13 @@
 }
 
 #[test]
-fn what_no_record_was_read_of_is_cold() {
+fn a_server_without_a_record_is_cold() {
     assert!(is_cold(&without_records(), 100_000));
 }
 
 /// The store is unavailable after the read: the cold time in the record is sufficient.
 #[test]
-fn a_record_tells_for_how_long() {
+fn a_record_gives_the_remaining_cold_time() {
     let mut slow_starts = without_records();
     record(&mut slow_starts, 1_000, 2_500, Listed::Newly);
     assert!(is_cold(&slow_starts, 3_499));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_new_one_that_says_it_is_warm_is_cold_for_the_whole_time() {
+fn a_new_server_that_reports_warm_is_cold_for_the_whole_time() {
     let mut slow_starts = without_records();
     record(&mut slow_starts, 1_000, 0, Listed::Newly);
     assert!(is_cold(&slow_starts, 3_999));
@@ -44,12 +44,12 @@
 }
 
 #[test]
-fn what_is_listed_before_callers_come_is_as_it_says() {
+fn a_server_listed_before_traffic_has_the_state_of_its_record() {
     assert!(!is_cold(&warm(), 0));
 }
 
 #[test]
-fn it_turns_cold_again_by_its_record() {
+fn a_server_turns_cold_again_by_its_record() {
     let mut slow_starts = warm();
     let cold_state = slow_starts.record(9_000, HEAD, Some(TERMS.lasts_ms), 2_000, Listed::Known);
     assert_eq!(cold_state.map(|cold_state| cold_state.evidence), Some(Evidence::Record));
@@ -59,14 +59,14 @@
 }
 
 #[test]
-fn it_is_told_once_that_one_turned_cold() {
+fn turning_cold_is_reported_once() {
     let mut slow_starts = warm();
     assert!(slow_starts.record(9_000, HEAD, Some(TERMS.lasts_ms), 2_000, Listed::Known).is_some());
     assert!(slow_starts.record(10_000, HEAD, Some(TERMS.lasts_ms), 1_000, Listed::Known).is_none());
 }
 
 #[test]
-fn it_is_cold_when_its_drain_has_ended() {
+fn a_server_is_cold_after_its_drain() {
     let mut slow_starts = warm();
     slow_starts.drain_ended(5_000, HEAD, Some(TERMS));
     assert!(is_cold(&slow_starts, 7_999));
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn one_that_is_lost_is_cold_from_when_it_is_heard_again() {
+fn a_lost_server_is_cold_from_when_it_is_heard_again() {
     let mut slow_starts = warm();
     slow_starts.lost(5_000, HEAD);
     assert!(is_cold(&slow_starts, 60_000));
@@ -85,7 +85,7 @@
 
 /// A backend server may be lost a second time before the doubt of the first loss ends.
 #[test]
-fn one_that_is_lost_again_is_doubted_anew() {
+fn a_server_lost_again_is_doubted_again() {
     let mut slow_starts = warm();
     slow_starts.lost(5_000, HEAD);
     slow_starts.heard(6_000, HEAD, TERMS);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn one_that_was_missing_from_the_list_is_as_its_new_record_says() {
+fn a_server_missing_from_the_list_has_the_state_of_its_new_record() {
     let mut slow_starts = warm();
     slow_starts.lost(5_000, HEAD);
     record(&mut slow_starts, 6_000, 0, Listed::Again);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn one_that_is_gone_is_unknown_when_it_is_back() {
+fn a_server_that_was_gone_is_cold_on_return() {
     let mut slow_starts = warm();
     slow_starts.retain(1_000, |_| false);
     assert!(is_cold(&slow_starts, 1_000));
@@ -133,7 +133,7 @@
 /// If the store does not answer after a pause, the doubt ends after the cold time plus the maximum
 /// age of records.
 #[test]
-fn after_a_pause_what_was_missed_is_over_some_time() {
+fn doubt_after_a_pause_ends_without_the_store() {
     let mut slow_starts = warm();
     slow_starts.paused(20_000, 4_000);
     assert!(!is_cold(&slow_starts, 20_000 + TERMS.lasts_ms + LAG_MS));
@@ -160,7 +160,7 @@
 /// A gateway that starts copies the list from a gateway that has observed a loss of the head, by
 /// which time the record of the head is outdated.
 #[test]
-fn what_is_doubted_is_told_to_who_takes_the_list_over() {
+fn doubt_is_passed_on_with_the_list() {
     let mut informed = warm();
     informed.lost(5_000, HEAD);
     let remaining_ms = informed.remaining_cold_ms(6_000, HEAD, TERMS.lasts_ms);
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn what_is_warm_is_told_so() {
+fn a_warm_server_has_no_remaining_cold_time() {
     assert_eq!(warm().remaining_cold_ms(5_000, HEAD, TERMS.lasts_ms), 0);
 }
 
@@ -201,7 +201,7 @@
 
 /// The drain of the head's failure domain ends while the head is still lost.
 #[test]
-fn the_end_of_a_drain_does_not_bring_a_lost_one_back() {
+fn the_end_of_a_drain_does_not_clear_a_loss() {
     let mut slow_starts = warm();
     slow_starts.lost(5_000, HEAD);
     slow_starts.drain_ended(6_000, HEAD, Some(TERMS));
@@ -211,7 +211,7 @@
 /// The store has dropped its history, so its complete list contains the last record of a host that
 /// has been unreachable for a long time.
 #[test]
-fn the_last_record_of_a_lost_one_does_not_clear_it() {
+fn the_last_record_of_a_lost_server_does_not_clear_its_loss() {
     let mut slow_starts = warm();
     slow_starts.lost(5_000, HEAD);
     record(&mut slow_starts, 60_000, 0, Listed::Last);
@@ -234,7 +234,7 @@
 #[test_case(Reading { was_missing: true, whole_list: true, ..ADDED }, Listed::Again; "one that was missing")]
 #[test_case(Reading { first_list: true, is_new: true, whole_list: true, ..ADDED }, Listed::Known; "the first list")]
 #[test_case(Reading { first_list: true, is_new: true, late: true, ..ADDED }, Listed::Late; "the first list, by one without the store")]
-fn what_a_reading_says(reading: Reading, expected: Listed) {
+fn a_reading_classifies_each_record(reading: Reading, expected: Listed) {
     assert_eq!(Listed::of(reading), expected);
 }
 
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn a_new_one_that_is_listed_before_the_configuration_is_cold() {
+fn a_new_server_listed_before_the_configuration_is_cold() {
     let mut slow_starts = without_records();
     slow_starts.record(1_000, HEAD, None, 0, Listed::Newly);
     assert!(is_cold(&slow_starts, 60_000));
--- a/crates/oliveworks-gateway-core/tests/slow_start/sends.rs
+++ b/crates/oliveworks-gateway-core/tests/slow_start/sends.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_part_is_free_again_after_more_than_a_second() {
+fn a_share_is_available_again_after_more_than_a_second() {
     let sends = sent_at(&[1_000, 1_400]);
     assert_eq!(sends.free_at(1_500, HEAD, 3), Some(1_500));
     assert_eq!(sends.free_at(1_500, HEAD, 2), Some(2_100));
@@ -23,14 +23,14 @@
 }
 
 #[test]
-fn no_part_is_never_free() {
+fn a_share_of_zero_is_never_available() {
     assert_eq!(Sends::default().free_at(1_000, HEAD, 0), None);
 }
 
 /// An assigned request counts against the share, because the gateway may still send it at the end
 /// of the second that is counted.
 #[test]
-fn what_is_on_its_way_takes_the_part() {
+fn an_assigned_request_uses_the_share() {
     let mut sends = sent_at(&[1_000]);
     sends.chosen(HEAD);
     assert!(sends.free_at(1_500, HEAD, 2) > Some(1_500));
--- a/crates/oliveworks-gateway-core/tests/speed.rs
+++ b/crates/oliveworks-gateway-core/tests/speed.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn what_was_seen_long_ago_says_nothing() {
+fn old_observations_do_not_count() {
     let mut speeds = Speeds::default();
     (0..20).for_each(|turn| speeds.record_pause(turn * 20, Target(0), 500));
     assert_eq!(speeds.slow(3_000, &targets(1), LONGEST_PASS_MS), []);
--- a/crates/oliveworks-gateway-core/tests/table.rs
+++ b/crates/oliveworks-gateway-core/tests/table.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn changes_make_one_table_of_another() {
+fn applied_changes_turn_one_table_into_another() {
     let mut old = table(1, 0..10);
     old.ended = vec![1, 2, 3];
     let mut new = table(2, 5..20);
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn what_is_no_longer_kept_is_not_told_as_changes() {
+fn evicted_versions_are_not_answered_with_changes() {
     let (mut current, mut recent_deltas) = (Table::default(), Changes::default());
     for step in 0..200 {
         publish(&mut current, &mut recent_deltas, &table(1, step..step + 3));
--- a/crates/oliveworks-gateway-core/tests/timeliness.rs
+++ b/crates/oliveworks-gateway-core/tests/timeliness.rs
@@ -21,12 +21,12 @@
 #[test_case(Served { longest_gap_ms: 201, ..SERVED }, Timeliness::Paused; "a pause")]
 #[test_case(Served { longest_gap_ms: 900, sends: 2, ..SERVED }, Timeliness::SentAgain; "a pause until another took it up")]
 #[test_case(Served { sends: 2, ..SERVED }, Timeliness::InTime; "sent again in time")]
-fn judged(served: Served, expected: Timeliness) {
+fn answers_are_classified_by_timeliness(served: Served, expected: Timeliness) {
     assert_eq!(Timeliness::of(&served, GOAL), expected);
 }
 
 #[test]
-fn a_route_without_a_bound_on_pauses_has_no_late_ones() {
+fn a_route_without_a_gap_goal_has_no_paused_answers() {
     let goal = Goal { gap_ms: None, ..GOAL };
     let served = Served { longest_gap_ms: 5_000, ..SERVED };
     assert_eq!(Timeliness::of(&served, goal), Timeliness::InTime);
--- a/crates/oliveworks-gateway-core/tests/versions.rs
+++ b/crates/oliveworks-gateway-core/tests/versions.rs
@@ -17,7 +17,7 @@
 /// Guards against keys that are refused forever: a version that was never acknowledged is not
 /// written again.
 #[test]
-fn a_version_that_is_not_written_again_is_waited_for_no_longer_than_that_takes() {
+fn a_version_that_is_never_rewritten_is_waited_for_only_the_rewrite_time() {
     let mut lag = Lag::default();
     assert!(!lag.proves(1_000, Some(4), Some(7), false));
     assert!(!lag.proves(1_000 + REWRITE_MS - 1, Some(4), Some(7), false));
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn each_time_that_the_store_is_behind_counts_from_its_own_beginning() {
+fn each_lag_of_the_store_is_timed_from_its_own_start() {
     let mut lag = Lag::default();
     assert!(!lag.proves(1_000, Some(4), Some(7), false));
     assert!(lag.proves(1_500, Some(7), Some(7), false));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_gateway_that_holds_none_asks_at_once() {
+fn a_gateway_without_a_version_asks_at_once() {
     assert!(Lag::default().should_ask(1_000, None, Some(7)));
 }
 
--- a/crates/oliveworks-gateway-core/tests/worst_load/domains.rs
+++ b/crates/oliveworks-gateway-core/tests/worst_load/domains.rs
@@ -52,7 +52,11 @@
 #[test_case([4, 4, 4], [2, 4, 6], 0.75; "unequal groups")]
 #[test_case([6, 4, 2], [4, 4, 4], 0.75; "unequal callers")]
 #[test_case([4, 4, 4], [0, 6, 6], 0.60; "no groups in one domain")]
-fn requests_stay_while_there_is_room(gateways: [usize; 3], heads: [usize; 3], minimum: f64) {
+fn requests_stay_in_their_domain_while_it_has_free_slots(
+    gateways: [usize; 3],
+    heads: [usize; 3],
+    minimum: f64,
+) {
     let world = replay(&callers(4), domains(gateways, heads));
     let (local, in_time) = local_and_in_time(&world);
     assert!(local >= minimum, "{local:.3} stay");
--- a/crates/oliveworks-gateway-core/tests/worst_load/replay.rs
+++ b/crates/oliveworks-gateway-core/tests/worst_load/replay.rs
@@ -70,7 +70,7 @@
 
 /// Returning callers do not take the slots of callers that can still be served in time.
 #[test]
-fn callers_who_come_back_go_last() {
+fn returning_callers_are_served_last() {
     let without_priority = AdmissionConfig { returning_percent: 100, ..AdmissionConfig::default() };
     let without_priority = many_callers(13, without_priority).in_time(2_000, 6_000);
     let with_priority = many_callers(13, AdmissionConfig::default()).in_time(2_000, 6_000);
