--- a/crates/oliveworks-gateway-core/src/planner.rs
+++ b/crates/oliveworks-gateway-core/src/planner.rs
@@ -124,7 +124,7 @@
     /// Demand for each model, as the number of groups that its requests would fill.
     demand: BTreeMap<String, Demand>,
     /// Capacity of each domain, and the groups that each domain should hold for it.
-    rooms: BTreeMap<String, DomainCapacity>,
+    capacities: BTreeMap<String, DomainCapacity>,
     quotas: Quotas,
     /// Quotas of each domain when it last had its largest number of hosts.
     quotas_at_full_strength: Quotas,
@@ -157,7 +157,7 @@
             outages: Outages::default(),
             waits: Waits::default(),
             demand: BTreeMap::new(),
-            rooms: BTreeMap::new(),
+            capacities: BTreeMap::new(),
             quotas: Quotas::new(),
             quotas_at_full_strength: Quotas::new(),
             quotas_changed_at: now,
@@ -222,21 +222,21 @@
         if self.configured_engine != *engine {
             self.configured_engine = engine.clone();
             self.engine = engine.clone();
-            self.rooms.clear();
+            self.capacities.clear();
         }
     }
 
     /// Recomputes the number of groups that each domain should hold, if its inputs have changed.
     fn update_quotas(&mut self, now: Millis) {
-        let rooms = domain::rooms(now, self);
-        if rooms != self.rooms {
+        let capacities = domain::capacities(now, self);
+        if capacities != self.capacities {
             self.quotas = quota::quotas_spread_over_failure_domains(
                 &self.engine.models,
-                &rooms,
+                &capacities,
                 &self.spread(),
             );
             self.quotas_changed_at = now;
-            self.rooms = rooms;
+            self.capacities = capacities;
         }
         self.adjust_shares(now);
         self.record_full_strength_quotas(now);
@@ -245,11 +245,12 @@
     /// Records the quotas of each domain while it has its largest number of hosts.
     fn record_full_strength_quotas(&mut self, now: Millis) {
         for (domain, groups) in &self.quotas {
-            let room = self.rooms.get(domain).map_or(0, |room| room.hosts + room.spares);
+            let hosts =
+                self.capacities.get(domain).map_or(0, |capacity| capacity.hosts + capacity.spares);
             let most = self.most_hosts.get(domain).copied().unwrap_or_default();
             // The quotas of a returning domain are planned as if it were complete.
             let returns = self.growth.get(domain).is_some_and(|growth| growth.is_return(now));
-            if room >= most && !returns && self.quotas_at_full_strength.get(domain) != Some(groups)
+            if hosts >= most && !returns && self.quotas_at_full_strength.get(domain) != Some(groups)
             {
                 self.quotas_at_full_strength.insert(domain.clone(), groups.clone());
             }
--- a/crates/oliveworks-gateway-core/src/planner/domain.rs
+++ b/crates/oliveworks-gateway-core/src/planner/domain.rs
@@ -148,13 +148,14 @@
 /// Returns the capacity and the current groups of each domain. A returning domain has its previous
 /// capacity and counts as holding its previous quotas, so that the plan does not change with each
 /// host that is listed.
-pub(super) fn rooms(now: Millis, planner: &Planner) -> BTreeMap<String, DomainCapacity> {
+pub(super) fn capacities(now: Millis, planner: &Planner) -> BTreeMap<String, DomainCapacity> {
     let domains = domains(now, planner);
-    let rooms = domains.values().map(|domain| (domain.name.to_owned(), room(planner, domain)));
-    rooms.collect()
+    let capacities =
+        domains.values().map(|domain| (domain.name.to_owned(), capacity(planner, domain)));
+    capacities.collect()
 }
 
-fn room(planner: &Planner, domain: &Domain<'_>) -> DomainCapacity {
+fn capacity(planner: &Planner, domain: &Domain<'_>) -> DomainCapacity {
     let hosts = planned_hosts(planner, domain);
     let spares = spare_count(planner, domain, hosts).min(hosts);
     let mut groups: BTreeMap<String, usize> =
--- a/crates/oliveworks-gateway-core/src/planner/shares.rs
+++ b/crates/oliveworks-gateway-core/src/planner/shares.rs
@@ -93,7 +93,7 @@
             return;
         }
         self.share_adjuster.checked_at = now;
-        let Some((shares, quotas)) = self.better_shares(&self.rooms) else { return };
+        let Some((shares, quotas)) = self.better_shares(&self.capacities) else { return };
         for (model, share) in self.engine.models.iter_mut().zip(shares) {
             model.share = share;
         }
@@ -114,14 +114,14 @@
     /// that stayed busy gains groups and no model that loses groups becomes as busy.
     fn better_shares(
         &self,
-        rooms: &BTreeMap<String, DomainCapacity>,
+        capacities: &BTreeMap<String, DomainCapacity>,
     ) -> Option<(Vec<f64>, Quotas)> {
         let mut models = self.engine.models.clone();
         for model in &mut models {
             let groups = self.share_adjuster.highest(&model.name) + EXTRA_GROUPS;
             model.share = groups * model.size as f64;
         }
-        let quotas = quota::quotas_spread_over_failure_domains(&models, rooms, &self.spread());
+        let quotas = quota::quotas_spread_over_failure_domains(&models, capacities, &self.spread());
         let pressure = |demand: f64, quotas: &Quotas, name: &str| demand / count(quotas, name);
         // Highest sustained demand per group among the models that gain groups.
         let sustained_pressure =
--- a/crates/oliveworks-gateway-core/src/planner/spread.rs
+++ b/crates/oliveworks-gateway-core/src/planner/spread.rs
@@ -11,7 +11,7 @@
         if self.tolerance != failure_domains {
             self.tolerance = failure_domains;
             // An empty capacity map makes the next tick recompute the quotas.
-            self.rooms.clear();
+            self.capacities.clear();
         }
     }
 
--- a/crates/oliveworks-gateway-core/src/quota.rs
+++ b/crates/oliveworks-gateway-core/src/quota.rs
@@ -52,25 +52,27 @@
 /// A domain may be no larger than one group, and spares without a group to repair serve nothing.
 pub fn quotas_releasing_spares(
     models: &[Model],
-    rooms: &BTreeMap<String, DomainCapacity>,
+    capacities: &BTreeMap<String, DomainCapacity>,
 ) -> Quotas {
-    quotas_spread_over_failure_domains(models, rooms, &Spread::default())
+    quotas_spread_over_failure_domains(models, capacities, &Spread::default())
 }
 
 /// Like [`quotas_releasing_spares`], with each model spread over failure domains as far as its
 /// groups fit. Spares are released for these groups, too.
 pub fn quotas_spread_over_failure_domains(
     models: &[Model],
-    rooms: &BTreeMap<String, DomainCapacity>,
+    capacities: &BTreeMap<String, DomainCapacity>,
     spread: &Spread,
 ) -> Quotas {
-    let mut rooms = rooms.clone();
+    let mut capacities = capacities.clone();
     loop {
-        let found = fill(models, &rooms, spread);
-        let Some(domain) = domain_to_release_spare(models, &rooms, &found) else { return found };
-        let Some(room) = rooms.get_mut(&domain) else { return found };
-        room.hosts += 1;
-        room.spares -= 1;
+        let found = fill(models, &capacities, spread);
+        let Some(domain) = domain_to_release_spare(models, &capacities, &found) else {
+            return found;
+        };
+        let Some(capacity) = capacities.get_mut(&domain) else { return found };
+        capacity.hosts += 1;
+        capacity.spares -= 1;
     }
 }
 
@@ -78,16 +80,16 @@
 /// of the domain would suffice for one.
 fn domain_to_release_spare(
     models: &[Model],
-    rooms: &BTreeMap<String, DomainCapacity>,
+    capacities: &BTreeMap<String, DomainCapacity>,
     found: &Quotas,
 ) -> Option<String> {
     let has_group = |model: &Model| found.values().any(|groups| groups.contains_key(&model.name));
     let unserved = models.iter().filter(|model| model.size > 0 && !has_group(model));
     let fits = unserved.flat_map(|model| {
-        let all = rooms.iter().filter(|(_, room)| room.spares > 0);
-        all.filter(|(_, room)| room.hosts + room.spares >= model.size)
+        let all = capacities.iter().filter(|(_, capacity)| capacity.spares > 0);
+        all.filter(|(_, capacity)| capacity.hosts + capacity.spares >= model.size)
     });
-    let largest = fits.max_by_key(|(_, room)| room.hosts + room.spares)?;
+    let largest = fits.max_by_key(|(_, capacity)| capacity.hosts + capacity.spares)?;
     Some(largest.0.clone())
 }
 
@@ -95,12 +97,16 @@
 ///
 /// Existing groups are kept where possible. A domain that lost a large group may have to give up
 /// small ones for it.
-pub fn quotas(models: &[Model], rooms: &BTreeMap<String, DomainCapacity>) -> Quotas {
-    fill(models, rooms, &Spread::default())
+pub fn quotas(models: &[Model], capacities: &BTreeMap<String, DomainCapacity>) -> Quotas {
+    fill(models, capacities, &Spread::default())
 }
 
-fn fill(models: &[Model], rooms: &BTreeMap<String, DomainCapacity>, spread: &Spread) -> Quotas {
-    let pool = Pool::new(models, rooms, spread);
+fn fill(
+    models: &[Model],
+    capacities: &BTreeMap<String, DomainCapacity>,
+    spread: &Spread,
+) -> Quotas {
+    let pool = Pool::new(models, capacities, spread);
     let mut counts = pool.spread_groups().to_vec();
     let mut open: Vec<usize> = (0..models.len()).filter(|index| models[*index].size > 0).collect();
     while !open.is_empty() {
--- a/crates/oliveworks-gateway-core/src/quota/packing.rs
+++ b/crates/oliveworks-gateway-core/src/quota/packing.rs
@@ -12,7 +12,7 @@
 /// Domains and models by index, because packing visits each domain for each group.
 pub(super) struct Pool<'a> {
     models: &'a [Model],
-    rooms: &'a BTreeMap<String, DomainCapacity>,
+    capacities: &'a BTreeMap<String, DomainCapacity>,
     hosts: Vec<usize>,
     spares: Vec<usize>,
     /// Index of the failure domain of each domain.
@@ -34,7 +34,7 @@
     /// Creates a pool from the capacities of the domains.
     pub(super) fn new(
         models: &'a [Model],
-        rooms: &'a BTreeMap<String, DomainCapacity>,
+        capacities: &'a BTreeMap<String, DomainCapacity>,
         spread: &Spread,
     ) -> Pool<'a> {
         let by_model = |counts: &BTreeMap<String, usize>| -> Vec<usize> {
@@ -44,13 +44,13 @@
         largest_first.sort_by_key(|model| std::cmp::Reverse(models[*model].size));
         let mut pool = Pool {
             models,
-            rooms,
-            hosts: rooms.values().map(|room| room.hosts).collect(),
-            spares: rooms.values().map(|room| room.spares).collect(),
-            failure_domains: numbered(rooms, spread),
+            capacities,
+            hosts: capacities.values().map(|capacity| capacity.hosts).collect(),
+            spares: capacities.values().map(|capacity| capacity.spares).collect(),
+            failure_domains: numbered(capacities, spread),
             separate: vec![0; models.len()],
-            groups: rooms.values().map(|room| by_model(&room.groups)).collect(),
-            hot: rooms.values().map(|room| by_model(&room.hot)).collect(),
+            groups: capacities.values().map(|capacity| by_model(&capacity.groups)).collect(),
+            hot: capacities.values().map(|capacity| by_model(&capacity.hot)).collect(),
             largest_first,
         };
         if spread.lost > 0 {
@@ -92,7 +92,7 @@
 
     /// Returns quotas without groups.
     pub(super) fn empty(&self) -> Quotas {
-        self.rooms.keys().map(|domain| (domain.clone(), BTreeMap::new())).collect()
+        self.capacities.keys().map(|domain| (domain.clone(), BTreeMap::new())).collect()
     }
 
     /// Converts indexes to names.
@@ -101,7 +101,7 @@
             let some = self.models.iter().zip(counts).filter(|(_, count)| **count > 0);
             some.map(|(model, count)| (model.name.clone(), *count)).collect()
         };
-        let domains = self.rooms.keys().zip(packed);
+        let domains = self.capacities.keys().zip(packed);
         domains.map(|(domain, counts)| (domain.clone(), groups(counts))).collect()
     }
 
@@ -142,12 +142,12 @@
 
 /// Returns the index of the failure domain of each domain. A domain with an unknown failure domain
 /// counts as its own failure domain.
-fn numbered(rooms: &BTreeMap<String, DomainCapacity>, spread: &Spread) -> Vec<usize> {
+fn numbered(capacities: &BTreeMap<String, DomainCapacity>, spread: &Spread) -> Vec<usize> {
     let name = |domain| spread.failure_domains.get(domain).unwrap_or(domain);
-    let names: BTreeSet<&String> = rooms.keys().map(name).collect();
+    let names: BTreeSet<&String> = capacities.keys().map(name).collect();
     let numbers: BTreeMap<&String, usize> =
         names.into_iter().enumerate().map(|(number, name)| (name, number)).collect();
-    rooms.keys().map(|domain| numbers[name(domain)]).collect()
+    capacities.keys().map(|domain| numbers[name(domain)]).collect()
 }
 
 /// Groups placed so far.
