--- a/crates/oliveworks-gateway-core/src/planner.rs
+++ b/crates/oliveworks-gateway-core/src/planner.rs
@@ -62,7 +62,7 @@
 use crate::backend_servers::{BackendServer, BackendServerId, Holding};
 use crate::configuration::{Engine, Model};
 use crate::quota::{self, DomainCapacity, Quotas};
-use arrivals::Growth;
+use arrivals::ArrivalBurst;
 use ending::EndReason;
 pub use ending::Ending;
 use group::{Group, Phase};
@@ -116,7 +116,7 @@
     /// Largest number of hosts that each domain ever had.
     most_hosts: BTreeMap<String, usize>,
     /// Most recent burst of new hosts in each domain.
-    growth: BTreeMap<String, Growth>,
+    arrival_bursts: BTreeMap<String, ArrivalBurst>,
     /// Hosts of each domain that stopped answering at about the same time.
     outages: Outages,
     /// Free hosts that wait while a model that they could serve refuses requests.
@@ -153,7 +153,7 @@
             load_tokens: 0.0,
             load_tokens_at: now,
             most_hosts: BTreeMap::new(),
-            growth: BTreeMap::new(),
+            arrival_bursts: BTreeMap::new(),
             outages: Outages::default(),
             waits: Waits::default(),
             demand: BTreeMap::new(),
@@ -201,15 +201,16 @@
 
     /// Whether a domain has had the same hosts for a while, so that its cold hosts may be assigned.
     fn is_settled(&self, now: Millis, domain: &str) -> bool {
-        let growth = self.growth.get(domain);
-        growth.is_none_or(|growth| growth.is_settled(now, self.config.settle_ms))
+        let burst = self.arrival_bursts.get(domain);
+        burst.is_none_or(|burst| burst.is_settled(now, self.config.settle_ms))
     }
 
     /// Whether a domain with `eligible` eligible hosts is returning from an outage and more of its
     /// hosts are still to be listed.
     fn is_returning(&self, now: Millis, domain: &str, eligible: usize) -> bool {
         let most = self.most_hosts.get(domain).copied().unwrap_or_default();
-        eligible < most && self.growth.get(domain).is_some_and(|growth| growth.is_return(now))
+        eligible < most
+            && self.arrival_bursts.get(domain).is_some_and(|burst| burst.is_returning(now))
     }
 
     /// Returns the fence under which orders are sent.
@@ -249,7 +250,8 @@
                 self.capacities.get(domain).map_or(0, |capacity| capacity.hosts + capacity.spares);
             let most = self.most_hosts.get(domain).copied().unwrap_or_default();
             // The quotas of a returning domain are planned as if it were complete.
-            let returns = self.growth.get(domain).is_some_and(|growth| growth.is_return(now));
+            let returns =
+                self.arrival_bursts.get(domain).is_some_and(|burst| burst.is_returning(now));
             if hosts >= most && !returns && self.quotas_at_full_strength.get(domain) != Some(groups)
             {
                 self.quotas_at_full_strength.insert(domain.clone(), groups.clone());
@@ -291,7 +293,7 @@
             Some(host) => host.update_record(now, server),
             None => {
                 self.hosts.insert(server.id.clone(), Host::new(now, server));
-                record_arrival(&mut self.growth, now, &server.domain);
+                record_arrival(&mut self.arrival_bursts, now, &server.domain);
             }
         }
     }
@@ -307,7 +309,7 @@
         let may_be_slow = self.may_be_slow();
         if let Some(host) = self.hosts.get_mut(id) {
             if host.is_lost() {
-                record_arrival(&mut self.growth, now, &host.server.domain);
+                record_arrival(&mut self.arrival_bursts, now, &host.server.domain);
             }
             host.mark_answering();
             if let Some(pace) = holding.pace {
@@ -591,6 +593,6 @@
 }
 
 /// Records that one more host of a domain is listed, or answers again.
-fn record_arrival(growth: &mut BTreeMap<String, Growth>, now: Millis, domain: &str) {
-    growth.entry(domain.to_owned()).or_insert_with(|| Growth::new(now)).add(now);
+fn record_arrival(bursts: &mut BTreeMap<String, ArrivalBurst>, now: Millis, domain: &str) {
+    bursts.entry(domain.to_owned()).or_insert_with(|| ArrivalBurst::new(now)).add(now);
 }
--- a/crates/oliveworks-gateway-core/src/planner/arrivals.rs
+++ b/crates/oliveworks-gateway-core/src/planner/arrivals.rs
@@ -22,21 +22,21 @@
 
 /// Hosts that a domain got in short succession.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Growth {
+pub(super) struct ArrivalBurst {
     first_at: Millis,
     last_at: Millis,
     hosts: usize,
 }
 
-impl Growth {
-    pub(super) fn new(now: Millis) -> Growth {
-        Growth { first_at: now, last_at: now, hosts: 0 }
+impl ArrivalBurst {
+    pub(super) fn new(now: Millis) -> ArrivalBurst {
+        ArrivalBurst { first_at: now, last_at: now, hosts: 0 }
     }
 
     /// Records one more listed host.
     pub(super) fn add(&mut self, now: Millis) {
         if now >= self.last_at + RETURN_QUIET_MS {
-            *self = Growth::new(now);
+            *self = ArrivalBurst::new(now);
         }
         self.last_at = now;
         self.hosts += 1;
@@ -48,7 +48,7 @@
     }
 
     /// Whether the domain is returning, with more hosts to be listed.
-    pub(super) fn is_return(&self, now: Millis) -> bool {
+    pub(super) fn is_returning(&self, now: Millis) -> bool {
         let ends_at = (self.last_at + RETURN_QUIET_MS).min(self.first_at + RETURN_MAX_MS);
         self.hosts >= RETURNING_HOSTS_MIN && now < ends_at
     }
--- a/crates/oliveworks-gateway-core/src/planner/restart.rs
+++ b/crates/oliveworks-gateway-core/src/planner/restart.rs
@@ -20,7 +20,7 @@
         let Some(host) = self.hosts.get_mut(&server.id) else { return };
         host.reset(now, server);
         let group = host.group;
-        record_arrival(&mut self.growth, now, &server.domain);
+        record_arrival(&mut self.arrival_bursts, now, &server.domain);
         let group = group.and_then(|epoch| self.groups.get(&epoch)).cloned();
         if let Some(group) = group {
             self.handle_member_restart(now, &group, server);
