--- a/crates/oliveworks-gateway-core/src/drains.rs
+++ b/crates/oliveworks-gateway-core/src/drains.rs
@@ -57,7 +57,7 @@
     /// Begins the drain of a failure domain and returns whether the drain is new.
     pub fn begin(&mut self, now: Millis, failure_domain: &str) -> bool {
         self.unconfirmed.remove(failure_domain);
-        if self.holds(failure_domain) {
+        if self.contains(failure_domain) {
             return false;
         }
         self.since.insert(failure_domain.to_owned(), now);
@@ -84,7 +84,7 @@
 
     /// Handles a read of all newest records of a store that may lack some of them: drains that are
     /// not among `drained` stay in force until the store has been read again.
-    pub fn read_in_part(&mut self, drained: &BTreeSet<String>) {
+    pub fn mark_unread_unconfirmed(&mut self, drained: &BTreeSet<String>) {
         let others = self.since.keys().filter(|name| !drained.contains(*name));
         self.unconfirmed = others.cloned().collect();
     }
@@ -100,7 +100,8 @@
     /// records that it reads may predate the end.
     pub fn record_remote_end(&mut self, failure_domain: &str, at: Millis) -> bool {
         let known = self.ended.get(failure_domain);
-        if self.holds(failure_domain) || known.is_some_and(|known| at <= known.at + SAME_END_MS) {
+        if self.contains(failure_domain) || known.is_some_and(|known| at <= known.at + SAME_END_MS)
+        {
             return false;
         }
         self.ended.insert(failure_domain.to_owned(), End { at, seen: false });
@@ -122,7 +123,7 @@
     }
 
     /// Whether a failure domain is drained.
-    pub fn holds(&self, failure_domain: &str) -> bool {
+    pub fn contains(&self, failure_domain: &str) -> bool {
         self.since.contains_key(failure_domain)
     }
 
--- a/crates/oliveworks-gateway-core/src/missing.rs
+++ b/crates/oliveworks-gateway-core/src/missing.rs
@@ -76,7 +76,7 @@
 
 impl Missing {
     /// Whether a backend server is missing.
-    pub fn holds(&self, id: &str) -> bool {
+    pub fn contains(&self, id: &str) -> bool {
         self.lost.contains_key(id)
     }
 
--- a/crates/oliveworks-gateway-core/src/planner/stage.rs
+++ b/crates/oliveworks-gateway-core/src/planner/stage.rs
@@ -53,9 +53,9 @@
     let mut staged: BTreeMap<(&str, &str), usize> = BTreeMap::new();
     let mut candidates = Vec::new();
     for host in planner.hosts.values().filter(|host| host.is_eligible()) {
-        let Some(holds) = grouped().find(|model| host.held_last(&model.name)) else { continue };
+        let Some(held) = grouped().find(|model| host.held_last(&model.name)) else { continue };
         let Some(domain) = domains.get(host.server.domain.as_str()) else { continue };
-        for model in grouped().filter(|model| model.name != holds.name) {
+        for model in grouped().filter(|model| model.name != held.name) {
             if host.has_copy(&model.name) || host.is_staging(&model.name) {
                 *staged.entry((&host.server.domain, &model.name)).or_default() += 1;
             } else if !host.is_staging_any() && can_hold(planner, domain, model) {
--- a/crates/oliveworks-gateway-core/src/rate_limits.rs
+++ b/crates/oliveworks-gateway-core/src/rate_limits.rs
@@ -132,7 +132,7 @@
     /// Returns whether a request with this permit may be sent to a backend server now. A limit may
     /// have been named after the request was assigned.
     pub fn may_send(&self, now: Millis, target: Target, permit: Option<Permit>) -> bool {
-        self.limits.rate(target).is_none() || permit.is_some_and(|permit| permit.holds(now))
+        self.limits.rate(target).is_none() || permit.is_some_and(|permit| permit.is_valid(now))
     }
 
     /// Returns the next step for a request that needs a permit for a backend server with a rate
--- a/crates/oliveworks-gateway-core/src/rate_limits/permits.rs
+++ b/crates/oliveworks-gateway-core/src/rate_limits/permits.rs
@@ -23,7 +23,7 @@
 
 impl Permit {
     /// Returns whether the permit is still valid.
-    pub fn holds(self, now: Millis) -> bool {
+    pub fn is_valid(self, now: Millis) -> bool {
         now < self.until
     }
 }
@@ -69,13 +69,13 @@
     /// Returns whether a valid permit for a backend server is held.
     pub fn has(&self, now: Millis, target: Target) -> bool {
         let host = self.0.get(&target);
-        host.is_some_and(|host| host.held.iter().any(|permit| permit.holds(now)))
+        host.is_some_and(|host| host.held.iter().any(|permit| permit.is_valid(now)))
     }
 
     /// Takes the permit that expires first.
     pub fn take(&mut self, now: Millis, target: Target) -> Option<Permit> {
         let host = self.0.get_mut(&target)?;
-        host.held.retain(|permit| permit.holds(now));
+        host.held.retain(|permit| permit.is_valid(now));
         let first = (0..host.held.len()).min_by_key(|index| host.held[*index].until)?;
         Some(host.held.swap_remove(first))
     }
@@ -123,7 +123,7 @@
     /// Drops the backend servers for which `keep` returns false, and expired permits.
     pub fn retain(&mut self, now: Millis, keep: impl Fn(Target) -> bool) {
         self.0.retain(|target, host| {
-            host.held.retain(|permit| permit.holds(now));
+            host.held.retain(|permit| permit.is_valid(now));
             keep(*target) && !host.is_idle(now)
         });
     }
--- a/crates/oliveworks-gateway-core/tests/drains.rs
+++ b/crates/oliveworks-gateway-core/tests/drains.rs
@@ -25,7 +25,7 @@
     let mut drains = Drains::default();
     assert!(drains.begin(100, "west"));
     assert!(!drains.begin(200, "west"), "known since before");
-    assert!(drains.holds("west") && !drains.holds("east"));
+    assert!(drains.contains("west") && !drains.contains("east"));
     assert_eq!(drains.end(500, "west"), Some(ended("west", 400)));
     assert_eq!(drains.end(600, "west"), None);
     assert!(drains.is_empty());
@@ -52,7 +52,7 @@
     drains.replace_all(200, &names(&[]));
     drains.end(200, "west");
     drains.begin(200, "west");
-    assert!(drains.holds("west"));
+    assert!(drains.contains("west"));
 }
 
 /// A gateway that has read further than the one it asks does not take a drain for ended that the other
@@ -103,7 +103,7 @@
     let mut drains = Drains::default();
     drains.begin(100, "west");
     drains.begin(200, "east");
-    drains.read_in_part(&names(&["east"]));
+    drains.mark_unread_unconfirmed(&names(&["east"]));
     assert_eq!(drains.failure_domains(), names(&["east", "west"]));
     assert!(drains.any_unconfirmed());
     assert_eq!(drains.replace_all(5_000, &names(&["east"])), [ended("west", 4_900)]);
@@ -114,7 +114,7 @@
 fn a_drain_that_is_written_again_is_no_longer_doubted() {
     let mut drains = Drains::default();
     drains.begin(100, "west");
-    drains.read_in_part(&names(&[]));
+    drains.mark_unread_unconfirmed(&names(&[]));
     assert!(!drains.begin(1_000, "west"), "known since before");
     assert!(!drains.any_unconfirmed());
 }
@@ -123,7 +123,7 @@
 fn a_drain_that_the_store_lacks_ends_by_its_own_record() {
     let mut drains = Drains::default();
     drains.begin(100, "west");
-    drains.read_in_part(&names(&[]));
+    drains.mark_unread_unconfirmed(&names(&[]));
     assert_eq!(drains.end(700, "west"), Some(ended("west", 600)));
     assert!(!drains.any_unconfirmed());
 }
--- a/crates/oliveworks-gateway-core/tests/missing.rs
+++ b/crates/oliveworks-gateway-core/tests/missing.rs
@@ -53,7 +53,7 @@
     let mut missing = Missing::default();
     missing.dropped(1_100, "h1".into());
     assert_eq!(left(&mut missing, 1_200, read_at(1_100)).len(), 1);
-    assert!(missing.has_gone("h1") && !missing.holds("h1"));
+    assert!(missing.has_gone("h1") && !missing.contains("h1"));
 }
 
 #[test]
--- a/crates/oliveworks-gateway-core/tests/restored_store/gateway.rs
+++ b/crates/oliveworks-gateway-core/tests/restored_store/gateway.rs
@@ -334,10 +334,10 @@
         let sound = self.variant != Variant::CopiesEndDrains;
         match told_by {
             ToldBy::Store if sound && self.era.may_lack_records(now) => {
-                self.drains.read_in_part(&drained);
+                self.drains.mark_unread_unconfirmed(&drained);
             }
             ToldBy::Gateway { .. } if sound && now < self.era.others_lack_records_until() => {
-                self.drains.read_in_part(&BTreeSet::new());
+                self.drains.mark_unread_unconfirmed(&BTreeSet::new());
             }
             _ => {
                 self.drains.replace_all(now, &drained);
@@ -419,11 +419,12 @@
         match topic {
             Topic::Wishes => {
                 let version = self.version.map(|version| Record::Wish(Wish::Version(version)));
-                let drain = self.drains.holds(DRAINED).then_some(Record::Wish(Wish::Drain(true)));
+                let drain =
+                    self.drains.contains(DRAINED).then_some(Record::Wish(Wish::Drain(true)));
                 version.into_iter().chain(drain).collect()
             }
             Topic::Hosts => {
-                let listed = self.directory.iter().filter(|host| !self.missing.holds(&host.id));
+                let listed = self.directory.iter().filter(|host| !self.missing.contains(&host.id));
                 listed.map(|host| Record::Host(record_of(host))).collect()
             }
             Topic::Claims => self.election.newest().map(Record::Claim).into_iter().collect(),
--- a/crates/oliveworks-gateway-core/tests/restored_store/judge.rs
+++ b/crates/oliveworks-gateway-core/tests/restored_store/judge.rs
@@ -102,7 +102,7 @@
 
     fn look_at_drain(&mut self, world: &World, seat: &Seat) {
         let began = world.platform.drain_changed_at;
-        let holds = seat.gateway.drains.holds(DRAINED);
+        let holds = seat.gateway.drains.contains(DRAINED);
         if world.platform.drained {
             let knew = self.knew_drain.get(&seat.life) == Some(&began);
             if knew && !holds {
--- a/crates/oliveworks-gateway/src/drains.rs
+++ b/crates/oliveworks-gateway/src/drains.rs
@@ -53,12 +53,12 @@
     let now = gateway.now();
     match source {
         RecordSource::Store if era.may_lack_records(now) => {
-            gateway.drains.borrow_mut().read_in_part(drained);
+            gateway.drains.borrow_mut().mark_unread_unconfirmed(drained);
             return;
         }
         // A drain named by another gateway is in force there, and may be missing in the store.
         RecordSource::Gateway { .. } if now < era.others_lack_records_until() => {
-            gateway.drains.borrow_mut().read_in_part(&BTreeSet::new());
+            gateway.drains.borrow_mut().mark_unread_unconfirmed(&BTreeSet::new());
             return;
         }
         _ => {}
@@ -123,7 +123,7 @@
         }
         let directory = self.directory.borrow();
         let mut servers = directory.of_service(service).peekable();
-        servers.peek().is_some() && servers.all(|server| drains.holds(&server.failure_domain))
+        servers.peek().is_some() && servers.all(|server| drains.contains(&server.failure_domain))
     }
 
     /// Returns the number of this gateway's outstanding requests in a failure domain.
--- a/crates/oliveworks-gateway/src/obstacles.rs
+++ b/crates/oliveworks-gateway/src/obstacles.rs
@@ -88,7 +88,7 @@
         if place.is_leaving {
             return Some(Obstacle::Leaving);
         }
-        if self.drains.borrow().holds(&place.failure_domain) {
+        if self.drains.borrow().contains(&place.failure_domain) {
             return Some(Obstacle::Drained);
         }
         if self.suspensions.borrow().is_suspended(now, target) {
--- a/crates/oliveworks-gateway/src/passing.rs
+++ b/crates/oliveworks-gateway/src/passing.rs
@@ -230,7 +230,7 @@
         Topic::BackendServers => {
             let directory = gateway.directory.borrow();
             let missing = gateway.missing.borrow();
-            let listed = directory.iter().filter(|server| !missing.holds(&server.id));
+            let listed = directory.iter().filter(|server| !missing.contains(&server.id));
             let records = listed.map(|server| gateway.with_known_cold_time(server));
             records.map(Record::BackendServer).collect()
         }
