--- a/crates/oliveworks-gateway-core/src/members.rs
+++ b/crates/oliveworks-gateway-core/src/members.rs
@@ -69,15 +69,15 @@
 
     /// Records that another gateway was observed at a time, by this gateway or by another one that
     /// reports so.
-    pub fn heard(&mut self, gateway: u64, at: Millis) {
+    pub fn record_contact(&mut self, gateway: u64, at: Millis) {
         if gateway == self.own {
             return;
         }
         if self.others.is_empty() {
             self.observe_first(at);
         }
-        let heard_at = self.others.entry(gateway).or_insert(at);
-        *heard_at = at.max(*heard_at);
+        let observed_at = self.others.entry(gateway).or_insert(at);
+        *observed_at = at.max(*observed_at);
     }
 
     /// Starts the time in which the other gateways learn of this one.
@@ -88,7 +88,7 @@
 
     /// Records that this process was paused for `paused_ms`. Gateways that have started in the
     /// meantime may not know of it.
-    pub fn paused(&mut self, now: Millis, paused_ms: u64) {
+    pub fn record_pause(&mut self, now: Millis, paused_ms: u64) {
         if !self.others.is_empty() && paused_ms > SILENCE_MAX_MS {
             self.no_share_until = now + ANNOUNCE_MS;
         }
@@ -127,13 +127,13 @@
     /// Returns the gateway that grants permits for a target: the first one, by a hash of both
     /// names, among this gateway and those observed recently.
     pub fn limiter(&self, now: Millis, target: Target) -> u64 {
-        let heard = self.others.iter().filter(|(_, at)| now <= **at + SILENCE_MAX_MS);
-        let all = heard.map(|(gateway, _)| *gateway).chain([self.own]);
+        let observed = self.others.iter().filter(|(_, at)| now <= **at + SILENCE_MAX_MS);
+        let all = observed.map(|(gateway, _)| *gateway).chain([self.own]);
         all.min_by_key(|gateway| rank(*gateway, target)).unwrap_or(self.own)
     }
 
     /// Returns the share of all gateways that were observed recently, including this one.
-    pub fn heard_part(&self, now: Millis) -> f64 {
+    pub fn observed_share(&self, now: Millis) -> f64 {
         self.observed_count(now) as f64 / self.count() as f64
     }
 
@@ -148,12 +148,12 @@
             self.cut_off_at = Some(now);
         }
         if self.cut_off_at.is_none_or(|at| now > at + ANNOUNCE_MS) {
-            self.others.retain(|_, heard_at| now < *heard_at + MEMBER_TIMEOUT_MS);
+            self.others.retain(|_, observed_at| now < *observed_at + MEMBER_TIMEOUT_MS);
         }
     }
 
     /// Returns this gateway's share of a limit of `bound` requests.
-    pub fn part(&self, now: Millis, bound: f64, target: Target) -> u32 {
+    pub fn share(&self, now: Millis, bound: f64, target: Target) -> u32 {
         let Some(all) = self.sharers(now) else { return 0 };
         let shared = (bound * SHARED_PERCENT / 100.0) as u32;
         let all = all as u32;
--- a/crates/oliveworks-gateway-core/src/rate_limits.rs
+++ b/crates/oliveworks-gateway-core/src/rate_limits.rs
@@ -165,7 +165,7 @@
         let grant = match limit.rate {
             None => Grant::Permit,
             Some(rate) if is_limiter && members.sharers(now).is_some() => {
-                let per_s = rate.per_s() * members.heard_part(now);
+                let per_s = rate.per_s() * members.observed_share(now);
                 self.buckets.ask(now, target, per_s, question.need)
             }
             Some(_) => Grant::After(NO_LIMITER_RETRY_MS),
@@ -191,7 +191,7 @@
         if limiter != members.own() {
             return Some(limiter);
         }
-        self.buckets.spend(now, target, rate.per_s() * members.heard_part(now));
+        self.buckets.spend(now, target, rate.per_s() * members.observed_share(now));
         None
     }
 
--- a/crates/oliveworks-gateway-core/src/slow_start.rs
+++ b/crates/oliveworks-gateway-core/src/slow_start.rs
@@ -62,7 +62,7 @@
     /// Time at which this process resumed after a pause; `None` once records have been read after
     /// that time.
     resumed_at: Option<Millis>,
-    store_heard_at: Millis,
+    store_answered_at: Millis,
 }
 
 impl SlowStarts {
@@ -73,7 +73,7 @@
             cold: ColdHosts::new(config.record_lag_ms),
             sends: Sends::default(),
             resumed_at: None,
-            store_heard_at: now,
+            store_answered_at: now,
         }
     }
 
@@ -132,13 +132,13 @@
     }
 
     /// Records that data was received from a backend server.
-    pub fn heard(&mut self, now: Millis, target: Target, terms: SlowStart) {
-        self.cold.heard(now, target, terms);
+    pub fn record_data(&mut self, now: Millis, target: Target, terms: SlowStart) {
+        self.cold.record_data(now, target, terms);
     }
 
     /// Records that this process was paused for `paused_ms`. Backend servers may have turned cold
     /// in the meantime.
-    pub fn paused(&mut self, now: Millis, paused_ms: u64) {
+    pub fn record_pause(&mut self, now: Millis, paused_ms: u64) {
         if paused_ms > PAUSE_MAX_MS {
             self.resumed_at = Some(now);
         }
@@ -152,8 +152,8 @@
     }
 
     /// Records that the store answered this gateway, or a gateway that was asked.
-    pub fn store_heard(&mut self, at: Millis) {
-        self.store_heard_at = self.store_heard_at.max(at);
+    pub fn record_store_answer(&mut self, at: Millis) {
+        self.store_answered_at = self.store_answered_at.max(at);
     }
 
     /// Returns whether a backend server counts as cold. A backend server without a record counts as
@@ -170,15 +170,15 @@
 
     fn may_lack_changes(&self, now: Millis, terms: SlowStart, members: &Members) -> bool {
         let stale_ms = terms.lasts_ms + self.config.record_lag_ms;
-        let paused = self.resumed_at.is_some_and(|resumed_at| now < resumed_at + stale_ms);
-        let store_is_silent = now > self.store_heard_at + STORE_SILENCE_MAX_MS;
-        paused || store_is_silent && members.is_cut_off(now)
+        let was_paused = self.resumed_at.is_some_and(|resumed_at| now < resumed_at + stale_ms);
+        let store_is_silent = now > self.store_answered_at + STORE_SILENCE_MAX_MS;
+        was_paused || store_is_silent && members.is_cut_off(now)
     }
 
     /// Returns the number of requests that this gateway may send to a cold backend server in any
     /// second.
-    pub fn part(&self, now: Millis, target: Target, terms: SlowStart, members: &Members) -> u32 {
-        members.part(now, self.config.bound(terms), target)
+    pub fn share(&self, now: Millis, target: Target, terms: SlowStart, members: &Members) -> u32 {
+        members.share(now, self.config.bound(terms), target)
     }
 
     /// Returns the time from which this gateway may send to a backend server: `now` if the backend
@@ -193,7 +193,7 @@
         if !self.is_cold(now, target, terms, members) {
             return Some(now);
         }
-        self.sends.free_at(now, target, self.part(now, target, terms, members))
+        self.sends.free_at(now, target, self.share(now, target, terms, members))
     }
 
     /// Records that a request is assigned to a backend server and will be sent soon.
--- a/crates/oliveworks-gateway-core/src/slow_start/cold.rs
+++ b/crates/oliveworks-gateway-core/src/slow_start/cold.rs
@@ -211,7 +211,7 @@
 
     /// Records that data was received from a backend server. If the backend server returned cold,
     /// it did so before this time.
-    pub fn heard(&mut self, now: Millis, target: Target, terms: SlowStart) {
+    pub fn record_data(&mut self, now: Millis, target: Target, terms: SlowStart) {
         let Some(host) = self.hosts.get_mut(&target) else { return };
         if let Some(doubt) = host.doubt.as_mut().filter(|doubt| doubt.until.is_none()) {
             doubt.until = Some(now + terms.lasts_ms);
--- a/crates/oliveworks-gateway-core/src/suspensions.rs
+++ b/crates/oliveworks-gateway-core/src/suspensions.rs
@@ -41,7 +41,7 @@
     }
 
     /// Records that data was received from a target.
-    pub fn heard(&mut self, target: Target) {
+    pub fn record_data(&mut self, target: Target) {
         if let Some(suspension) = self.targets.get_mut(&target) {
             suspension.in_a_row = 0;
         }
--- a/crates/oliveworks-gateway-core/tests/members.rs
+++ b/crates/oliveworks-gateway-core/tests/members.rs
@@ -12,13 +12,13 @@
 /// A gateway that has long known all of these.
 fn knows(own: u64, all: &[u64]) -> Members {
     let mut members = Members::new(own, all.len() == 1, 0);
-    all.iter().for_each(|other| members.heard(*other, 1_000));
-    all.iter().for_each(|other| members.heard(*other, 10_000));
+    all.iter().for_each(|other| members.record_contact(*other, 1_000));
+    all.iter().for_each(|other| members.record_contact(*other, 10_000));
     members
 }
 
 fn parts(all: &[u64], bound: f64, target: Target) -> Vec<u32> {
-    all.iter().map(|own| knows(*own, all).part(10_000, bound, target)).collect()
+    all.iter().map(|own| knows(*own, all).share(10_000, bound, target)).collect()
 }
 
 #[test_case(1, 47.0; "one")]
@@ -39,7 +39,7 @@
     let all: Vec<u64> = (0..53).collect();
     for own in &all {
         let members = knows(*own, &all);
-        let parts = (0..40).map(|target| members.part(10_000, 18.5, Target(target)));
+        let parts = (0..40).map(|target| members.share(10_000, 18.5, Target(target)));
         assert!(parts.max() == Some(1), "gateway {own}");
     }
 }
@@ -49,7 +49,7 @@
 fn a_part_never_grows_with_more_gateways() {
     let all: Vec<u64> = (0..40).collect();
     for target in (0..20).map(Target) {
-        let part = |count: usize| knows(0, &all[..count]).part(10_000, 47.0, target);
+        let part = |count: usize| knows(0, &all[..count]).share(10_000, 47.0, target);
         assert!((1..40).all(|count| part(count + 1) <= part(count)));
     }
 }
@@ -57,30 +57,30 @@
 #[test]
 fn a_new_gateway_has_none_until_others_have_heard_of_it() {
     let mut members = Members::new(0, false, 5_000);
-    members.heard(1, 5_100);
-    assert_eq!(members.part(6_999, 47.0, Target(1)), 0);
-    assert!(members.part(7_000, 47.0, Target(1)) > 0);
+    members.record_contact(1, 5_100);
+    assert_eq!(members.share(6_999, 47.0, Target(1)), 0);
+    assert!(members.share(7_000, 47.0, Target(1)) > 0);
 }
 
 #[test]
 fn a_gateway_without_others_has_all_at_once() {
-    assert_eq!(Members::new(0, true, 5_000).part(5_000, 47.0, Target(1)), shared(47.0));
+    assert_eq!(Members::new(0, true, 5_000).share(5_000, 47.0, Target(1)), shared(47.0));
 }
 
 #[test]
 fn one_that_was_paused_for_long_begins_anew() {
     let mut members = knows(0, &[0, 1, 2]);
-    members.paused(20_000, 3_500);
-    assert_eq!(members.part(21_999, 47.0, Target(1)), 0);
-    assert!(members.part(22_000, 47.0, Target(1)) > 0);
+    members.record_pause(20_000, 3_500);
+    assert_eq!(members.share(21_999, 47.0, Target(1)), 0);
+    assert!(members.share(22_000, 47.0, Target(1)) > 0);
 }
 
 #[test]
 fn one_that_hears_nobody_keeps_its_part() {
     let mut members = knows(0, &[0, 1, 2, 3]);
-    let before = members.part(10_000, 47.0, Target(1));
+    let before = members.share(10_000, 47.0, Target(1));
     (11..1_000).for_each(|second| members.retain(second * 1_000));
-    assert_eq!(members.part(1_000_000, 47.0, Target(1)), before);
+    assert_eq!(members.share(1_000_000, 47.0, Target(1)), before);
 }
 
 /// Three of fifteen that are cut off together still hear each other.
@@ -89,8 +89,8 @@
     let all: Vec<u64> = (0..15).collect();
     let mut members = knows(0, &all);
     for second in 11..1_000 {
-        members.heard(1, second * 1_000);
-        members.heard(2, second * 1_000);
+        members.record_contact(1, second * 1_000);
+        members.record_contact(2, second * 1_000);
         members.retain(second * 1_000);
     }
     assert_eq!(members.count(), 15);
@@ -100,7 +100,8 @@
 fn others_that_are_gone_are_forgotten_in_time() {
     let all: Vec<u64> = (0..15).collect();
     let mut members = knows(0, &all);
-    let hear = |members: &mut Members, now| (1..12).for_each(|other| members.heard(other, now));
+    let hear =
+        |members: &mut Members, now| (1..12).for_each(|other| members.record_contact(other, now));
     hear(&mut members, 69_000);
     members.retain(69_000);
     assert_eq!(members.count(), 15);
@@ -115,7 +116,7 @@
     let all: Vec<u64> = (0..15).collect();
     let mut members = knows(0, &all);
     members.retain(100_000);
-    (1..9).for_each(|other| members.heard(other, 100_100));
+    (1..9).for_each(|other| members.record_contact(other, 100_100));
     members.retain(100_100);
     assert_eq!(members.count(), 15);
 }
@@ -132,16 +133,16 @@
 #[test]
 fn a_new_gateway_that_hears_nobody_sends_nothing_for_a_minute() {
     let members = Members::new(0, false, 5_000);
-    assert_eq!(members.part(64_999, 47.0, Target(1)), 0);
-    assert_eq!(members.part(65_000, 47.0, Target(1)), shared(47.0));
+    assert_eq!(members.share(64_999, 47.0, Target(1)), 0);
+    assert_eq!(members.share(65_000, 47.0, Target(1)), shared(47.0));
 }
 
 #[test]
 fn one_that_hears_others_late_waits_until_they_have_heard_of_it() {
     let mut members = Members::new(0, false, 5_000);
-    members.heard(1, 20_000);
-    assert_eq!(members.part(21_999, 47.0, Target(1)), 0);
-    assert!(members.part(22_000, 47.0, Target(1)) > 0);
+    members.record_contact(1, 20_000);
+    assert_eq!(members.share(21_999, 47.0, Target(1)), 0);
+    assert!(members.share(22_000, 47.0, Target(1)) > 0);
 }
 
 #[test]
@@ -157,7 +158,7 @@
     let members = Members::new(0, false, 5_000);
     assert_eq!(members.sharers(30_000), None);
     let mut members = Members::new(0, false, 5_000);
-    members.heard(1, 40_000);
+    members.record_contact(1, 40_000);
     assert_eq!(members.sharers(41_999), None, "others may not count it yet");
     assert_eq!(members.sharers(42_000), Some(2));
 }
--- a/crates/oliveworks-gateway-core/tests/rate_limits/permits.rs
+++ b/crates/oliveworks-gateway-core/tests/rate_limits/permits.rs
@@ -91,7 +91,7 @@
 fn gateways_agree_on_the_limiter() {
     let limiters = (0..20).map(|own| {
         let mut members = Members::new(own, false, 0);
-        (0..20).for_each(|other| members.heard(other, 1_000));
+        (0..20).for_each(|other| members.record_contact(other, 1_000));
         members.limiter(2_000, HOST)
     });
     let limiters: std::collections::HashSet<u64> = limiters.collect();
@@ -102,8 +102,8 @@
 #[test_case(9_000, 0.25; "one of four that hears nobody grants its part")]
 fn a_limiter_grants_the_part_of_those_that_it_hears(now: u64, expected: f64) {
     let mut members = Members::new(0, false, 0);
-    (1..4).for_each(|other| members.heard(other, 1_000));
-    assert_eq!(members.heard_part(now), expected);
+    (1..4).for_each(|other| members.record_contact(other, 1_000));
+    assert_eq!(members.observed_share(now), expected);
 }
 
 /// Two open requests at a host of eight slots that takes two requests a second weigh as much as eight elsewhere.
--- a/crates/oliveworks-gateway-core/tests/rate_limits/replay.rs
+++ b/crates/oliveworks-gateway-core/tests/rate_limits/replay.rs
@@ -125,7 +125,7 @@
 fn gateway(world: World, own: usize, starts_at: u64) -> Gateway {
     let mut members = Members::new(own as u64, false, starts_at);
     if starts_at == 0 {
-        (0..world.gateways).for_each(|other| members.heard(other as u64, 0));
+        (0..world.gateways).for_each(|other| members.record_contact(other as u64, 0));
     }
     Gateway {
         limits: RateLimits::default(),
@@ -220,7 +220,7 @@
         }
         for gateway in &mut self.gateways {
             if gateway.wakes_at == now && gateway.frozen_ms > 0 {
-                gateway.members.paused(now, gateway.frozen_ms);
+                gateway.members.record_pause(now, gateway.frozen_ms);
             }
         }
     }
@@ -241,10 +241,10 @@
         for gateway in self.gateways.iter_mut().filter(|gateway| speaks(gateway)) {
             let side = gateway.cut_off;
             let heard = told.iter().filter(|(_, cut_off)| *cut_off == side);
-            heard.for_each(|(other, _)| gateway.members.heard(*other as u64, now));
+            heard.for_each(|(other, _)| gateway.members.record_contact(*other as u64, now));
             silent[usize::from(side)]
                 .iter()
-                .for_each(|(other, at)| gateway.members.heard(*other, *at));
+                .for_each(|(other, at)| gateway.members.record_contact(*other, *at));
             gateway.members.retain(now);
             gateway.limits.retain(now, |_| true);
             for host in 0..hosts {
@@ -371,7 +371,7 @@
     fn takes_part(&mut self, now: u64, index: usize, host: Target) -> bool {
         let gateway = &mut self.gateways[index];
         let bound = self.world.per_s * WINDOW as f64 / 1_000.0;
-        let part = gateway.members.part(now, bound, host) as usize;
+        let part = gateway.members.share(now, bound, host) as usize;
         let sent = gateway.sent.entry(host).or_default();
         while sent.front().is_some_and(|at| now > at + WINDOW + WAY_MS) {
             sent.pop_front();
--- a/crates/oliveworks-gateway-core/tests/slow_start/cold.rs
+++ b/crates/oliveworks-gateway-core/tests/slow_start/cold.rs
@@ -78,7 +78,7 @@
     let mut slow_starts = warm();
     slow_starts.lost(5_000, HEAD);
     assert!(is_cold(&slow_starts, 60_000));
-    slow_starts.heard(60_000, HEAD, TERMS);
+    slow_starts.record_data(60_000, HEAD, TERMS);
     assert!(is_cold(&slow_starts, 62_999));
     assert!(!is_cold(&slow_starts, 63_000));
 }
@@ -88,7 +88,7 @@
 fn one_that_is_lost_again_is_doubted_anew() {
     let mut slow_starts = warm();
     slow_starts.lost(5_000, HEAD);
-    slow_starts.heard(6_000, HEAD, TERMS);
+    slow_starts.record_data(6_000, HEAD, TERMS);
     slow_starts.lost(7_000, HEAD);
     assert!(is_cold(&slow_starts, 9_500));
 }
@@ -123,7 +123,7 @@
 #[test]
 fn after_a_pause_all_are_cold_until_records_are_read() {
     let mut slow_starts = warm();
-    slow_starts.paused(20_000, 4_000);
+    slow_starts.record_pause(20_000, 4_000);
     slow_starts.records_read(19_999);
     assert!(is_cold(&slow_starts, 20_100));
     slow_starts.records_read(20_000);
@@ -134,7 +134,7 @@
 #[test]
 fn after_a_pause_what_was_missed_is_over_some_time() {
     let mut slow_starts = warm();
-    slow_starts.paused(20_000, 4_000);
+    slow_starts.record_pause(20_000, 4_000);
     assert!(!is_cold(&slow_starts, 20_000 + TERMS.lasts_ms + LAG_MS));
 }
 
@@ -142,9 +142,9 @@
 fn without_news(others_heard_at: u64, store_heard_at: u64, now: u64) -> bool {
     let mut slow_starts = warm();
     let mut members = alone();
-    members.heard(1, others_heard_at);
-    members.heard(2, others_heard_at);
-    slow_starts.store_heard(store_heard_at);
+    members.record_contact(1, others_heard_at);
+    members.record_contact(2, others_heard_at);
+    slow_starts.record_store_answer(store_heard_at);
     slow_starts.is_cold(now, HEAD, TERMS, &members)
 }
 
@@ -164,7 +164,7 @@
     let mut starts = unread();
     record(&mut starts, 6_000, told_ms, Listed::Known);
     assert!(is_cold(&starts, 6_000 + TERMS.lasts_ms + LAG_MS - 1));
-    knows.heard(7_000, HEAD, TERMS);
+    knows.record_data(7_000, HEAD, TERMS);
     assert_eq!(knows.remaining_cold_ms(8_000, HEAD, TERMS.lasts_ms), TERMS.lasts_ms - 1_000);
 }
 
@@ -178,7 +178,7 @@
 fn a_list_of_a_gateway_without_the_store_does_not_say_that_one_is_warm() {
     let mut slow_starts = unread();
     record(&mut slow_starts, 1_000, 0, Listed::Late);
-    slow_starts.heard(20_000, HEAD, TERMS);
+    slow_starts.record_data(20_000, HEAD, TERMS);
     assert!(is_cold(&slow_starts, 22_999));
     assert!(!is_cold(&slow_starts, 23_000));
 }
@@ -241,7 +241,7 @@
     let mut slow_starts = warm();
     slow_starts.drain_ended(5_000, HEAD, None);
     assert!(is_cold(&slow_starts, 60_000));
-    slow_starts.heard(61_000, HEAD, TERMS);
+    slow_starts.record_data(61_000, HEAD, TERMS);
     assert!(is_cold(&slow_starts, 61_000 + TERMS.lasts_ms - 1));
     assert!(!is_cold(&slow_starts, 61_000 + TERMS.lasts_ms));
 }
--- a/crates/oliveworks-gateway-core/tests/slow_start/replay.rs
+++ b/crates/oliveworks-gateway-core/tests/slow_start/replay.rs
@@ -136,7 +136,7 @@
         heard.dedup_by_key(|(gateway, _)| *gateway);
         for gateway in &mut self.gateways {
             if in_touch(gateway) {
-                heard.iter().for_each(|(other, at)| gateway.members.heard(*other, *at));
+                heard.iter().for_each(|(other, at)| gateway.members.record_contact(*other, *at));
             }
             gateway.slow_starts.retain(now, |_| true);
             gateway.members.retain(now);
@@ -205,7 +205,7 @@
     slow_starts.record(BEGAN, HEAD, Some(TERMS.lasts_ms), END, Listed::Newly);
     if known {
         for at in [0, BEGAN] {
-            (0..fleet.known).for_each(|other| members.heard(other as u64, at));
+            (0..fleet.known).for_each(|other| members.record_contact(other as u64, at));
         }
     }
     let cut_off = index < fleet.cut_off;
--- a/crates/oliveworks-gateway/src/members.rs
+++ b/crates/oliveworks-gateway/src/members.rs
@@ -25,7 +25,7 @@
     pub fn record_members(&self, gateways: impl IntoIterator<Item = (u64, Millis)>) {
         let mut members = self.members.borrow_mut();
         for (gateway, at) in gateways {
-            members.heard(gateway, at);
+            members.record_contact(gateway, at);
         }
     }
 
--- a/crates/oliveworks-gateway/src/relay/attempt.rs
+++ b/crates/oliveworks-gateway/src/relay/attempt.rs
@@ -253,7 +253,7 @@
     fn record_progress(&self, place: &Place) -> Millis {
         let now = self.gateway.now();
         self.gateway.balance.borrow_mut().progress(now, place.candidate.target);
-        self.gateway.suspensions.borrow_mut().heard(place.candidate.target);
+        self.gateway.suspensions.borrow_mut().record_data(place.candidate.target);
         self.gateway.record_reached(&self.service, place.candidate.target);
         now
     }
--- a/crates/oliveworks-gateway/src/slow_start.rs
+++ b/crates/oliveworks-gateway/src/slow_start.rs
@@ -156,7 +156,7 @@
     pub fn record_reached(&self, service: &str, target: Target) {
         let Some(terms) = self.slow_start_of(service) else { return };
         if let Some(slow_starts) = self.slow_starts.borrow_mut().as_mut() {
-            slow_starts.heard(self.now(), target, terms);
+            slow_starts.record_data(self.now(), target, terms);
         }
     }
 
@@ -171,7 +171,7 @@
         let Some(slow_starts) = slow_starts.as_mut() else { return Ok(None) };
         let members = self.members.borrow();
         let now = self.now();
-        slow_starts.store_heard(self.store_answered_at.get());
+        slow_starts.record_store_answer(self.store_answered_at.get());
         if !slow_starts.is_cold(now, target, terms, &members) {
             return Ok(None);
         }
@@ -179,12 +179,12 @@
         if free_at.is_some_and(|at| at <= now) {
             return Ok(Some(terms.requests_per_s));
         }
-        let part_per_s = slow_starts.part(now, target, terms, &members);
-        self.log_used_up_share(target, part_per_s, members.count());
+        let share_per_s = slow_starts.share(now, target, terms, &members);
+        self.log_used_up_share(target, share_per_s, members.count());
         Err(Obstacle::Cold { free_at })
     }
 
-    fn log_used_up_share(&self, target: Target, part_per_s: u32, gateways: usize) {
+    fn log_used_up_share(&self, target: Target, share_per_s: u32, gateways: usize) {
         self.count("cold_parts_taken");
         let now = self.now();
         if now < self.cold_logged_at.get() + LOG_INTERVAL_MS {
@@ -195,7 +195,7 @@
         let host = directory.iter().find(|server| Target::of(&server.id) == target);
         Event::new("cold_part_taken")
             .with("host", host.map(|server| &*server.id))
-            .with("part_per_s", part_per_s)
+            .with("part_per_s", share_per_s)
             .with("gateways", gateways)
             .write();
     }
--- a/crates/oliveworks-gateway/src/state.rs
+++ b/crates/oliveworks-gateway/src/state.rs
@@ -308,9 +308,9 @@
         if now > self.ticked_at.get() + ASLEEP_MS {
             let paused_ms = now - self.ticked_at.get();
             self.woke_at.set(now);
-            self.members.borrow_mut().paused(now, paused_ms);
+            self.members.borrow_mut().record_pause(now, paused_ms);
             if let Some(slow_starts) = self.slow_starts.borrow_mut().as_mut() {
-                slow_starts.paused(now, paused_ms);
+                slow_starts.record_pause(now, paused_ms);
             }
             self.notify_resumed(paused_ms);
         }
