--- a/crates/oliveworks-gateway-core/src/crashers.rs
+++ b/crates/oliveworks-gateway-core/src/crashers.rs
@@ -32,7 +32,7 @@
 
 use crate::Millis;
 use crate::balance::Target;
-pub use chain::{Chain, ToldEnd};
+pub use chain::{Chain, ReportedEnd};
 use chain::{End, Evidence, Record};
 use running::Running;
 
@@ -252,16 +252,17 @@
         if all {
             self.all_reported_at = now;
         }
-        let told = self.records.iter().filter(|(_, record)| {
+        let to_report = self.records.iter().filter(|(_, record)| {
             let is_new = record.report_since.is_some_and(|since| now < since + CHANGE_REPORT_MS);
             let lasts = record.is_convicted && now < record.last_end() + CONVICTED_MS;
             is_new || all && lasts
         });
-        let mut told: Vec<_> = told.collect();
-        told.sort_by_key(|(request, record)| {
+        let mut to_report: Vec<_> = to_report.collect();
+        to_report.sort_by_key(|(request, record)| {
             Reverse((record.is_convicted, record.evidence(|_| false), record.last_end(), **request))
         });
-        let chains = told.into_iter().filter_map(|(request, record)| record.report(now, *request));
+        let chains =
+            to_report.into_iter().filter_map(|(request, record)| record.report(now, *request));
         chains.take(CHAINS_MAX).collect()
     }
 
--- a/crates/oliveworks-gateway-core/src/crashers/chain.rs
+++ b/crates/oliveworks-gateway-core/src/crashers/chain.rs
@@ -33,7 +33,7 @@
 
 /// An end of a backend server, as exchanged between gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldEnd {
+pub struct ReportedEnd {
     /// The backend server that ended.
     pub host: Target,
     /// Time since the end, in ms.
@@ -59,14 +59,14 @@
     }
 
     /// Creates an end from another gateway's report.
-    pub fn from_report(now: Millis, reported: &ToldEnd) -> End {
-        let ToldEnd { host, ago_ms, had_delivered } = *reported;
+    pub fn from_report(now: Millis, reported: &ReportedEnd) -> End {
+        let ReportedEnd { host, ago_ms, had_delivered } = *reported;
         End { at: now.saturating_sub(ago_ms), host, had_delivered }
     }
 
-    fn reported(&self, now: Millis) -> ToldEnd {
+    fn reported(&self, now: Millis) -> ReportedEnd {
         let End { at, host, had_delivered } = *self;
-        ToldEnd { host, ago_ms: now.saturating_sub(at), had_delivered }
+        ReportedEnd { host, ago_ms: now.saturating_sub(at), had_delivered }
     }
 
     fn halves(&self) -> u32 {
@@ -100,7 +100,7 @@
     /// The request under which the backend servers ended.
     pub request: Fingerprint,
     /// Ends under the request that the reporting gateway knows, oldest first.
-    pub ends: Vec<ToldEnd>,
+    pub ends: Vec<ReportedEnd>,
     /// Time since the last completed run, in ms, if known. Earlier ends do not count against the
     /// request.
     pub survived_ago_ms: Option<u64>,
@@ -241,7 +241,7 @@
     /// forwards them.
     pub fn report(&self, now: Millis, request: Fingerprint) -> Option<Chain> {
         let dated = self.ends.iter().filter(|end| end.at > 0);
-        let ends: Vec<ToldEnd> = dated.map(|end| end.reported(now)).collect();
+        let ends: Vec<ReportedEnd> = dated.map(|end| end.reported(now)).collect();
         let survived_at = self.survived_at.filter(|at| *at > 0);
         let survived_ago_ms = survived_at.map(|at| now.saturating_sub(at));
         let tried_ago_ms = self.tried_at.filter(|_| self.is_being_tried(now));
--- a/crates/oliveworks-gateway-core/src/missing.rs
+++ b/crates/oliveworks-gateway-core/src/missing.rs
@@ -100,21 +100,21 @@
     ///
     /// A backend server that the store lacked after it was restored from an older copy does not
     /// count as lost.
-    pub fn found(&mut self, now: Millis, id: &str) -> bool {
+    pub fn record_listed(&mut self, now: Millis, id: &str) -> bool {
         let was_gone = self.gone.remove(id).is_some();
         let lost = self.lost.remove(id);
         was_gone || lost.is_some_and(|loss| loss.may_return_until.is_none_or(|until| now >= until))
     }
 
     /// Records that a record removes a backend server from the list or declares it unusable.
-    pub fn dropped(&mut self, now: Millis, id: BackendServerId) {
+    pub fn record_removal(&mut self, now: Millis, id: BackendServerId) {
         let loss = self.lost.entry(id).or_insert(Loss { since: now, may_return_until: None });
         loss.may_return_until = None;
     }
 
     /// Records that a backend server is absent from a read of all newest records, as held by the
     /// store (`by_store`) or by another gateway.
-    pub fn absent(
+    pub fn record_absence(
         &mut self,
         now: Millis,
         id: BackendServerId,
@@ -152,13 +152,18 @@
 
     /// Removes the backend servers that have been missing for long and returns them; they count as
     /// gone.
-    pub fn sweep(&mut self, now: Millis, look: StoreState, directory: &Directory) -> Vec<Departed> {
-        if now < self.rewrite_deadline(look, directory.len()) {
+    pub fn sweep(
+        &mut self,
+        now: Millis,
+        store: StoreState,
+        directory: &Directory,
+    ) -> Vec<Departed> {
+        if now < self.rewrite_deadline(store, directory.len()) {
             return Vec::new();
         }
         // A gateway that was paused or cut off may not have read the rewritten record yet.
         let is_final =
-            |loss: &Loss| loss.may_return_until.is_none_or(|until| look.read_at >= until);
+            |loss: &Loss| loss.may_return_until.is_none_or(|until| store.read_at >= until);
         let removed = self.lost.extract_if(.., |_, loss| is_final(loss));
         let left: Vec<Departed> =
             removed.map(|(id, loss)| Departed { id, missing_ms: now - loss.since }).collect();
@@ -177,10 +182,10 @@
     }
 
     /// Returns the time until which entries that went missing together may come back.
-    fn rewrite_deadline(&self, look: StoreState, listed: usize) -> Millis {
+    fn rewrite_deadline(&self, store: StoreState, listed: usize) -> Millis {
         let many = self.lost.len() >= MIN_JOINT_LOSSES
             && self.lost.len() * 100 >= listed * MIN_JOINT_LOSS_PERCENT;
-        match look.store_failed_at {
+        match store.store_failed_at {
             Some(failed_at) if many => failed_at + REWRITE_MS,
             _ => 0,
         }
--- a/crates/oliveworks-gateway-core/src/rate_limits/limits.rs
+++ b/crates/oliveworks-gateway-core/src/rate_limits/limits.rs
@@ -69,7 +69,7 @@
     /// The backend server that answered.
     pub target: Target,
     /// The incarnation of the backend server, as known when the request was sent.
-    pub life: Option<Born>,
+    pub incarnation: Option<Born>,
     /// Time at which the request was sent.
     pub sent_at: Millis,
     /// The rate that the answer names.
@@ -93,21 +93,22 @@
 
 impl Limits {
     /// Applies the rate information of an answer, and returns whether the known limit changes.
-    pub fn observe(&mut self, now: Millis, heard: RateObservation) -> bool {
-        let RateObservation { target, life, sent_at, rate, would_name } = heard;
+    pub fn observe(&mut self, now: Millis, observation: RateObservation) -> bool {
+        let RateObservation { target, incarnation, sent_at, rate, would_name } = observation;
         if rate.is_none() && !would_name {
             return false;
         }
         let known = self.0.get(&target).copied();
         let Some(known) = known else {
-            let limit = Limit { target, life, revision: 1, rate };
+            let limit = Limit { target, life: incarnation, revision: 1, rate };
             return rate.is_some() && self.learn(now, limit);
         };
-        let incarnation_order = life.zip(known.limit.life).map(|(own, known)| own.cmp(&known));
+        let incarnation_order =
+            incarnation.zip(known.limit.life).map(|(own, known)| own.cmp(&known));
         match incarnation_order {
             Some(std::cmp::Ordering::Less) => false,
             Some(std::cmp::Ordering::Greater) => {
-                self.learn(now, Limit { target, life, revision: 1, rate })
+                self.learn(now, Limit { target, life: incarnation, revision: 1, rate })
             }
             _ => {
                 let is_newer = sent_at >= known.learned_at;
@@ -117,7 +118,7 @@
                 applies
                     && self.learn(
                         now,
-                        Limit { life: life.or(known.limit.life), revision, rate, target },
+                        Limit { life: incarnation.or(known.limit.life), revision, rate, target },
                     )
             }
         }
--- a/crates/oliveworks-gateway-core/tests/missing.rs
+++ b/crates/oliveworks-gateway-core/tests/missing.rs
@@ -51,7 +51,7 @@
 #[test]
 fn one_that_a_record_drops_is_gone_at_once() {
     let mut missing = Missing::default();
-    missing.dropped(1_100, "h1".into());
+    missing.record_removal(1_100, "h1".into());
     assert_eq!(left(&mut missing, 1_200, read_at(1_100)).len(), 1);
     assert!(missing.has_gone("h1") && !missing.contains("h1"));
 }
@@ -59,7 +59,7 @@
 #[test]
 fn one_that_an_older_copy_lacks_is_gone_once_it_had_time_to_write_again() {
     let mut missing = Missing::default();
-    missing.absent(1_100, "h1".into(), era(KNOWN_SINCE), true);
+    missing.record_absence(1_100, "h1".into(), era(KNOWN_SINCE), true);
     assert_eq!(left(&mut missing, LACKS_UNTIL - 1, read_at(LACKS_UNTIL - 1)), []);
     assert_eq!(left(&mut missing, LACKS_UNTIL, read_at(LACKS_UNTIL)).len(), 1);
 }
@@ -68,7 +68,7 @@
 #[test]
 fn one_that_may_have_written_again_since_the_list_was_read_is_not_gone() {
     let mut missing = Missing::default();
-    missing.absent(1_100, "h1".into(), era(KNOWN_SINCE), true);
+    missing.record_absence(1_100, "h1".into(), era(KNOWN_SINCE), true);
     assert_eq!(left(&mut missing, 9_000, read_at(LACKS_UNTIL - 1)), []);
 }
 
@@ -76,8 +76,8 @@
 #[test]
 fn a_second_copy_gives_time_anew() {
     let mut missing = Missing::default();
-    missing.absent(1_100, "h1".into(), era(KNOWN_SINCE), true);
-    missing.absent(3_100, "h1".into(), era(3_000), true);
+    missing.record_absence(1_100, "h1".into(), era(KNOWN_SINCE), true);
+    missing.record_absence(3_100, "h1".into(), era(3_000), true);
     assert_eq!(left(&mut missing, LACKS_UNTIL, read_at(LACKS_UNTIL)), []);
     assert_eq!(left(&mut missing, 3_000 + REWRITE_MS, read_at(3_000 + REWRITE_MS)).len(), 1);
 }
@@ -85,23 +85,23 @@
 #[test]
 fn one_that_another_gateway_lacks_has_the_time_of_that_gateway() {
     let mut missing = Missing::default();
-    missing.absent(1_100, "h1".into(), era(KNOWN_SINCE), false);
+    missing.record_absence(1_100, "h1".into(), era(KNOWN_SINCE), false);
     assert_eq!(left(&mut missing, LACKS_UNTIL, read_at(LACKS_UNTIL)), []);
 }
 
 #[test]
 fn one_that_only_the_copy_lacked_was_not_lost() {
     let mut missing = Missing::default();
-    missing.absent(1_100, "h1".into(), era(KNOWN_SINCE), true);
-    assert!(!missing.found(2_000, "h1"));
-    missing.absent(5_000, "h1".into(), StoreEra::default(), true);
-    assert!(missing.found(5_100, "h1"), "no copy lacks it");
+    missing.record_absence(1_100, "h1".into(), era(KNOWN_SINCE), true);
+    assert!(!missing.record_listed(2_000, "h1"));
+    missing.record_absence(5_000, "h1".into(), StoreEra::default(), true);
+    assert!(missing.record_listed(5_100, "h1"), "no copy lacks it");
 }
 
 /// One that is gone, as of 900: before the era became known.
 fn gone() -> Missing {
     let mut missing = Missing::default();
-    missing.dropped(900, "h1".into());
+    missing.record_removal(900, "h1".into());
     missing.sweep(900, read_at(900), &directory());
     missing
 }
@@ -120,7 +120,7 @@
 #[test]
 fn one_that_is_dropped_twice_is_remembered_with_its_life() {
     let mut missing = gone();
-    missing.dropped(950, "h1".into());
+    missing.record_removal(950, "h1".into());
     missing.sweep(950, read_at(950), &Directory::default());
     assert!(!missing.is_old(&server(LIFE + 1, 1), true, era(KNOWN_SINCE)));
     assert!(missing.is_old(&server(LIFE, NUMBER), false, era(KNOWN_SINCE)));
--- a/crates/oliveworks-gateway-core/tests/rate_limits/limits.rs
+++ b/crates/oliveworks-gateway-core/tests/rate_limits/limits.rs
@@ -17,7 +17,7 @@
 fn answer(sent_at: u64, per_s: Option<f64>) -> RateObservation {
     RateObservation {
         target: HOST,
-        life: FIRST,
+        incarnation: FIRST,
         sent_at,
         rate: per_s.and_then(Rate::from_per_s),
         would_name: true,
--- a/crates/oliveworks-gateway-core/tests/restored_store/gateway.rs
+++ b/crates/oliveworks-gateway-core/tests/restored_store/gateway.rs
@@ -367,7 +367,7 @@
             let Record::Host(record) = record else { continue };
             let host = host(record);
             if record.gone {
-                self.missing.dropped(now, host.id);
+                self.missing.record_removal(now, host.id);
                 continue;
             }
             listed.insert(host.id.clone());
@@ -377,7 +377,7 @@
             if overtaken || (is_old && self.variant != Variant::CopiesListHosts) {
                 continue;
             }
-            self.missing.found(now, &host.id);
+            self.missing.record_listed(now, &host.id);
             if host.draining {
                 self.left.insert((host.id.to_string(), host.holding.born));
             }
@@ -388,8 +388,8 @@
             let known: Vec<Rc<str>> = self.directory.iter().map(|host| host.id.clone()).collect();
             for id in known.into_iter().filter(|id| !listed.contains(id)) {
                 match self.variant {
-                    Variant::CopiesDropHosts => self.missing.dropped(now, id),
-                    _ => self.missing.absent(now, id, self.era, by_store),
+                    Variant::CopiesDropHosts => self.missing.record_removal(now, id),
+                    _ => self.missing.record_absence(now, id, self.era, by_store),
                 }
             }
         }
--- a/crates/oliveworks-gateway/src/dialect.rs
+++ b/crates/oliveworks-gateway/src/dialect.rs
@@ -155,7 +155,7 @@
 pub enum RetryAfter {
     /// The answer names no time.
     #[default]
-    NotTold,
+    Absent,
     /// Number of ms to wait.
     Ms(u64),
     /// The value cannot be parsed.
@@ -167,7 +167,7 @@
 pub enum NamedLimit {
     /// The answer names no limit.
     #[default]
-    NotTold,
+    Absent,
     /// Rate of accepted requests.
     Rate(Rate),
     /// The value cannot be parsed.
@@ -179,7 +179,7 @@
 pub enum NamedEra {
     /// The answer names no era.
     #[default]
-    NotTold,
+    Absent,
     /// Era of the store.
     Era(Era),
     /// The value cannot be parsed.
--- a/crates/oliveworks-gateway/src/eras.rs
+++ b/crates/oliveworks-gateway/src/eras.rs
@@ -30,7 +30,7 @@
     /// meaning.
     pub fn record_store_era(&self, sent: Millis, named: &NamedEra, call: &str) -> EraChange {
         match named {
-            NamedEra::NotTold => EraChange::Known,
+            NamedEra::Absent => EraChange::Known,
             NamedEra::Era(era) => self.update_era(sent, *era, call),
             NamedEra::Unreadable(value) => {
                 if !self.counters.borrow().contains_key(UNREADABLE) {
--- a/crates/oliveworks-gateway/src/host_statements.rs
+++ b/crates/oliveworks-gateway/src/host_statements.rs
@@ -52,7 +52,7 @@
             self.mark_leaving(server, incarnation, "an answer");
         }
         match &answered.retry_after {
-            RetryAfter::NotTold => {}
+            RetryAfter::Absent => {}
             RetryAfter::Ms(ms) => self.begin_backoff(server, *ms, request),
             RetryAfter::Unreadable(value) => {
                 self.count("retry_after_unreadable");
--- a/crates/oliveworks-gateway/src/rate_limits.rs
+++ b/crates/oliveworks-gateway/src/rate_limits.rs
@@ -36,7 +36,7 @@
     /// Processes the limit named in an answer.
     pub fn record_limit(&self, sender: Sender<'_>, answered: &AnswerInfo, request: &str) {
         let rate = match &answered.limit {
-            NamedLimit::NotTold => None,
+            NamedLimit::Absent => None,
             NamedLimit::Rate(rate) => {
                 self.count("answers_with_limit");
                 Some(*rate)
@@ -50,8 +50,8 @@
         let target = Target::of(sender.server);
         let would_name = sender.to_request && answered.signed;
         let Sender { incarnation, sent_at, .. } = sender;
-        let heard = RateObservation { target, life: incarnation, sent_at, rate, would_name };
-        self.update_limit(target, request, |limits, now| limits.observe(now, heard));
+        let observation = RateObservation { target, incarnation, sent_at, rate, would_name };
+        self.update_limit(target, request, |limits, now| limits.observe(now, observation));
     }
 
     /// Processes a limit reported by another gateway.
@@ -61,7 +61,7 @@
             let directory = self.directory.borrow();
             let Some(server) = directory.id(target) else { return };
             let known = directory.born(server);
-            if known.zip(limit.life).is_some_and(|(known, told)| told < known) {
+            if known.zip(limit.life).is_some_and(|(known, reported)| reported < known) {
                 return;
             }
         }
--- a/crates/oliveworks-gateway/src/records.rs
+++ b/crates/oliveworks-gateway/src/records.rs
@@ -229,7 +229,7 @@
             }
             Record::BackendServer(server) => {
                 let restarted = has_restarted(gateway, server);
-                let is_back = missing.found(now, &server.id) && !restarted;
+                let is_back = missing.record_listed(now, &server.id) && !restarted;
                 listed.insert(server.id.clone());
                 if let Some(planner) = gateway.planners.borrow_mut().get_mut(&server.service) {
                     planner.handle_listed_host(now, server);
@@ -259,12 +259,12 @@
                 is_repeat = repeats.is_repeat(now, &server.id, changed || is_back);
             }
             Record::BackendServerGone(id) => {
-                missing.dropped(now, id.clone());
+                missing.record_removal(now, id.clone());
                 repeats.gone(id);
             }
             Record::BackendServerUnusable { id, why } => {
                 warn!("servers: {id}: {why}");
-                missing.dropped(now, id.clone());
+                missing.record_removal(now, id.clone());
                 repeats.gone(id);
             }
             Record::Unknown(why) => warn!("servers: {why}"),
@@ -276,7 +276,7 @@
         let by_store = step.source == RecordSource::Store;
         for server in gateway.directory.borrow().iter() {
             if !listed.contains(&server.id) {
-                missing.absent(now, server.id.clone(), store_era, by_store);
+                missing.record_absence(now, server.id.clone(), store_era, by_store);
             }
         }
         gateway.directory_read.set(true);
