--- a/crates/oliveworks-gateway-core/src/admission.rs
+++ b/crates/oliveworks-gateway-core/src/admission.rs
@@ -76,12 +76,12 @@
     /// Time within which the answer should begin, in ms.
     pub goal_ms: u64,
     /// This gateway's shares of the free capacity of groups.
-    pub parts: CapacityShares,
+    pub capacity_shares: CapacityShares,
 }
 
 impl AdmissionRequest {
     fn share(&self, candidate: &Candidate) -> f64 {
-        if candidate.is_local { self.parts.local } else { self.parts.remote }
+        if candidate.is_local { self.capacity_shares.local } else { self.capacity_shares.remote }
     }
 }
 
@@ -138,15 +138,15 @@
         &mut self,
         now: Millis,
         balance: &Balance,
-        asking: &AdmissionRequest,
+        request: &AdmissionRequest,
         candidates: &mut Vec<Candidate>,
     ) {
         candidates.retain(|candidate| {
             let unread = balance.load(now, candidate.target).tokens;
             let unread_ms = f64::from(unread) * candidate.token_ms;
             self.groups.entry(candidate.target).or_default().update_unread(now, unread_ms);
-            self.has_slot_share(now, balance, asking, candidate)
-                && self.has_reading_share(now, balance, asking, candidate, unread_ms)
+            self.has_slot_share(now, balance, request, candidate)
+                && self.has_reading_share(now, balance, request, candidate, unread_ms)
         });
     }
 
@@ -154,10 +154,10 @@
         &self,
         now: Millis,
         balance: &Balance,
-        asking: &AdmissionRequest,
+        request: &AdmissionRequest,
         candidate: &Candidate,
     ) -> bool {
-        let slots = f64::from(candidate.slots) * asking.full_at;
+        let slots = f64::from(candidate.slots) * request.full_at;
         let free = slots - f64::from(balance.load(now, candidate.target).requests);
         if free >= slots * f64::from(self.config.plenty_percent) / 100.0 {
             return true;
@@ -165,27 +165,27 @@
         let group = self.groups.get(&candidate.target).copied().unwrap_or_default();
         let sent = group.sent_in_window(self.window(now));
         sent + 1.0
-            <= (free + sent) * asking.share(candidate) + self.window_draw(now, candidate.target)
+            <= (free + sent) * request.share(candidate) + self.window_draw(now, candidate.target)
     }
 
     fn has_reading_share(
         &self,
         now: Millis,
         balance: &Balance,
-        asking: &AdmissionRequest,
+        request: &AdmissionRequest,
         candidate: &Candidate,
         unread_ms: f64,
     ) -> bool {
-        let limit_ms = asking.goal_ms as f64 * f64::from(self.config.reading_percent) / 100.0;
+        let limit_ms = request.goal_ms as f64 * f64::from(self.config.reading_percent) / 100.0;
         let own_ms = f64::from(balance.own_unread(candidate.target)) * candidate.token_ms;
-        let prompt_ms = f64::from(asking.tokens) * candidate.token_ms;
+        let prompt_ms = f64::from(request.tokens) * candidate.token_ms;
         let group = self.groups.get(&candidate.target).copied().unwrap_or_default();
         // Enforcing the share from half of that time on rejected 5 % of the callers although the
         // groups could serve all of them in time.
         if group.unread_ms < limit_ms {
-            return own_ms == 0.0 || own_ms + prompt_ms <= limit_ms * asking.share(candidate);
+            return own_ms == 0.0 || own_ms + prompt_ms <= limit_ms * request.share(candidate);
         }
-        let share_ms = (limit_ms - unread_ms + own_ms).max(0.0) * asking.share(candidate);
+        let share_ms = (limit_ms - unread_ms + own_ms).max(0.0) * request.share(candidate);
         let window_draw = if own_ms > 0.0 { 0.0 } else { self.window_draw(now, candidate.target) };
         own_ms + prompt_ms <= share_ms + prompt_ms * window_draw
     }
--- a/crates/oliveworks-gateway-core/src/balance.rs
+++ b/crates/oliveworks-gateway-core/src/balance.rs
@@ -266,21 +266,21 @@
         draw: u64,
     ) -> Result<Target, NoTarget> {
         let untried = candidates.iter().filter(|candidate| !tried.contains(&candidate.target));
-        let near: Vec<&Candidate> = untried.filter(|candidate| candidate.is_local).collect();
-        let found = self.least_busy(now, &near, compare_limit(candidates), full_at, draw);
+        let local: Vec<&Candidate> = untried.filter(|candidate| candidate.is_local).collect();
+        let found = self.least_busy(now, &local, compare_limit(candidates), full_at, draw);
         found.map_or_else(|| self.choose(now, candidates, tried, full_at, draw), Ok)
     }
 
     /// Returns the usage of the local and of the remote candidates.
     pub fn usage_by_locality(&self, now: Millis, candidates: &[Candidate]) -> UsageByLocality {
-        let mut sides = UsageByLocality::default();
+        let mut usage = UsageByLocality::default();
         for candidate in candidates {
             let load = self.load(now, candidate.target);
             let reading_ms = f64::from(load.tokens) * candidate.token_ms;
-            let side = if candidate.is_local { &mut sides.local } else { &mut sides.remote };
+            let side = if candidate.is_local { &mut usage.local } else { &mut usage.remote };
             side.add(f64::from(load.requests), f64::from(candidate.slots), reading_ms);
         }
-        sides
+        usage
     }
 
     /// Returns the least busy of the first `limit` candidates that are not full.
--- a/crates/oliveworks-gateway-core/src/demand.rs
+++ b/crates/oliveworks-gateway-core/src/demand.rs
@@ -49,14 +49,14 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct DecayingCount {
-    looked: RequestCounts,
+    counts: RequestCounts,
     at: Millis,
 }
 
 impl DecayingCount {
     fn now(&self, now: Millis) -> RequestCounts {
         let left = 0.5f64.powf(now.saturating_sub(self.at) as f64 / HALF_LIFE_MS);
-        RequestCounts { all: self.looked.all * left, refused: self.looked.refused * left }
+        RequestCounts { all: self.counts.all * left, refused: self.counts.refused * left }
     }
 }
 
@@ -72,10 +72,10 @@
     /// none.
     pub fn record_request(&mut self, now: Millis, model: ModelKey, refused: bool) {
         let decaying = self.own.entry(model).or_default();
-        let mut looked = decaying.now(now);
-        looked.all += 1.0;
-        looked.refused += f64::from(u8::from(refused));
-        *decaying = DecayingCount { looked, at: now };
+        let mut counts = decaying.now(now);
+        counts.all += 1.0;
+        counts.refused += f64::from(u8::from(refused));
+        *decaying = DecayingCount { counts, at: now };
     }
 
     /// Returns the demand that this gateway observed.
@@ -89,18 +89,18 @@
         &mut self,
         now: Millis,
         source: Source,
-        looked: HashMap<ModelKey, RequestCounts>,
+        counts: HashMap<ModelKey, RequestCounts>,
     ) {
-        self.peers.insert(source, (now, looked));
+        self.peers.insert(source, (now, counts));
     }
 
     /// Returns the demand that the gateways of this failure domain observed.
     pub fn failure_domain_counts(&self, now: Millis) -> HashMap<ModelKey, RequestCounts> {
         let mut sum: HashMap<ModelKey, RequestCounts> = self.own_counts(now).collect();
         let local = self.peers.iter().filter(|(source, _)| source.is_local());
-        for (_, (_, looked)) in local.filter(|(_, (at, _))| now < at + PEER_STALE_MS) {
-            for (model, looked) in looked {
-                sum.entry(*model).or_default().add(*looked);
+        for (_, (_, counts)) in local.filter(|(_, (at, _))| now < at + PEER_STALE_MS) {
+            for (model, count) in counts {
+                sum.entry(*model).or_default().add(*count);
             }
         }
         sum
@@ -112,8 +112,8 @@
 
     fn total_demand(&self, now: Millis, model: ModelKey) -> RequestCounts {
         let mut sum = self.own_demand(now, model);
-        for (_, looked) in self.peers.values().filter(|(at, _)| now < at + PEER_STALE_MS) {
-            sum.add(looked.get(&model).copied().unwrap_or_default());
+        for (_, counts) in self.peers.values().filter(|(at, _)| now < at + PEER_STALE_MS) {
+            sum.add(counts.get(&model).copied().unwrap_or_default());
         }
         sum
     }
@@ -131,7 +131,7 @@
         let own = self.own_demand(now, model).all;
         let total = self.total_demand(now, model);
         let all = total.all;
-        let domain = self.failure_domain_counts(now).get(&model).map_or(0.0, |looked| looked.all);
+        let domain = self.failure_domain_counts(now).get(&model).map_or(0.0, |counts| counts.all);
         // A gateway that knows of no requests may be the only one that gets some.
         let part = |of: f64, whole: f64| if whole > 0.0 { of / whole } else { 1.0 };
         CallerShare {
--- a/crates/oliveworks-gateway-core/src/fan_out.rs
+++ b/crates/oliveworks-gateway-core/src/fan_out.rs
@@ -41,9 +41,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recipients {
     /// Recipients in the sender's failure domain.
-    pub near: Vec<SocketAddr>,
+    pub local: Vec<SocketAddr>,
     /// Recipients in other failure domains.
-    pub far: Vec<SocketAddr>,
+    pub remote: Vec<SocketAddr>,
 }
 
 /// Chooses the recipients among all other gateways, grouped by failure domain. `draw` is a random
@@ -53,17 +53,17 @@
     others: &BTreeMap<&str, Vec<SocketAddr>>,
     draw: u64,
 ) -> Recipients {
-    let near = others.get(own_domain).map_or(&[][..], Vec::as_slice);
-    let far: Vec<_> = others.iter().filter(|(domain, _)| **domain != own_domain).collect();
-    let start = if far.is_empty() { 0 } else { draw as usize % far.len() };
-    let rotated_domains = (0..far.len()).map(|step| far[(start + step) % far.len()]);
+    let local = others.get(own_domain).map_or(&[][..], Vec::as_slice);
+    let remote: Vec<_> = others.iter().filter(|(domain, _)| **domain != own_domain).collect();
+    let start = if remote.is_empty() { 0 } else { draw as usize % remote.len() };
+    let rotated_domains = (0..remote.len()).map(|step| remote[(start + step) % remote.len()]);
     let chosen = rotated_domains.flat_map(|(domain, gateways)| {
         let draw = xxh3_64_with_seed(domain.as_bytes(), draw);
         rotated(gateways, draw, REMOTE_RECIPIENTS_PER_DOMAIN)
     });
     Recipients {
-        near: rotated(near, draw, LOCAL_RECIPIENTS_MAX).collect(),
-        far: chosen.take(REMOTE_RECIPIENTS_MAX).collect(),
+        local: rotated(local, draw, LOCAL_RECIPIENTS_MAX).collect(),
+        remote: chosen.take(REMOTE_RECIPIENTS_MAX).collect(),
     }
 }
 
--- a/crates/oliveworks-gateway-core/src/planner/early_service.rs
+++ b/crates/oliveworks-gateway-core/src/planner/early_service.rs
@@ -22,7 +22,7 @@
 /// Time by which a group must serve before the end of a load for the load to be abandoned, in ms.
 /// The loaded part is lost, so the gain has to be a multiple of the 2 s that the change itself
 /// takes.
-const SOONER_MS: u64 = 5_000;
+const MIN_GAIN_MS: u64 = 5_000;
 
 /// A host that loads a model for a group that does not serve yet.
 #[derive(Clone, Copy)]
@@ -90,7 +90,7 @@
     if hosts.len() >= model.size {
         return None;
     }
-    let change_ms = model.warm_ms + short.planner.engine.form_ms + SOONER_MS;
+    let change_ms = model.warm_ms + short.planner.engine.form_ms + MIN_GAIN_MS;
     let worth = loaders.iter().filter(|loader| loader.left_ms > change_ms);
     let able = worth.filter(|loader| loader.host.has_in_memory(&model.name));
     hosts.extend(able.map(|loader| loader.host).take(model.size - hosts.len()));
@@ -109,7 +109,7 @@
 impl<'a> Nearest<'a> {
     /// Returns the model if a host that holds none takes it up: the host has the model, or a host
     /// that loads it is still missing.
-    pub(super) fn takes(&mut self, host: &Host) -> Option<&'a Model> {
+    pub(super) fn model_for(&mut self, host: &Host) -> Option<&'a Model> {
         if host.has_copy(&self.model.name) {
             return Some(self.model);
         }
@@ -127,7 +127,7 @@
     }
     let models = planner.engine.models.iter().filter(|model| model.size > 1);
     let refusing = models.filter(|model| short.refuses(model));
-    let near = refusing.filter_map(|model| {
+    let candidates = refusing.filter_map(|model| {
         let warm = domain.warm_hosts(model);
         let staging = domain.free.iter().filter(|host| host.is_staging(&model.name)).count();
         let missing = model.size.saturating_sub(warm + staging + domain.loading_spares(model));
@@ -135,5 +135,5 @@
         let enough = domain.free.len() >= warm + staging + missing;
         (most_are_there && enough).then_some(Nearest { model, missing })
     });
-    near.min_by_key(|near| near.missing)
+    candidates.min_by_key(|candidate| candidate.missing)
 }
--- a/crates/oliveworks-gateway-core/src/planner/spares.rs
+++ b/crates/oliveworks-gateway-core/src/planner/spares.rs
@@ -50,7 +50,7 @@
     let short = Shortage::of(planner, domains);
     for domain in domains.values().filter(|domain| domain.steady) {
         let grouped = models_for_domain(planner, domain);
-        let mut near = nearest(&short, domain);
+        let mut nearest_group = nearest(&short, domain);
         let Some(held) = spare_model(planner, &grouped) else { continue };
         let mut loading: BTreeMap<&str, usize> = grouped
             .iter()
@@ -61,8 +61,8 @@
                 continue;
             }
             let spare = next_spare_model(planner, domain, &grouped, &loading, held);
-            let for_near = near.as_mut().and_then(|near| near.takes(host));
-            let model = for_near
+            let for_nearest = nearest_group.as_mut().and_then(|group| group.model_for(host));
+            let model = for_nearest
                 .unwrap_or_else(|| model_to_load(planner, domain, &grouped, &loading, host, spare));
             *loading.entry(&model.name).or_default() += 1;
             plans.push(new_group(model, &[host]));
--- a/crates/oliveworks-gateway-core/src/planner/stage.rs
+++ b/crates/oliveworks-gateway-core/src/planner/stage.rs
@@ -137,14 +137,15 @@
     let short_of = Shortage::of(planner, domains);
     let mut missing: BTreeMap<(&str, &str), usize> = BTreeMap::new();
     for domain in domains.values() {
-        let near = early_service::nearest(&short_of, domain);
+        let nearest = early_service::nearest(&short_of, domain);
         for model in planner.engine.models.iter().filter(|model| model.size > 1) {
             let staging = domain.free.iter().filter(|host| host.is_staging(&model.name)).count();
             let expected = domain.warm_hosts(model) + staging + domain.loading_spares(model);
             let lacks =
                 (model.size * domain.missing_groups(planner, model)).saturating_sub(expected);
-            let of_near = near.filter(|near| near.model == model).map_or(0, |near| near.missing);
-            let short = lacks.max(of_near);
+            let of_nearest =
+                nearest.filter(|group| group.model == model).map_or(0, |group| group.missing);
+            let short = lacks.max(of_nearest);
             missing.insert((domain.name, &model.name), short);
         }
     }
--- a/crates/oliveworks-gateway-core/src/planner/waiting.rs
+++ b/crates/oliveworks-gateway-core/src/planner/waiting.rs
@@ -62,8 +62,9 @@
         let short = Shortage::of(self, &domains);
         let refusing: Vec<_> = self.engine.models.iter().filter(|m| short.refuses(m)).collect();
         let each = domains.values().flat_map(|domain| {
-            let near = refusing.iter().filter(|model| domain.warm_hosts(model) * 2 > model.size);
-            near.map(|model| {
+            let mostly_free =
+                refusing.iter().filter(|model| domain.warm_hosts(model) * 2 > model.size);
+            mostly_free.map(|model| {
                 let hosts = domain.warm_hosts(model);
                 let staging = domain.free.iter().filter(|host| host.is_staging(&model.name));
                 WaitingHosts {
--- a/crates/oliveworks-gateway-core/tests/fan_out.rs
+++ b/crates/oliveworks-gateway-core/tests/fan_out.rs
@@ -33,9 +33,9 @@
                     (name.as_str(), others.copied().collect())
                 })
                 .collect();
-            let Recipients { near, far } = recipients(own, &others, rng.next_u64());
-            know.extend(near);
-            know.extend(far);
+            let Recipients { local, remote } = recipients(own, &others, rng.next_u64());
+            know.extend(local);
+            know.extend(remote);
         }
     }
     know.len()
@@ -58,10 +58,10 @@
     let all = gateways(domains, each);
     let others = all.iter().map(|(name, known)| (name.as_str(), known.clone())).collect();
     for draw in 0..200 {
-        let Recipients { near, far } = recipients("d0", &others, draw);
-        assert!(near.len() + far.len() <= most, "{} and {}", near.len(), far.len());
-        let distinct: BTreeSet<_> = near.iter().chain(&far).collect();
-        assert_eq!(distinct.len(), near.len() + far.len(), "nobody gets it twice");
+        let Recipients { local, remote } = recipients("d0", &others, draw);
+        assert!(local.len() + remote.len() <= most, "{} and {}", local.len(), remote.len());
+        let distinct: BTreeSet<_> = local.iter().chain(&remote).collect();
+        assert_eq!(distinct.len(), local.len() + remote.len(), "nobody gets it twice");
     }
 }
 
--- a/crates/oliveworks-gateway-core/tests/worst_load/world.rs
+++ b/crates/oliveworks-gateway-core/tests/worst_load/world.rs
@@ -287,7 +287,7 @@
             tokens: arrival.tokens,
             full_at,
             goal_ms: self.model.goal_ms,
-            parts,
+            capacity_shares: parts,
         };
         gateway.admission.admit(now, &gateway.balance, &asking, &mut candidates);
         let chosen = match spills {
--- a/crates/oliveworks-gateway/src/heartbeat.rs
+++ b/crates/oliveworks-gateway/src/heartbeat.rs
@@ -158,8 +158,8 @@
 pub fn domain_figures(gateway: &Gateway) -> DomainLoad {
     let now = gateway.now();
     let balance = gateway.balance.borrow();
-    let near = balance.received_by_local_peers_since(now.saturating_sub(HEARD_LOCAL_MS));
-    let heard = balance.received_since(now.saturating_sub(HEARD_MS)).chain(near).collect();
+    let local = balance.received_by_local_peers_since(now.saturating_sub(HEARD_LOCAL_MS));
+    let heard = balance.received_since(now.saturating_sub(HEARD_MS)).chain(local).collect();
     DomainLoad { open: balance.domain_open(now), heard }
 }
 
@@ -212,16 +212,16 @@
     if beat.traffic {
         gateway.traffic.set(true);
     }
-    let near = beat.failure_domain == gateway.settings.failure_domain;
-    let source = match near {
+    let is_local = beat.failure_domain == gateway.settings.failure_domain;
+    let source = match is_local {
         true => Source::Gateway(xxh3_64(beat.node.as_bytes())),
         false => domain_source(&beat.failure_domain),
     };
     record_heard_targets(gateway, now, source, &beat.telling);
     let is_for_this_gateway = match beat.figures {
         Figures::None => false,
-        Figures::OfGateway => near,
-        Figures::OfFailureDomain => !near,
+        Figures::OfGateway => is_local,
+        Figures::OfFailureDomain => !is_local,
     };
     if is_for_this_gateway {
         gateway.demand.borrow_mut().record_peer(now, source, beat.looked.into_iter().collect());
--- a/crates/oliveworks-gateway/src/peers.rs
+++ b/crates/oliveworks-gateway/src/peers.rs
@@ -81,7 +81,7 @@
     for seed in &gateway.settings.seeds {
         let seed = SocketAddr::new(seed.ip(), own.port());
         if seed != own && !peers.values().any(|peer| peer.address == seed) {
-            found.far.push(seed);
+            found.remote.push(seed);
         }
     }
     found
@@ -115,24 +115,24 @@
 }
 
 fn send_heartbeats(gateway: &Gateway, socket: &UdpSocket) {
-    let Recipients { near, mut far } = recipients(gateway);
+    let Recipients { local, mut remote } = recipients(gateway);
     let beat = heartbeat::for_own_domain(gateway);
     // The leader acts on suspicions and therefore receives them first.
     let leader = gateway.leader_address.get().filter(|_| beat.is_urgent());
-    let unreached = |address: &SocketAddr| !near.contains(address) && !far.contains(address);
+    let unreached = |address: &SocketAddr| !local.contains(address) && !remote.contains(address);
     if let Some(address) = leader.filter(unreached) {
-        far.push(address);
+        remote.push(address);
     }
-    far.retain(|address| *address != gateway.settings.listen.peers);
+    remote.retain(|address| *address != gateway.settings.listen.peers);
     let known = heartbeat::domain_figures(gateway);
-    for (domain, addresses) in group_by_domain(gateway, &far) {
+    for (domain, addresses) in group_by_domain(gateway, &remote) {
         let beat = match domain {
             Some(domain) => heartbeat::for_domain(gateway, &beat, &known, &domain),
             None => heartbeat::for_unknown_domain(&beat),
         };
         send_to(gateway, socket, &Message::Beat(Box::new(beat)), &addresses);
     }
-    send_to(gateway, socket, &Message::Beat(Box::new(beat)), &near);
+    send_to(gateway, socket, &Message::Beat(Box::new(beat)), &local);
 }
 
 /// Groups addresses by the failure domain of their gateway; none if the failure domain is unknown.
@@ -158,12 +158,12 @@
     if changes.is_empty() {
         return;
     }
-    let Recipients { mut near, far } = recipients(gateway);
+    let Recipients { mut local, remote } = recipients(gateway);
     if gateway.election.borrow().leading_fence().is_some() {
-        near.extend(far);
+        local.extend(remote);
     }
     for change in changes {
-        send_to(gateway, socket, &Message::Change(Box::new(change)), &near);
+        send_to(gateway, socket, &Message::Change(Box::new(change)), &local);
     }
 }
 
--- a/crates/oliveworks-gateway/src/rate_limits.rs
+++ b/crates/oliveworks-gateway/src/rate_limits.rs
@@ -215,7 +215,7 @@
         self.record_reported_limit(answer.limit);
         self.rate_limits.borrow_mut().answered(self.now(), answer);
         if answer.grant == Grant::Permit {
-            self.permits_came.notify_waiters();
+            self.permits_received.notify_waiters();
         }
     }
 
--- a/crates/oliveworks-gateway/src/relay/attempt.rs
+++ b/crates/oliveworks-gateway/src/relay/attempt.rs
@@ -54,7 +54,7 @@
 impl Job<'_> {
     fn build_request(&self, place: &Place) -> Option<Request<Full<Bytes>>> {
         let now = self.gateway.now();
-        let said = ForwardInfo {
+        let info = ForwardInfo {
             deadline_ms: self.deadline.saturating_sub(now).max(1),
             server: &place.server,
             workspace: self.workspace.as_deref(),
@@ -63,7 +63,7 @@
         };
         let mut builder = Request::builder();
         builder = builder.method(self.request.method.as_str()).uri(&self.request.target);
-        for (name, value) in self.gateway.dialect.outgoing_headers(&self.request.headers, &said) {
+        for (name, value) in self.gateway.dialect.outgoing_headers(&self.request.headers, &info) {
             if !HOP_BY_HOP_HEADERS.contains(&name.as_str()) {
                 builder = builder.header(name, value.as_ref());
             }
--- a/crates/oliveworks-gateway/src/relay/placing.rs
+++ b/crates/oliveworks-gateway/src/relay/placing.rs
@@ -43,16 +43,21 @@
     }
 
     /// Removes replica groups whose quota for this gateway is used up.
-    fn admit(&self, full_at: f64, parts: CapacityShares, candidates: &mut Vec<Candidate>) {
-        let asking = AdmissionRequest {
+    fn admit(
+        &self,
+        full_at: f64,
+        capacity_shares: CapacityShares,
+        candidates: &mut Vec<Candidate>,
+    ) {
+        let request = AdmissionRequest {
             tokens: self.asked.prompt_tokens,
             full_at,
             goal_ms: self.route.goal_ms,
-            parts,
+            capacity_shares,
         };
         let balance = self.gateway.balance.borrow();
         let mut admission = self.gateway.admission.borrow_mut();
-        admission.admit(self.gateway.now(), &balance, &asking, candidates);
+        admission.admit(self.gateway.now(), &balance, &request, candidates);
     }
 
     /// Chooses among eligible places, if one has room now. A request that resumes after an attempt
@@ -64,16 +69,16 @@
         let mut candidates: Vec<_> = places.iter().map(|place| place.candidate).collect();
         let now = self.gateway.now();
         let callers = self.callers_share();
-        let sides = self.gateway.balance.borrow().usage_by_locality(now, &candidates);
+        let usage = self.gateway.balance.borrow().usage_by_locality(now, &candidates);
         if self.model.is_some() && !is_resumed {
-            self.admit(full_at, sides.capacity_shares(&callers), &mut candidates);
+            self.admit(full_at, usage.capacity_shares(&callers), &mut candidates);
         }
         if candidates.is_empty() && !places.is_empty() {
             return Err(NoTarget::Full);
         }
         let balance = self.gateway.balance.borrow();
         let draw = rand::random();
-        match sides.spills(&callers, draw) {
+        match usage.spills(&callers, draw) {
             true => balance.choose(now, &candidates, &self.tried_targets, full_at, draw),
             false => balance.choose_local(now, &candidates, &self.tried_targets, full_at, draw),
         }
@@ -102,10 +107,10 @@
         found.or_else(|_| self.choose(places, is_resumed))
     }
 
-    /// Counts whether a request stays in the local failure domain; `near` is whether a local place
-    /// was eligible.
-    fn count_locality(&self, place: &Place, near: bool) {
-        let counter = match (place.candidate.is_local, near) {
+    /// Counts whether a request stays in the local failure domain; `is_local_eligible` is
+    /// whether a local place was eligible.
+    fn count_locality(&self, place: &Place, is_local_eligible: bool) {
+        let counter = match (place.candidate.is_local, is_local_eligible) {
             (true, _) => "requests_near",
             (false, true) => "requests_spilled",
             (false, false) => "requests_far",
@@ -170,11 +175,12 @@
                 self.gateway.divide_places(&self.service, all, self.allowed(), &self.tried_targets);
             let no_place = match self.choose_for_suspect(&places.eligible, is_resumed, standing) {
                 Ok(target) => {
-                    let near = places.eligible.iter().any(|place| place.candidate.is_local);
+                    let is_local_eligible =
+                        places.eligible.iter().any(|place| place.candidate.is_local);
                     let mut open = places.eligible.into_iter();
                     let found = open.find(|place| place.candidate.target == target);
                     let place = found.ok_or(NoTarget::None)?;
-                    self.count_locality(&place, near);
+                    self.count_locality(&place, is_local_eligible);
                     return Ok(place);
                 }
                 Err(found) => self.no_place(&places, found),
@@ -186,7 +192,7 @@
             let poll_interval = Duration::from_millis(POLL_INTERVAL_MS);
             // The wait also ends when a permit arrives, since permits are valid for a short time
             // only.
-            let _ = timeout(poll_interval, self.gateway.permits_came.notified()).await;
+            let _ = timeout(poll_interval, self.gateway.permits_received.notified()).await;
         }
     }
 }
--- a/crates/oliveworks-gateway/src/sources.rs
+++ b/crates/oliveworks-gateway/src/sources.rs
@@ -44,13 +44,13 @@
     let now = gateway.now();
     let unresponsive = gateway.unresponsive_peers.borrow();
     let domain = &gateway.settings.failure_domain;
-    let heard = peers.iter().filter_map(|(name, peer)| {
-        let near = peer.failure_domain == *domain;
-        let silent_ms = if near { LOCAL_SILENT_MS } else { REMOTE_SILENT_MS };
+    let recent = peers.iter().filter_map(|(name, peer)| {
+        let is_local = peer.failure_domain == *domain;
+        let silent_ms = if is_local { LOCAL_SILENT_MS } else { REMOTE_SILENT_MS };
         (now < peer.last_seen_at + silent_ms).then(|| PeerState {
             name,
             address: peer.address,
-            is_local: near,
+            is_local,
             store_answers: peer.store_answers,
             reads_store: peer.reads_store,
             has_recent_proof: peer.proved_at.is_some_and(|at| is_recent(gateway, now, at)),
@@ -61,7 +61,7 @@
             version: peer.version,
         })
     });
-    heard.collect()
+    recent.collect()
 }
 
 impl Gateway {
--- a/crates/oliveworks-gateway/src/state.rs
+++ b/crates/oliveworks-gateway/src/state.rs
@@ -68,7 +68,7 @@
 /// platform checks the readiness of a process once a second and removes it after two failed checks.
 pub const STOP_NOTICE_MS: u64 = 2_300;
 /// Gap between two ticks, in ms, after which the process counts as having been paused.
-const ASLEEP_MS: u64 = 150;
+const PAUSE_MIN_MS: u64 = 150;
 /// Gap between two ticks, in ms, after which waiting tasks check the clock again. For shorter gaps,
 /// repeating their requests would cost more than waiting.
 const RESUMED_MS: u64 = 1_000;
@@ -132,7 +132,7 @@
     /// Rate limits named by backend servers, and permits for them.
     pub rate_limits: RefCell<RateLimits>,
     /// Notifies waiting requests that a permit has arrived.
-    pub permits_came: Notify,
+    pub permits_received: Notify,
     /// Outgoing messages to limiters, with their addresses.
     pub to_limiters: RefCell<Vec<(SocketAddr, ToLimiter)>>,
     /// Time of the last log line on the limit of each backend server.
@@ -207,7 +207,7 @@
     /// Notifies waiting tasks that the process continues after a pause.
     pub resumed: Notify,
     ticked_at: Cell<Millis>,
-    woke_at: Cell<Millis>,
+    resumed_at: Cell<Millis>,
 }
 
 impl Gateway {
@@ -248,7 +248,7 @@
             convictions: Notify::new(),
             backoffs: RefCell::default(),
             rate_limits: RefCell::default(),
-            permits_came: Notify::new(),
+            permits_received: Notify::new(),
             to_limiters: RefCell::default(),
             limit_logged_at: RefCell::default(),
             unread_headers: RefCell::default(),
@@ -286,7 +286,7 @@
             latencies: RefCell::default(),
             resumed: Notify::new(),
             ticked_at: Cell::new(now),
-            woke_at: Cell::new(0),
+            resumed_at: Cell::new(0),
             clock,
             settings,
         }
@@ -305,9 +305,9 @@
     /// Records that the process is running; called every few tens of ms.
     pub fn tick(&self) {
         let now = self.now();
-        if now > self.ticked_at.get() + ASLEEP_MS {
+        if now > self.ticked_at.get() + PAUSE_MIN_MS {
             let paused_ms = now - self.ticked_at.get();
-            self.woke_at.set(now);
+            self.resumed_at.set(now);
             self.members.borrow_mut().record_pause(now, paused_ms);
             if let Some(slow_starts) = self.slow_starts.borrow_mut().as_mut() {
                 slow_starts.record_pause(now, paused_ms);
@@ -332,9 +332,9 @@
     /// this time proves nothing.
     pub fn awake_since(&self) -> Millis {
         let now = self.now();
-        match now > self.ticked_at.get() + ASLEEP_MS {
+        match now > self.ticked_at.get() + PAUSE_MIN_MS {
             true => now,
-            false => self.woke_at.get(),
+            false => self.resumed_at.get(),
         }
     }
 
