--- a/crates/oliveworks-gateway/src/passing.rs
+++ b/crates/oliveworks-gateway/src/peer_replay.rs
@@ -1,9 +1,9 @@
-//! Forwarding of the store's records between gateways: a gateway follows a topic through another
-//! gateway as it would follow the store.
+//! Replay of the store's records between gateways, over TCP. A gateway can follow a topic through
+//! another gateway instead of the store. The other gateway answers from its replay buffer.
 //!
 //! The transport is TCP, since a configuration may be far larger than a datagram. Framing and
-//! encoding are those of libraries. The answering gateway uses only the records that it holds and
-//! asks nobody else, so questions never form a cycle.
+//! encoding are those of libraries. The answering gateway uses only its own records and asks no
+//! other gateway, so questions never form a cycle.
 //!
 //! Rejected: QUIC, whose handshake costs more processor time than the few questions per second that
 //! a gateway asks.
@@ -26,11 +26,11 @@
 use crate::state::Gateway;
 
 /// Longest time for which a question is held back until there are new records, in ms. A gateway
-/// that has stopped answering is noticed within this time plus the next one.
+/// that has stopped answering is detected within this time plus `ANSWER_TIMEOUT_MS`.
 pub const HOLD_MAX_MS: u64 = 500;
-/// Time allowed for an answer beyond that, and for opening a connection, in ms. The value is many
-/// times the transmission time between failure domains, and short compared to the 1 s after which a
-/// proof is missed.
+/// Time allowed for an answer beyond `HOLD_MAX_MS`, and for opening a connection, in ms. The value
+/// is many times the transmission time between failure domains, and short compared to the 1 s after
+/// which a proof counts as missing.
 const ANSWER_TIMEOUT_MS: u64 = 300;
 /// Largest answer, in bytes.
 const ANSWER_MAX: usize = 16 << 20;
@@ -58,11 +58,13 @@
     pub next: Place,
     /// Time for which the question was held back, in ms.
     pub held_ms: u64,
-    /// Age of the proof, at that moment, that nothing is newer, in ms; none without a proof.
+    /// Age, at the time of the answer, of the proof that the store held nothing newer, in ms; none
+    /// without a proof.
     pub proof_age_ms: Option<u64>,
-    /// Newest configuration version that the store is known to hold.
+    /// Newest configuration version that the answering gateway knows the store to hold.
     pub stored_version: Option<u64>,
-    /// Time since a call to the store last failed at a gateway that reads the store, in ms.
+    /// Time since a call to the store last failed, at the answering gateway or at a gateway that it
+    /// asked, in ms.
     pub store_failed_ms_ago: Option<u64>,
 }
 
@@ -73,7 +75,7 @@
     Framed::new(stream, codec)
 }
 
-/// A connection to another gateway.
+/// Client end of a connection to another gateway.
 pub struct PeerClient {
     address: SocketAddr,
     frames: Frames,
@@ -89,7 +91,7 @@
         let stream = timeout(Duration::from_millis(ANSWER_TIMEOUT_MS), connecting).await;
         let stream = stream.map_err(|_| "no connection in time")?.map_err(|e| e.to_string())?;
         if let Err(error) = stream.set_nodelay(true) {
-            debug!("passing: cannot set TCP_NODELAY for {address}: {error}");
+            debug!("peer replay: cannot set TCP_NODELAY for {address}: {error}");
         }
         Ok(PeerClient { address, frames: framed(stream) })
     }
@@ -100,7 +102,7 @@
     }
 
     /// Asks for newer records, with or without repeats of those held. Returns nothing if the other
-    /// gateway cannot tell what is newer.
+    /// gateway does not know what is newer.
     ///
     /// # Errors
     /// Returns a description of the failure if no readable answer arrives in time.
@@ -132,7 +134,7 @@
                 ntex::rt::spawn(serve(gateway.clone(), stream, from));
             }
             Err(error) => {
-                warn!("passing: cannot accept a connection: {error}");
+                warn!("peer replay: cannot accept a connection: {error}");
                 sleep(Duration::from_millis(ACCEPT_RETRY_MS)).await;
             }
         }
@@ -141,14 +143,14 @@
 
 async fn serve(gateway: Rc<Gateway>, stream: TcpStream, from: SocketAddr) {
     if let Err(error) = stream.set_nodelay(true) {
-        debug!("passing: cannot set TCP_NODELAY for {from}: {error}");
+        debug!("peer replay: cannot set TCP_NODELAY for {from}: {error}");
     }
     let mut frames = framed(stream);
     while let Some(Ok(frame)) = frames.next().await {
         let question = match postcard::from_bytes::<Question>(&frame) {
             Ok(question) => question,
             Err(error) => {
-                warn!("passing: cannot decode a question from {from}: {error}");
+                warn!("peer replay: cannot decode a question from {from}: {error}");
                 return;
             }
         };
@@ -157,7 +159,7 @@
         let bytes = match postcard::to_stdvec(&answer) {
             Ok(bytes) => bytes,
             Err(error) => {
-                warn!("passing: cannot encode an answer to {from}: {error}");
+                warn!("peer replay: cannot encode an answer to {from}: {error}");
                 return;
             }
         };
@@ -168,7 +170,8 @@
     }
 }
 
-/// Returns the answer when there are new records or a younger proof, or when the time is over.
+/// Returns the answer as soon as there are new records or a younger proof, or after `HOLD_MAX_MS`
+/// at the latest. `None` means that this gateway cannot answer the question.
 async fn answer_when_new(gateway: &Gateway, question: &Question) -> Option<Answer> {
     let began = gateway.now();
     let notified = gateway.new_records(question.topic).notified();
