--- a/crates/oliveworks-gateway-core/src/demand.rs
+++ b/crates/oliveworks-gateway-core/src/demand.rs
@@ -1,7 +1,7 @@
 //! Fraction of the requests for each model that find a slot, as observed by all gateways.
 //!
-//! The fraction of occupied slots tells how busy a model is only up to the point at which all are
-//! occupied: a model that refuses one request of ten and one that refuses nine look alike. The
+//! The fraction of occupied slots shows how busy a model is only up to the point at which all slots
+//! are occupied: a model that refuses one request of ten and one that refuses nine look alike. The
 //! fraction of refused requests distinguishes them. Rejected: computing the demand from arrivals
 //! and the length of answers, because callers only guess that length.
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Recent requests that looked for a slot, weighted by age.
+/// Counts of recent requests that needed a slot, weighted by age.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RequestCounts {
     /// All of these requests.
@@ -68,8 +68,7 @@
 }
 
 impl ModelDemand {
-    /// Records that a request at this gateway looked for a slot. `refused` is whether it found
-    /// none.
+    /// Records that a request at this gateway needed a slot. `refused` is whether no slot was free.
     pub fn record_request(&mut self, now: Millis, model: ModelKey, refused: bool) {
         let decaying = self.own.entry(model).or_default();
         let mut counts = decaying.now(now);
@@ -132,7 +131,7 @@
         let total = self.total_demand(now, model);
         let all = total.all;
         let domain = self.failure_domain_counts(now).get(&model).map_or(0.0, |counts| counts.all);
-        // A gateway that knows of no requests may be the only one that gets some.
+        // Without known requests, this gateway may be the only one that receives any.
         let part = |of: f64, whole: f64| if whole > 0.0 { of / whole } else { 1.0 };
         CallerShare {
             of_all: part(own, all),
--- a/crates/oliveworks-gateway-core/src/drains.rs
+++ b/crates/oliveworks-gateway-core/src/drains.rs
@@ -82,8 +82,9 @@
         ended.iter().filter_map(|name| self.end(now, name)).collect()
     }
 
-    /// Handles a read of all newest records of a store that may lack some of them: drains that are
-    /// not among `drained` stay in force until the store has been read again.
+    /// Marks the drains that are not among `drained` as unconfirmed, after a read of all newest
+    /// records of a store that may lack some of them. These drains stay in force until the store
+    /// has been read again.
     pub fn mark_unread_unconfirmed(&mut self, drained: &BTreeSet<String>) {
         let others = self.since.keys().filter(|name| !drained.contains(*name));
         self.unconfirmed = others.cloned().collect();
--- a/crates/oliveworks-gateway-core/src/era.rs
+++ b/crates/oliveworks-gateway-core/src/era.rs
@@ -60,7 +60,7 @@
     }
 
     /// Whether records that the store lacks may still be rewritten: the store was restored
-    /// recently, or this gateway has just started and cannot tell.
+    /// recently, or this gateway has just started and does not know the time of a restore.
     pub fn may_lack_records(&self, now: Millis) -> bool {
         now < self.lacks_records_until()
     }
--- a/crates/oliveworks-gateway-core/src/lib.rs
+++ b/crates/oliveworks-gateway-core/src/lib.rs
@@ -1,9 +1,9 @@
 //! The decisions of a gateway, separate from the code that carries them out.
 //!
-//! A gateway is an entry point that calls backend servers directly. The gateways also form the replica
-//! groups: one of them, the leader, issues the orders, and every order carries a fence that backend
-//! servers check. Events and the time are inputs, commands are outputs; no code in this crate reads a
-//! clock, opens a socket or draws a random number.
+//! A gateway is an entry point that calls backend servers directly. The gateways also form the
+//! replica groups: one of them, the leader, issues the orders, and every order carries a fence that
+//! backend servers check. Events and the time are inputs, commands are outputs; no code in this
+//! crate reads a clock, opens a socket or draws a random number.
 //!
 //! | module | responsibility |
 //! |---|---|
@@ -12,14 +12,14 @@
 //! | [`read_cursor`] | the read position in a topic of the store, and the source of the next read |
 //! | [`replay`] | replay of the store's recent records to other gateways |
 //! | [`repeats`] | detection of records that are not new to other gateways |
-//! | [`era`] | the copy of itself that the store answers from |
+//! | [`era`] | detection of a store that was restored from an older copy of its data |
 //! | [`place`] | places in a topic of the store, and the fence of a claim at a place |
 //! | [`drains`] | failure domains that the operators drain |
 //! | [`residency`] | regions that may serve a request |
 //! | [`freshness`] | whether the configuration is recent enough to accept keys |
 //! | [`versions`] | whether the store or this gateway lacks a version that others hold |
 //! | [`backend_servers`] | state of backend servers according to the platform's records |
-//! | [`missing`] | when backend servers that are missing from the list count as gone |
+//! | [`missing`] | time after which backend servers that are missing from the list count as gone |
 //! | [`listing`] | interval between reads of the list of backend servers |
 //! | [`planner`] | which hosts form each replica group, and all orders |
 //! | [`demand`] | share of the requests for each model that find a place |
--- a/crates/oliveworks-gateway-core/src/load_report.rs
+++ b/crates/oliveworks-gateway-core/src/load_report.rs
@@ -27,8 +27,8 @@
 const TARGETS_PER_HEARTBEAT: usize = 64;
 /// Interval between two heartbeats, in ms.
 const HEARTBEAT_MS: u64 = 100;
-/// Maximum interval between two reports of the load elsewhere, in ms. Three of them arrive before
-/// the first one expires.
+/// Maximum interval between two reports of the load of all other targets, in ms. Three of them
+/// arrive before the first one expires.
 const ELSEWHERE_INTERVAL_MAX_MS: u64 = 500;
 
 /// The load of one target.
@@ -74,13 +74,13 @@
     pub heard: HashSet<Target>,
 }
 
-/// Returns the report of this failure domain for another one, `listener`. `is_there` returns
-/// whether a target belongs to the listener's domain.
+/// Returns the report of this failure domain for the failure domain `recipient`. `is_there` returns
+/// whether a target belongs to the recipient's domain.
 pub fn remote_report(
     balance: &Balance,
     now: Millis,
     known: &DomainLoad,
-    listener: Source,
+    recipient: Source,
     is_there: impl Fn(Target) -> bool,
     with_elsewhere: bool,
 ) -> LoadReport {
@@ -96,26 +96,26 @@
             elsewhere.push((*target, *load));
         }
     }
-    let listener_waits = |target: &&Target| balance.is_open_at(now, listener, **target);
+    let recipient_waits = |target: &&Target| balance.is_open_at(now, recipient, **target);
     let heard =
-        known.heard.iter().filter(|target| !reported.contains(target)).filter(listener_waits);
+        known.heard.iter().filter(|target| !reported.contains(target)).filter(recipient_waits);
     report.heard = heard.copied().collect();
     report
 }
 
-/// Time of the last report of the load elsewhere, by failure domain.
+/// Time of the last report of the load outside the recipient's domain, by failure domain.
 #[derive(Clone, Debug, Default)]
 pub struct ReportIntervals(HashMap<Source, Millis>);
 
 impl ReportIntervals {
-    /// Returns whether the load elsewhere, at the given number of targets, is due to be reported to
-    /// a failure domain. If so, the report is recorded.
-    pub fn is_due(&mut self, now: Millis, listener: Source, targets: usize) -> bool {
+    /// Returns whether a report of the load outside the recipient's domain is due for that domain,
+    /// given the number of targets to report. If so, the report is recorded.
+    pub fn is_due(&mut self, now: Millis, recipient: Source, targets: usize) -> bool {
         let interval_ms = (targets as u64 * HEARTBEAT_MS / TARGETS_PER_HEARTBEAT as u64)
             .min(ELSEWHERE_INTERVAL_MAX_MS);
-        let due = self.0.get(&listener).is_none_or(|at| now >= at + interval_ms);
+        let due = self.0.get(&recipient).is_none_or(|at| now >= at + interval_ms);
         if due {
-            self.0.insert(listener, now);
+            self.0.insert(recipient, now);
         }
         due
     }
--- a/crates/oliveworks-gateway-core/src/missing.rs
+++ b/crates/oliveworks-gateway-core/src/missing.rs
@@ -181,7 +181,7 @@
         removed.map(|(id, _)| id).collect()
     }
 
-    /// Returns the time until which entries that went missing together may come back.
+    /// Returns the time until which entries that went missing together may be listed again.
     fn rewrite_deadline(&self, store: StoreState, listed: usize) -> Millis {
         let many = self.lost.len() >= MIN_JOINT_LOSSES
             && self.lost.len() * 100 >= listed * MIN_JOINT_LOSS_PERCENT;
--- a/crates/oliveworks-gateway-core/src/planner.rs
+++ b/crates/oliveworks-gateway-core/src/planner.rs
@@ -123,8 +123,9 @@
     waits: Waits,
     /// Demand for each model, as the number of groups that its requests would fill.
     demand: BTreeMap<String, Demand>,
-    /// Capacity of each domain, and the groups that each domain should hold for it.
+    /// Capacity of each domain when the quotas were last computed.
     capacities: BTreeMap<String, DomainCapacity>,
+    /// Number of groups of each model that each domain should hold.
     quotas: Quotas,
     /// Quotas of each domain when it last had its largest number of hosts.
     quotas_at_full_strength: Quotas,
--- a/crates/oliveworks-gateway-core/src/planner/arrivals.rs
+++ b/crates/oliveworks-gateway-core/src/planner/arrivals.rs
@@ -1,11 +1,11 @@
 //! Detects whether a domain's hosts are still being listed.
 //!
-//! The case behind this: a whole domain goes down and returns under twice the usual traffic. Its
-//! hosts are listed in batches within a few seconds. The state of the domain after the first batch
-//! does not justify loads of 12 s and more. A host that replaces another waits only for one read of
-//! the list. Rejected: the longer wait for every host, because hosts are replaced one by one all
-//! the time and each would load a second later. Rejected: no time limit, because a domain that
-//! keeps growing would never settle.
+//! Motivating case: a whole domain goes down and returns under twice the usual traffic. Its hosts
+//! are listed in batches within a few seconds. The state of the domain after the first batch does
+//! not justify loads of 12 s and more. A host that replaces another waits only for one read of the
+//! list. Rejected: the longer wait for every host, because hosts are replaced one by one all the
+//! time and each would load a second later. Rejected: no time limit, because a domain that keeps
+//! growing would never settle.
 
 use crate::Millis;
 
--- a/crates/oliveworks-gateway-core/src/planner/early_service.rs
+++ b/crates/oliveworks-gateway-core/src/planner/early_service.rs
@@ -1,13 +1,13 @@
 //! Groups that free hosts can form sooner than those of their domain's quota.
 //!
-//! The case behind this: hosts return under twice the usual traffic and have one model in memory,
-//! while the quota of their domain asks for groups of another. A load takes 12 s and more, and
-//! longer if many run. A group of the model in memory serves after 2 s. Hosts that can form a whole
-//! group of a model that refuses requests therefore form it, whatever the quota, and a join that
-//! loads is abandoned for it while most of the load is still ahead. If several groups lack hosts,
-//! the one that lacks the fewest gets its loads first, and hosts that wait for it load nothing
-//! else. Rejected: quotas first, because thirteen hosts then loaded for 20 s although there were
-//! requests for the model that they had in memory.
+//! Motivating case: hosts return under twice the usual traffic and have one model in memory, while
+//! the quota of their domain asks for groups of another. A load takes 12 s and more, and longer if
+//! many run. A group of the model in memory serves after 2 s. Hosts that can form a whole group of
+//! a model that refuses requests therefore form it, whatever the quota, and a join that loads is
+//! abandoned for it while most of the load is still ahead. If several groups lack hosts, the one
+//! that lacks the fewest gets its loads first, and hosts that wait for it load nothing else.
+//! Rejected: quotas first, because thirteen hosts then loaded for 20 s although there were requests
+//! for the model that they had in memory.
 
 use std::collections::BTreeMap;
 
@@ -19,9 +19,9 @@
 use crate::Millis;
 use crate::configuration::Model;
 
-/// Time by which a group must serve before the end of a load for the load to be abandoned, in ms.
-/// The loaded part is lost, so the gain has to be a multiple of the 2 s that the change itself
-/// takes.
+/// Minimum gain for which a load is abandoned, in ms: the time between the moment at which another
+/// group could serve and the end of the load. The loaded part is lost, so the gain has to be a
+/// multiple of the 2 s that the change itself takes.
 const MIN_GAIN_MS: u64 = 5_000;
 
 /// A host that loads a model for a group that does not serve yet.
@@ -107,8 +107,9 @@
 }
 
 impl<'a> Nearest<'a> {
-    /// Returns the model if a host that holds none takes it up: the host has the model, or a host
-    /// that loads it is still missing.
+    /// Returns the model if a host without a model should join as a member for this group: the host
+    /// has a copy of the model, or the group still lacks a host that loads the model. In the second
+    /// case the host counts as one of the missing hosts.
     pub(super) fn model_for(&mut self, host: &Host) -> Option<&'a Model> {
         if host.has_copy(&self.model.name) {
             return Some(self.model);
--- a/crates/oliveworks-gateway-core/src/planner/ending.rs
+++ b/crates/oliveworks-gateway-core/src/planner/ending.rs
@@ -1,9 +1,9 @@
 //! Ends of groups. If the group has certainly stopped serving, its members are free. Otherwise each
 //! member is ordered to leave by itself.
 //!
-//! Each end is reported with its reason and the last report of the head. Without that, two hosts
-//! once joined a new group while the head of their old group still served, and no log line told why
-//! the old group counted as ended.
+//! Each end is reported with its reason and the last report of the head. The log thereby shows why
+//! a group counted as ended, for example if hosts have joined a new group while the head of their
+//! old group still serves, which happened once.
 
 use super::Planner;
 use super::group::Group;
--- a/crates/oliveworks-gateway-core/src/planner/host.rs
+++ b/crates/oliveworks-gateway-core/src/planner/host.rs
@@ -57,7 +57,7 @@
     pub(super) drained: bool,
     /// Whether the host has accepted an order of this leader, or never had one of another leader.
     pub(super) knows_fence: bool,
-    /// Whether another backend server answers at the host's address, so that this one has ended.
+    /// Whether another backend server answers at the host's address, so that this host has ended.
     pub(super) replaced: bool,
     /// Newest epoch for which an order to join or open went unanswered.
     pub(super) unanswered: Option<u64>,
@@ -71,8 +71,8 @@
     /// Last reported pace.
     pace: f64,
     order_pending: bool,
-    /// Whether the host must be probed before the next order. This holds after an unanswered order,
-    /// since an order that arrived late may have changed the host's state.
+    /// Whether the host must be probed before the next order: after an unanswered order, since an
+    /// order that arrived late may have changed the host's state.
     probe_first: bool,
     ordered_at: Millis,
     /// Time at which the host accepted its last order, if it accepted one of this leader.
--- a/crates/oliveworks-gateway-core/src/planner/order.rs
+++ b/crates/oliveworks-gateway-core/src/planner/order.rs
@@ -61,9 +61,9 @@
         address: SocketAddr,
         /// Order to send.
         order: Order,
-        /// Number of orders that the backend server must have begun to accept this one, if that
-        /// matters. A backend server that has begun another order since its last report is not in
-        /// the state with which the leader plans.
+        /// Number of orders that the backend server must have begun so far in order to accept this
+        /// order; `None` if the number does not matter. A backend server that has begun another
+        /// order since its last report is not in the state with which the leader plans.
         expects: Option<u64>,
     },
     /// Request the state of a backend server. The answer is passed to
--- a/crates/oliveworks-gateway-core/src/planner/outage.rs
+++ b/crates/oliveworks-gateway-core/src/planner/outage.rs
@@ -1,6 +1,6 @@
 //! Detection of domains that stop answering as a whole.
 //!
-//! The case behind this: a domain loses its power or its network. Gateways notice that only where
+//! Motivating case: a domain loses its power or its network. Gateways notice that only where
 //! requests make no progress, group by group as each group gets some. Spares and groups without
 //! requests seem to be alive for seconds, and requests are sent to one group after the other.
 //! Therefore, once several hosts of a domain stop answering within a heartbeat and gateways
--- a/crates/oliveworks-gateway-core/src/planner/preemption.rs
+++ b/crates/oliveworks-gateway-core/src/planner/preemption.rs
@@ -19,17 +19,18 @@
     let domains = domains(now, planner);
     let mut models: Vec<&Model> = planner.engine.models.iter().filter(|m| m.size > 1).collect();
     models.sort_by_key(|model| std::cmp::Reverse(model.size));
-    let mut still = domains.values().filter(|domain| !domain.in_transition);
-    still.find_map(|domain| {
+    let mut settled = domains.values().filter(|domain| !domain.in_transition);
+    settled.find_map(|domain| {
         let beneficiary = models.iter().find(|model| domain.missing_groups(planner, model) > 0)?;
         let epochs = preemptable_groups(planner, domain, beneficiary)?;
         Some(Preemption { epochs, model: beneficiary.name.clone() })
     })
 }
 
-/// Returns the groups of smaller models whose hosts complete a group of `beneficiary`, if the domain
-/// keeps as many of them as its quota asks for. Hosts that are left over may form new groups at
-/// once.
+/// Returns the groups of a smaller model whose hosts complete a group of `beneficiary`, if the
+/// domain keeps as many groups of that model as its quota asks for, or if the preemption serves
+/// more requests. Hosts that are left over may form new groups at once. Otherwise returns a group
+/// of a larger model that exceeds the quota, if there is one.
 fn preemptable_groups(
     planner: &Planner,
     domain: &Domain<'_>,
--- a/crates/oliveworks-gateway-core/src/planner/pressure.rs
+++ b/crates/oliveworks-gateway-core/src/planner/pressure.rs
@@ -5,8 +5,8 @@
 use crate::Millis;
 use crate::configuration::Model;
 
-/// Half-life of a model's demand, in ms: longer than a pass of a group, and short compared with the
-/// second in which a group is repaired.
+/// Half-life of a model's demand, in ms: longer than a pass of a group (the batch of engine steps
+/// between two outputs), and short compared with the second in which a group is repaired.
 const DEMAND_HALF_LIFE_MS: f64 = 350.0;
 /// Upper bound on the fraction of refused requests that is used. Retried requests are counted
 /// again.
@@ -23,8 +23,8 @@
 }
 
 impl Planner {
-    /// Records the load of a model's groups, of which `serving` serve. Callers leave out models without
-    /// a serving group, so that their demand keeps its last value.
+    /// Records the load of a model's groups, of which `serving` serve. Callers leave out models
+    /// without a serving group, so that their demand keeps its last value.
     pub fn record_load(&mut self, now: Millis, model: &str, load: ModelLoad, serving: usize) {
         let found = 1.0 - load.refused_part.clamp(0.0, REFUSED_PART_MAX);
         let groups = load.open_per_slot / found * serving as f64;
@@ -44,8 +44,9 @@
 
     /// Returns the demand per group if a model has `groups` groups. Above 1, requests are refused.
     ///
-    /// The fraction of occupied slots would not do. It is 1 for a model that refuses one request of
-    /// ten and for one that refuses nine, and it does not count groups that are being formed.
+    /// Rejected: the fraction of occupied slots. This fraction is 1 for a model that refuses one
+    /// request of ten and for one that refuses nine, and does not count groups that are being
+    /// formed.
     pub(super) fn pressure(&self, model: &Model, groups: usize) -> f64 {
         match groups {
             0 => f64::INFINITY,
@@ -80,9 +81,10 @@
         of_model.any(|group| matches!(group.phase, Phase::Open { .. }))
     }
 
-    /// Whether preempting `ended` groups of `preempted` for one group of `beneficiary` serves more requests,
-    /// beyond what the quotas ask for. That holds for a model without any group, and for one that
-    /// stays busier. The last group of a model is never preempted.
+    /// Whether preempting `ended` groups of `preempted` for one group of `beneficiary` serves more
+    /// requests, beyond what the quotas ask for. Preemption does so if `beneficiary` has no group,
+    /// or if its demand per group exceeds the demand per remaining group of `preempted` by the
+    /// configured margin. The last group of a model is never preempted.
     pub(super) fn is_worth_preempting(
         &self,
         beneficiary: &Model,
--- a/crates/oliveworks-gateway-core/src/planner/spares.rs
+++ b/crates/oliveworks-gateway-core/src/planner/spares.rs
@@ -37,7 +37,8 @@
     grouped.filter(|model| can_hold(planner, domain, model)).collect()
 }
 
-/// Makes free hosts without a model load one, and free hosts with only a staged model take it up.
+/// Plans a spare for each free host that holds no model of a group: the host loads a model, or uses
+/// the copy that it has staged.
 pub(super) fn load_spares(
     planner: &Planner,
     domains: &BTreeMap<&str, Domain<'_>>,
@@ -70,11 +71,11 @@
     }
 }
 
-/// Returns the model that a free host that holds none takes up. The order of preference is: a model
-/// that its domain lacks and that the host has in memory; the spare that the domain should have, if
-/// the host has its model in memory; any model that the domain lacks; any other model that the host
-/// has in memory; the spare that the domain should have. With the fourth choice made earlier, seven
-/// of nine returning hosts were spares of a model that their domain did not lack, for 19 s and more
+/// Returns the model for a free host that holds no model. The order of preference is: a model that
+/// its domain lacks and that the host has in memory; the spare that the domain should have, if the
+/// host has its model in memory; any model that the domain lacks; any other model that the host has
+/// in memory; the spare that the domain should have. With the fourth choice made earlier, seven of
+/// nine returning hosts were spares of a model that their domain did not lack, for 19 s and more
 /// (in the simulated pool).
 fn model_to_load<'a>(
     planner: &'a Planner,
--- a/crates/oliveworks-gateway-core/src/planner/stage.rs
+++ b/crates/oliveworks-gateway-core/src/planner/stage.rs
@@ -8,7 +8,7 @@
 //! however many hosts can serve it; on 60 hosts all loads of the first 12 s went to a model for
 //! which hosts for five times its demand were available, and the other refused up to 83 of 100
 //! requests. Rejected: always the model that the fewest hosts can serve; on 57 hosts the larger
-//! model earned 0.28 to 0.59 of its worth instead of 0.71 to 0.80.
+//! model achieved 0.28 to 0.59 of its possible value instead of 0.71 to 0.80.
 
 use std::collections::BTreeMap;
 
--- a/crates/oliveworks-gateway-core/src/quota.rs
+++ b/crates/oliveworks-gateway-core/src/quota.rs
@@ -3,7 +3,7 @@
 //! Counts are decided first, locations second. The model with the fewest hosts for its share gets
 //! the next group, as long as all groups still fit into the domains. Groups of the largest model
 //! are placed first. Rejected: forming whatever fits next, group by group, because small groups
-//! spread over all domains then leave no domain with room for a large one.
+//! spread over all domains then leave no domain with enough hosts for a large one.
 //!
 //! If the loss of failure domains has to be tolerated, each model first gets groups in more failure
 //! domains than may be lost.
@@ -26,7 +26,8 @@
     pub spares: usize,
     /// Groups that serve or are being formed, by model.
     pub groups: BTreeMap<String, usize>,
-    /// Free hosts that hold a model, by model. The rest of a group is completed where it is.
+    /// Number of free hosts that hold a model, by model. A group is preferably placed where the
+    /// most hosts already hold its model.
     pub hot: BTreeMap<String, usize>,
 }
 
@@ -49,7 +50,8 @@
 /// Returns the groups that each domain should hold, where spares are released for a model that
 /// would have no group otherwise.
 ///
-/// A domain may be no larger than one group, and spares without a group to repair serve nothing.
+/// A domain may have only as many hosts as one group needs, and spares without a group to repair
+/// serve nothing.
 pub fn quotas_releasing_spares(
     models: &[Model],
     capacities: &BTreeMap<String, DomainCapacity>,
--- a/crates/oliveworks-gateway-core/src/quota/packing.rs
+++ b/crates/oliveworks-gateway-core/src/quota/packing.rs
@@ -84,7 +84,7 @@
         separate
     }
 
-    /// Returns an upper bound on the number of groups, which never fits.
+    /// Returns a number of groups that never fits, as the upper bound of the search.
     pub(super) fn most_groups(&self) -> usize {
         let smallest = self.models.iter().map(|model| model.size).filter(|size| *size > 0).min();
         self.hosts.iter().sum::<usize>() / smallest.unwrap_or(1) + 1
@@ -163,9 +163,9 @@
 }
 
 impl Packing<'_> {
-    /// Places a group of a model in a failure domain without one, if there is room. The criteria
-    /// for the domain are, in this order: a group of the model exists, no spare is released, most
-    /// hosts hold the model, most hosts remain.
+    /// Places a group of a model in a failure domain without a group of the model, if enough hosts
+    /// remain. The criteria for the domain are, in this order: a group of the model exists, no
+    /// spare is released, most hosts hold the model, most hosts remain.
     fn place_separate(&mut self, model: usize) -> Option<()> {
         let size = self.pool.models[model].size;
         let fitting = (0..self.left.len()).filter(|domain| {
@@ -186,10 +186,10 @@
         Some(())
     }
 
-    /// Places a group of a model, if there is room. The criteria for the domain are, in this order:
-    /// a group of the model exists, most hosts hold the model, the number of its groups is smallest
-    /// (in the whole failure domain for a model that is spread, then in the domain), most hosts
-    /// remain.
+    /// Places a group of a model, if enough hosts remain. The criteria for the domain are, in this
+    /// order: a group of the model exists, most hosts hold the model, the number of its groups is
+    /// smallest (in the whole failure domain for a model that is spread, then in the domain), most
+    /// hosts remain.
     fn place(&mut self, model: usize) -> Option<()> {
         let size = self.pool.models[model].size;
         let spreads = self.pool.separate[model] > 0;
--- a/crates/oliveworks-gateway-core/src/rate_limits/limits.rs
+++ b/crates/oliveworks-gateway-core/src/rate_limits/limits.rs
@@ -8,8 +8,9 @@
 //! newer than that revision.
 //!
 //! Rejected: ordering by the time at which a limit was named (a forwarded report is delayed by an
-//! unknown time, and a limit that has ended would come back), and limits that expire (an overloaded
-//! backend server that receives no requests for a while would then receive as many as before).
+//! unknown time, and a limit that has ended would be in force again), and limits that expire (an
+//! overloaded backend server that receives no requests for a while would then receive as many as
+//! before).
 
 use std::collections::HashMap;
 
@@ -36,7 +37,7 @@
 pub struct Limit {
     /// The backend server to which the limit applies.
     pub target: Target,
-    /// The incarnation of the backend server that named the limit, if known.
+    /// Start of the incarnation of the backend server that named the limit, if known.
     pub life: Option<Born>,
     /// Number of changes in this incarnation.
     pub revision: u32,
@@ -68,7 +69,7 @@
 pub struct RateObservation {
     /// The backend server that answered.
     pub target: Target,
-    /// The incarnation of the backend server, as known when the request was sent.
+    /// Start of the incarnation of the backend server, as known when the request was sent.
     pub incarnation: Option<Born>,
     /// Time at which the request was sent.
     pub sent_at: Millis,
--- a/crates/oliveworks-gateway-core/src/sources.rs
+++ b/crates/oliveworks-gateway-core/src/sources.rs
@@ -12,8 +12,8 @@
 //!
 //! Rejected alternatives: every gateway reads the store (with 53 gateways 7,717 calls in 48 s,
 //! which cost 0.077 of the day's worth); two readers per failure domain (15 gateways: 1,235 calls
-//! in 48 s, 0.101 of the day's worth); one reader for all gateways (all would depend on what it
-//! reaches).
+//! in 48 s, 0.101 of the day's worth); one reader for all gateways (all would depend on the
+//! connections of that reader).
 
 use std::net::SocketAddr;
 
@@ -94,8 +94,8 @@
     if own.store_answers && reader.is_none_or(|reader| own.name < reader.name) {
         return ReadFrom::Store;
     }
-    // A gateway that does not know that the store was restored from a copy has no news for one that
-    // does.
+    // A gateway of an earlier era is not asked: it does not know yet that the store was restored
+    // from a copy.
     let answers = |other: &&PeerState<'_>| {
         other.has_recent_proof && !other.is_unresponsive && other.era >= own.era
     };
--- a/crates/oliveworks-gateway-core/src/versions.rs
+++ b/crates/oliveworks-gateway-core/src/versions.rs
@@ -36,23 +36,23 @@
     }
 
     /// Whether a read of the store proves that there is nothing newer, given the newest version in
-    /// the store and the newest version known to any gateway. `is_deaf` is whether the other
+    /// the store and the newest version known to any gateway. `is_isolated` is whether the other
     /// gateways have not been observed since the store was restored.
     pub fn proves(
         &mut self,
         now: Millis,
         stored: Option<u64>,
         known: Option<u64>,
-        is_deaf: bool,
+        is_isolated: bool,
     ) -> bool {
-        let behind_ms = self.note(now, stored < known || is_deaf);
+        let behind_ms = self.note(now, stored < known || is_isolated);
         behind_ms.is_none_or(|behind_ms| behind_ms >= REWRITE_MS)
     }
 
     /// Whether to ask another gateway for the version that it reports, given the version held here.
     /// A gateway that holds none asks at once.
-    pub fn should_ask(&mut self, now: Millis, held: Option<u64>, told: Option<u64>) -> bool {
-        let behind_ms = self.note(now, held < told);
+    pub fn should_ask(&mut self, now: Millis, held: Option<u64>, reported: Option<u64>) -> bool {
+        let behind_ms = self.note(now, held < reported);
         behind_ms.is_some_and(|behind_ms| held.is_none() || behind_ms >= CATCH_UP_MS)
     }
 }
--- a/crates/oliveworks-gateway/src/crashers.rs
+++ b/crates/oliveworks-gateway/src/crashers.rs
@@ -14,10 +14,10 @@
 use crate::places::Place;
 use crate::state::Gateway;
 
-/// Returns the fingerprint of a request, computed from who asks for what, and where. Values that
-/// differ between retries of the same request are left out, as are values that only influence
-/// placement: the service changes with the configuration and, where it is split, with the id of the
-/// try, and parts of a prompt are hints.
+/// Returns the fingerprint of a request, computed from its host name, workspace, method, target,
+/// model and body. Values that differ between retries of the same request are left out, as are
+/// values that only influence placement: the service changes with the configuration and, where it
+/// is split, with the id of the try, and parts of a prompt are hints.
 pub fn fingerprint(
     request: &ReceivedRequest,
     asked: &RequestInfo,
@@ -97,7 +97,8 @@
         true
     }
 
-    /// Reports at once to other gateways what has become known about a request.
+    /// Logs new convictions and sends a heartbeat at once, so that other gateways learn of the new
+    /// evidence about a request.
     fn report_crashers(&self) {
         self.log_convictions();
         self.heartbeat_is_urgent.set(true);
--- a/crates/oliveworks-gateway/src/dialect.rs
+++ b/crates/oliveworks-gateway/src/dialect.rs
@@ -193,7 +193,7 @@
     pub id: Option<String>,
     /// Whether the answer carries the backend server's signature.
     pub signed: bool,
-    /// Whether the answer says that the request did not run.
+    /// Whether the answer states that the request did not run.
     pub not_run: bool,
     /// Whether the body is encoded, for which no caller asks.
     pub encoded: bool,
@@ -215,8 +215,8 @@
     /// Returns an error if the request has no id.
     fn parse_request(&self, headers: &Headers) -> Result<RequestInfo, Malformed>;
     /// Returns the headers for a backend server: those of the caller, except for headers reserved
-    /// for this system, and those with the information in `said`.
-    fn outgoing_headers(&self, headers: &Headers, said: &ForwardInfo<'_>) -> Headers;
+    /// for this system, and those with the information in `info`.
+    fn outgoing_headers(&self, headers: &Headers, info: &ForwardInfo<'_>) -> Headers;
     /// Reads the relevant parts of an answer's head.
     fn parse_answer(&self, status: u16, headers: &Headers) -> AnswerInfo;
     /// Returns the header with the time after which a caller may retry.
--- a/crates/oliveworks-gateway/src/drains.rs
+++ b/crates/oliveworks-gateway/src/drains.rs
@@ -1,4 +1,4 @@
-//! Drains of failure domains: begin and end of drains, and reports on outstanding requests there.
+//! Drains of failure domains: start and end of drains, and reports on outstanding requests there.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
--- a/crates/oliveworks-gateway/src/follow.rs
+++ b/crates/oliveworks-gateway/src/follow.rs
@@ -12,7 +12,7 @@
 
 use crate::dialect::{Record, Tail, Topic};
 use crate::events::Event;
-use crate::passing::{Answer, PeerClient};
+use crate::peer_replay::{Answer, PeerClient};
 use crate::sources;
 use crate::state::Gateway;
 use crate::store::Client;
--- a/crates/oliveworks-gateway/src/heartbeat.rs
+++ b/crates/oliveworks-gateway/src/heartbeat.rs
@@ -58,7 +58,7 @@
     figures: Figures,
     /// Outstanding requests.
     telling: LoadReport,
-    /// Recent requests that looked for a place, per model.
+    /// Counts of recent requests that needed a place, per model.
     looked: Vec<(ModelKey, RequestCounts)>,
     /// Groups that the sender observes as stalled.
     suspects: Vec<u64>,
@@ -154,7 +154,7 @@
     }
 }
 
-/// Returns what this failure domain knows of outstanding requests, for reports to other domains.
+/// Returns the outstanding requests known in this failure domain, for reports to other domains.
 pub fn domain_figures(gateway: &Gateway) -> DomainLoad {
     let now = gateway.now();
     let balance = gateway.balance.borrow();
@@ -165,12 +165,12 @@
 
 /// Returns the heartbeat for another failure domain, with the sums over the gateways of this
 /// domain.
-pub fn for_domain(gateway: &Gateway, own: &Beat, known: &DomainLoad, listener: &str) -> Beat {
+pub fn for_domain(gateway: &Gateway, own: &Beat, known: &DomainLoad, recipient: &str) -> Beat {
     let now = gateway.now();
-    let source = domain_source(listener);
+    let source = domain_source(recipient);
     let due = gateway.elsewhere_reports.borrow_mut().is_due(now, source, known.open.len());
     let directory = gateway.directory.borrow();
-    let is_there = |target| directory.failure_domain(target) == Some(listener);
+    let is_there = |target| directory.failure_domain(target) == Some(recipient);
     let telling =
         load_report::remote_report(&gateway.balance.borrow(), now, known, source, is_there, due);
     let looked = gateway.demand.borrow().failure_domain_counts(now).into_iter().collect();
@@ -200,8 +200,8 @@
     reports.collect()
 }
 
-/// Processes a heartbeat, except for what it says about the leader, which is returned to the
-/// caller.
+/// Processes a heartbeat, except for the forwarded heartbeat of the leader, which is returned to
+/// the caller.
 pub fn process(gateway: &Gateway, from: SocketAddr, beat: Beat) -> Option<LeaderHeartbeat> {
     let now = gateway.now();
     if beat.node == gateway.settings.node {
--- a/crates/oliveworks-gateway/src/host_statements.rs
+++ b/crates/oliveworks-gateway/src/host_statements.rs
@@ -1,4 +1,4 @@
-//! Processing of what backend servers say about themselves in their answers, such as limits,
+//! Processing of the statements of backend servers about themselves in their answers: limits,
 //! backoffs and leaving.
 
 use log::warn;
@@ -42,7 +42,7 @@
 }
 
 impl Gateway {
-    /// Processes what an answer to a request or a call says about its sender.
+    /// Processes the statements of an answer, to a request or a call, about its sender.
     pub fn process_statements(&self, sender: Sender<'_>, answered: &AnswerInfo, request: &str) {
         let Sender { server, incarnation, .. } = sender;
         self.record_limit(sender, answered, request);
--- a/crates/oliveworks-gateway/src/leader.rs
+++ b/crates/oliveworks-gateway/src/leader.rs
@@ -201,8 +201,8 @@
     }
 }
 
-/// Calls a backend server on a new connection and processes what the answer says about its sender.
-/// The error is whether the address refused the connection.
+/// Calls a backend server on a new connection and processes the statements of the answer about its
+/// sender. The error is whether the address refused the connection.
 async fn call_server(
     gateway: &Gateway,
     server: &str,
--- a/crates/oliveworks-gateway/src/lib.rs
+++ b/crates/oliveworks-gateway/src/lib.rs
@@ -19,13 +19,13 @@
 //! | `records`, `missing` | process the records of the topics |
 //! | `drains` | drains of failure domains |
 //! | `versions` | configuration versions held by other gateways |
-//! | `passing` | forwards the store's records to other gateways |
+//! | `peer_replay` | serves the store's records to other gateways, and reads them from others |
 //! | `table`, `places` | serving groups, and the destinations of requests |
 //! | `obstacles` | reasons that make a place ineligible for a request |
 //! | `slow_start` | cold backend servers and the limits on their load |
 //! | `pending_send` | requests with a chosen backend server that are not sent yet |
 //! | `rate_limits` | rate limits named by backend servers, and permits |
-//! | `host_statements` | processes what hosts say about themselves in their answers |
+//! | `host_statements` | processes statements of hosts about themselves in their answers |
 //! | `crashers` | requests that crash the backend servers they run at |
 //! | `suspicions` | stalled and slow groups |
 //! | `leader` | elections, and execution of the planner's commands |
@@ -48,7 +48,7 @@
 mod members;
 mod missing;
 mod obstacles;
-mod passing;
+mod peer_replay;
 mod peers;
 mod pending_send;
 mod places;
--- a/crates/oliveworks-gateway/src/peers.rs
+++ b/crates/oliveworks-gateway/src/peers.rs
@@ -47,7 +47,7 @@
     Change(Box<Change>),
     /// Part of the whole table, for a gateway that has missed too many changes.
     Part(Box<Part>),
-    /// Request for what is newer than the table held by the sender.
+    /// Request for the changes since the table version held by the sender.
     AskTable(Version),
     /// Request for a permit, sent to the limiter of a backend server.
     AskPermit(PermitRequest),
--- a/crates/oliveworks-gateway/src/places.rs
+++ b/crates/oliveworks-gateway/src/places.rs
@@ -33,7 +33,8 @@
 
 impl Gateway {
     /// Returns whether the leader's table is recent enough to be used. A process that has just
-    /// started has no table, and uses the list of backend servers until it hears from a leader.
+    /// started has no table, and uses the list of backend servers until it receives the table of a
+    /// leader.
     fn table_is_recent(&self) -> bool {
         let came = self.table.borrow().number > 0;
         let leads = self.election.borrow().leading_fence().is_some();
--- a/crates/oliveworks-gateway/src/process.rs
+++ b/crates/oliveworks-gateway/src/process.rs
@@ -14,7 +14,7 @@
 use crate::events::Event;
 use crate::settings::Settings;
 use crate::state::{Gateway, STOP_NOTICE_MS};
-use crate::{drains, leader, passing, peers, records, reload};
+use crate::{drains, leader, peer_replay, peers, records, reload};
 
 /// Time of the grace period that is left unused, in ms.
 const GRACE_MARGIN_MS: u64 = 700;
@@ -64,7 +64,7 @@
         .with("version", env!("CARGO_PKG_VERSION"))
         .write();
     ntex::rt::spawn(records::follow(gateway.clone()));
-    ntex::rt::spawn(passing::accept(gateway.clone(), questions));
+    ntex::rt::spawn(peer_replay::accept(gateway.clone(), questions));
     ntex::rt::spawn(peers::receive(gateway.clone(), socket.clone()));
     ntex::rt::spawn(peers::send(gateway.clone(), socket));
     ntex::rt::spawn(leader::run(gateway.clone()));
--- a/crates/oliveworks-gateway/src/rate_limits.rs
+++ b/crates/oliveworks-gateway/src/rate_limits.rs
@@ -1,5 +1,5 @@
-//! Rate limits named by backend servers: processes what answers and other gateways say about
-//! limits, and obtains permits for requests.
+//! Rate limits named by backend servers: processes limits from answers and from reports of other
+//! gateways, and obtains permits for requests.
 
 use std::net::SocketAddr;
 
--- a/crates/oliveworks-gateway/src/records.rs
+++ b/crates/oliveworks-gateway/src/records.rs
@@ -197,7 +197,7 @@
     true
 }
 
-/// Adds to a record what the backend server itself said about leaving.
+/// Marks the record of a backend server as draining if the server has announced that it leaves.
 fn with_leaving(gateway: &Gateway, record: Record) -> Record {
     match record {
         Record::BackendServer(server) => {
--- a/crates/oliveworks-gateway/src/relay.rs
+++ b/crates/oliveworks-gateway/src/relay.rs
@@ -399,7 +399,7 @@
         timeliness.outcome()
     }
 
-    /// Counts a request that looks for its first place, per model.
+    /// Counts a request that needs its first place, per model.
     fn note_demand(&self, refused: bool) {
         let Some(model) = self.model.as_ref().filter(|_| self.attempts.sent() == 0) else { return };
         let key = ModelKey::of(&self.service, model);
--- a/crates/oliveworks-gateway/src/relay/crashers.rs
+++ b/crates/oliveworks-gateway/src/relay/crashers.rs
@@ -50,8 +50,8 @@
         self.give_up(connection, verdict, RETRY_AFTER_MS).await
     }
 
-    /// Rejects a request during which several backend servers ended in a row. The answer says that
-    /// this try has not run and when the caller may retry.
+    /// Rejects a request during which several backend servers ended in a row. The answer states
+    /// that this attempt has not run and when the caller may retry.
     ///
     /// Rejected: a status for requests that can never succeed. The request may succeed once the
     /// server is fixed, and another server may handle the same request.
--- a/crates/oliveworks-gateway/src/relay/placing.rs
+++ b/crates/oliveworks-gateway/src/relay/placing.rs
@@ -60,8 +60,8 @@
         admission.admit(self.gateway.now(), &balance, &request, candidates);
     }
 
-    /// Chooses among eligible places, if one has room now. A request that resumes after an attempt
-    /// skips admission, since its caller has already waited for it.
+    /// Chooses among eligible places, if one has a free slot now. A request that resumes after an
+    /// attempt skips admission, since its caller has already waited for it.
     fn choose(&self, places: &[Place], is_resumed: bool) -> Result<Target, NoTarget> {
         let full_at = self.gateway.settings.requests.full_at;
         let came_back = self.served.came_back && !is_resumed;
@@ -107,8 +107,8 @@
         found.or_else(|_| self.choose(places, is_resumed))
     }
 
-    /// Counts whether a request stays in the local failure domain; `is_local_eligible` is
-    /// whether a local place was eligible.
+    /// Counts whether a request stays in the local failure domain; `is_local_eligible` is whether a
+    /// local place was eligible.
     fn count_locality(&self, place: &Place, is_local_eligible: bool) {
         let counter = match (place.candidate.is_local, is_local_eligible) {
             (true, _) => "requests_near",
--- a/crates/oliveworks-gateway/src/slow_start.rs
+++ b/crates/oliveworks-gateway/src/slow_start.rs
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Processes what a record says about its backend server being cold.
+    /// Processes the cold time of a backend server from its record.
     pub fn record_cold(&self, server: &BackendServer, listed: Listed) {
         let now = self.now();
         let mut slow_starts = self.slow_starts.borrow_mut();
--- a/crates/oliveworks-gateway/src/state.rs
+++ b/crates/oliveworks-gateway/src/state.rs
@@ -64,7 +64,7 @@
     pub version: Option<u64>,
 }
 
-/// Time after the begin of a stop during which new connections may still arrive, in ms. The
+/// Time after the start of a stop during which new connections may still arrive, in ms. The
 /// platform checks the readiness of a process once a second and removes it after two failed checks.
 pub const STOP_NOTICE_MS: u64 = 2_300;
 /// Gap between two ticks, in ms, after which the process counts as having been paused.
@@ -181,8 +181,8 @@
     pub changes_to_forward: RefCell<Vec<Change>>,
     /// Received parts of a newer table.
     pub table_parts: RefCell<Assembly>,
-    /// Times at which the sums of requests outstanding elsewhere were last sent to each failure
-    /// domain.
+    /// Times at which the sums of the requests outstanding outside a failure domain were last sent
+    /// to that domain.
     pub elsewhere_reports: RefCell<ReportIntervals>,
     /// Whether the next heartbeat is sent at once.
     pub heartbeat_is_urgent: Cell<bool>,
