--- a/crates/oliveworks-gateway-core/src/balance.rs
+++ b/crates/oliveworks-gateway-core/src/balance.rs
@@ -382,8 +382,8 @@
 
     /// Returns the targets from which this gateway has received data since a given time.
     pub fn received_since(&self, since: Millis) -> impl Iterator<Item = Target> {
-        let heard = self.own.iter().filter(move |(_, own)| own.last_received_at >= since);
-        heard.map(|(target, _)| *target)
+        let recent = self.own.iter().filter(move |(_, own)| own.last_received_at >= since);
+        recent.map(|(target, _)| *target)
     }
 
     /// Returns whether this gateway has received data from a target since a given time.
@@ -394,8 +394,8 @@
     /// Returns the targets from which other gateways of this failure domain have received data
     /// since a given time. See also [`Balance::received_since`].
     pub fn received_by_local_peers_since(&self, since: Millis) -> impl Iterator<Item = Target> {
-        let heard = self.received_by_local_peers.iter().filter(move |(_, at)| **at >= since);
-        heard.map(|(target, _)| *target)
+        let recent = self.received_by_local_peers.iter().filter(move |(_, at)| **at >= since);
+        recent.map(|(target, _)| *target)
     }
 
     /// Records that a request at a target has ended. `began` is whether its stream had begun,
--- a/crates/oliveworks-gateway-core/src/election.rs
+++ b/crates/oliveworks-gateway-core/src/election.rs
@@ -5,7 +5,8 @@
 //! the topic has not grown meanwhile, after the leader has been silent for some time. Backend
 //! servers refuse orders with a fence below the highest one they have seen, so a leader that was
 //! paused and then resumes does no harm. Rejected alternative: a lease that is renewed in the
-//! store. It costs a priced call per second and proves no more than the leader's heartbeats do.
+//! store. A lease costs a priced call per second and proves no more than the leader's heartbeats
+//! do.
 //!
 //! Heartbeats are numbered and forwarded by every gateway, so a leader counts as alive for all
 //! gateways that it reaches through others. Rejected alternative: counting only the heartbeats that
--- a/crates/oliveworks-gateway-core/src/fan_out.rs
+++ b/crates/oliveworks-gateway-core/src/fan_out.rs
@@ -2,11 +2,11 @@
 //! constant as the number of gateways grows.
 //!
 //! Gateways of one failure domain send heartbeats to each other directly. To other failure domains,
-//! each gateway sends the sum over the gateways of its own domain, to a few gateways there. Enough
-//! gateways of a domain do so that every gateway receives every domain's sum with each heartbeat or
-//! every other one. Rejected: sending each gateway's own counts to a random part of all others
-//! (with 53 gateways: 0.875 GB between failure domains in 48 s, and a gateway missed more than half
-//! of the others' heartbeats).
+//! each gateway sends the sum over the gateways of its own domain, to a few gateways there. A
+//! domain has enough senders for every remote gateway to receive the domain's sum with each
+//! heartbeat or every other one. Rejected: sending each gateway's own counts to a random part of
+//! all others (with 53 gateways: 0.875 GB between failure domains in 48 s, and a gateway missed
+//! more than half of the others' heartbeats).
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/oliveworks-gateway-core/src/listing.rs
+++ b/crates/oliveworks-gateway-core/src/listing.rs
@@ -2,8 +2,9 @@
 //!
 //! All hosts and all gateways may start at once, and records of hosts arrive over some seconds.
 //! While new hosts keep arriving, reads follow each other quickly, so that an incomplete domain is
-//! not taken for complete. Rejected alternative: a fixed number of quick reads. They ended while a
-//! third of the hosts was still to come, and the pause after them looked like the end of the list.
+//! not taken for complete. Rejected alternative: a fixed number of quick reads. Such reads ended
+//! while a third of the hosts was still to come, and the pause after them looked like the end of
+//! the list.
 
 use crate::Millis;
 
--- a/crates/oliveworks-gateway-core/src/load_report.rs
+++ b/crates/oliveworks-gateway-core/src/load_report.rs
@@ -109,7 +109,7 @@
 
 impl ReportIntervals {
     /// Returns whether a report of the load outside the recipient's domain is due for that domain,
-    /// given the number of targets to report. If so, the report is recorded.
+    /// given the number of targets. If so, the report is recorded.
     pub fn is_due(&mut self, now: Millis, recipient: Source, targets: usize) -> bool {
         let interval_ms = (targets as u64 * HEARTBEAT_MS / TARGETS_PER_HEARTBEAT as u64)
             .min(ELSEWHERE_INTERVAL_MAX_MS);
--- a/crates/oliveworks-gateway-core/src/planner/drain.rs
+++ b/crates/oliveworks-gateway-core/src/planner/drain.rs
@@ -4,11 +4,11 @@
 //! once as if the drained hosts did not exist, so that hosts in other domains that have the model
 //! in memory replace the lost groups within the time of an order. Drained hosts form no groups and
 //! load nothing, because operators may switch them off at any moment. Complete groups stay formed
-//! but are left out of the routing table. They serve again with the first table after the drain.
-//! Rejected: ending these groups, because 72 hosts that join again when the drain ends cost 72
-//! orders and seconds without a third of the pool. A group that loses a member in a drained failure
-//! domain is dissolved as in any other, since its head may still process the requests that it
-//! accepted.
+//! but are left out of the routing table. Such groups serve again with the first table after the
+//! drain. Rejected: ending these groups, because 72 hosts that join again when the drain ends cost
+//! 72 orders and seconds without a third of the pool. A group that loses a member in a drained
+//! failure domain is dissolved as in any other, since its head may still process the requests that
+//! it accepted.
 
 use std::collections::BTreeSet;
 
@@ -30,8 +30,8 @@
     }
 
     /// Whether the forming of a group is stopped by a drain: a member has not accepted the order to
-    /// join yet. A group whose members all have is completed, so that it can serve when the drain
-    /// ends.
+    /// join yet. A group of which all members have accepted that order is completed, so that the
+    /// group can serve when the drain ends.
     pub(super) fn is_stopped_by_drain(&self, group: &Group) -> bool {
         let unjoined = |id| self.hosts.get(id).is_none_or(|host| host.joined != Some(group.epoch));
         self.is_drained(group) && group.members.iter().any(unjoined)
--- a/crates/oliveworks-gateway-core/src/planner/ending.rs
+++ b/crates/oliveworks-gateway-core/src/planner/ending.rs
@@ -1,9 +1,9 @@
 //! Ends of groups. If the group has certainly stopped serving, its members are free. Otherwise each
 //! member is ordered to leave by itself.
 //!
-//! Each end is reported with its reason and the last report of the head. The log thereby shows why
-//! a group counted as ended, for example if hosts have joined a new group while the head of their
-//! old group still serves, which happened once.
+//! Each end is reported with its reason and the last report of the head. Without these lines, the
+//! log did not explain a case in which two hosts joined a new group while the head of their old
+//! group still served.
 
 use super::Planner;
 use super::group::Group;
--- a/crates/oliveworks-gateway-core/src/planner/host.rs
+++ b/crates/oliveworks-gateway-core/src/planner/host.rs
@@ -146,8 +146,9 @@
         self.server = server.clone();
         self.cold_until = now + server.cold_ms;
         // A record may be seconds older than the last report or order, so it proves nothing about
-        // the current state. It is a reason to probe. Rejected: trusting a record some time after
-        // the last order, because members of a group whose head was serving then counted as free.
+        // the current state, but a difference is a reason to probe. Rejected: trusting a record
+        // some time after the last order, because members of a group whose head was serving then
+        // counted as free.
         self.wants_probe |= !self.holding.has_same_models_and_group(&server.holding);
     }
 
--- a/crates/oliveworks-gateway-core/src/planner/pressure.rs
+++ b/crates/oliveworks-gateway-core/src/planner/pressure.rs
@@ -82,9 +82,9 @@
     }
 
     /// Whether preempting `ended` groups of `preempted` for one group of `beneficiary` serves more
-    /// requests, beyond what the quotas ask for. Preemption does so if `beneficiary` has no group,
-    /// or if its demand per group exceeds the demand per remaining group of `preempted` by the
-    /// configured margin. The last group of a model is never preempted.
+    /// requests, beyond what the quotas ask for. More requests are served if `beneficiary` has no
+    /// group, or if its demand per group exceeds the demand per remaining group of `preempted` by
+    /// the configured margin. The last group of a model is never preempted.
     pub(super) fn is_worth_preempting(
         &self,
         beneficiary: &Model,
--- a/crates/oliveworks-gateway-core/src/planner/shares.rs
+++ b/crates/oliveworks-gateway-core/src/planner/shares.rs
@@ -20,8 +20,8 @@
 /// Time between two searches for better shares, in ms. Each search recomputes the quotas, which
 /// takes 11 ms for 2,400 hosts.
 const ADJUST_EVERY_MS: u64 = 500;
-/// Number of groups that a model should have beyond those that its requests fill. One group may be
-/// lost, and returns after a load.
+/// Number of groups that a model should have beyond those that its requests fill. A group may be
+/// lost, and its replacement serves only after a load.
 const EXTRA_GROUPS: f64 = 1.0;
 
 /// Demand for a model during the last load time, in groups.
--- a/crates/oliveworks-gateway/src/dialect.rs
+++ b/crates/oliveworks-gateway/src/dialect.rs
@@ -46,7 +46,7 @@
 pub enum Record {
     /// A version of the configuration.
     Configuration(Configuration),
-    /// Begin or end of the drain of a failure domain; part of the configuration's topic.
+    /// Start or end of the drain of a failure domain; part of the configuration's topic.
     Drain {
         /// Name of the failure domain.
         failure_domain: String,
--- a/crates/oliveworks-gateway/src/eras.rs
+++ b/crates/oliveworks-gateway/src/eras.rs
@@ -51,14 +51,14 @@
 
     fn update_era(&self, sent: Millis, era: Era, reported_by: &str) -> EraChange {
         let mut known = self.store_era.get();
-        let told = known.observe(self.now(), sent, era);
+        let change = known.observe(self.now(), sent, era);
         self.store_era.set(known);
-        match told {
+        match change {
             EraChange::Known => {}
             EraChange::New { before } => self.begin_era(era, before, reported_by),
             EraChange::Late => self.count("store_answers_of_former_eras"),
         }
-        told
+        change
     }
 
     /// Begins a new era, in which the contents of the store are not known yet.
--- a/crates/oliveworks-gateway/src/heartbeat.rs
+++ b/crates/oliveworks-gateway/src/heartbeat.rs
@@ -268,7 +268,7 @@
     }
 }
 
-/// Records the gateways that share the limits on what all gateways may send together.
+/// Records the gateways that share the limits on the sends of all gateways together.
 fn record_sharers(gateway: &Gateway, now: Millis, beat: &Beat) {
     let sender = std::iter::once((members::hash(&beat.node), now));
     let reported = beat
--- a/crates/oliveworks-gateway/src/members.rs
+++ b/crates/oliveworks-gateway/src/members.rs
@@ -1,5 +1,5 @@
-//! Gateways that share limits on what all of them may send together: records messages from them,
-//! and reports the silent ones.
+//! Gateways that share limits on the sends of all gateways together: records messages from these
+//! gateways, and reports the silent ones.
 
 use oliveworks_gateway_core::Millis;
 use oliveworks_gateway_core::members::Members;
--- a/crates/oliveworks-gateway/src/missing.rs
+++ b/crates/oliveworks-gateway/src/missing.rs
@@ -11,11 +11,11 @@
     for id in missing.forget_gone(now) {
         gateway.directory.borrow_mut().forget_leaving(&id);
     }
-    let look = StoreState {
+    let store = StoreState {
         store_failed_at: gateway.store_failed_at.get(),
         read_at: gateway.list_read_at.get(),
     };
-    let left = missing.sweep(now, look, &gateway.directory.borrow());
+    let left = missing.sweep(now, store, &gateway.directory.borrow());
     for Departed { id, missing_ms } in left {
         Event::new("host_gone").with("host", &*id).with("missing_ms", missing_ms).write();
         gateway.directory.borrow_mut().remove(&id);
--- a/crates/oliveworks-gateway/src/pending_send.rs
+++ b/crates/oliveworks-gateway/src/pending_send.rs
@@ -5,8 +5,9 @@
 
 use crate::state::Gateway;
 
-/// A request for which a backend server was chosen but which has not been sent yet. It counts
-/// against what this gateway may send there until it is dropped unsent.
+/// A request for which a backend server was chosen but which has not been sent yet. The request
+/// counts against the share that this gateway may send there. Dropping this value before the
+/// request is sent releases that share.
 pub struct PendingSend<'a> {
     gateway: &'a Gateway,
     target: Target,
--- a/crates/oliveworks-gateway/src/places.rs
+++ b/crates/oliveworks-gateway/src/places.rs
@@ -36,9 +36,9 @@
     /// started has no table, and uses the list of backend servers until it receives the table of a
     /// leader.
     fn table_is_recent(&self) -> bool {
-        let came = self.table.borrow().number > 0;
+        let has_table = self.table.borrow().number > 0;
         let leads = self.election.borrow().leading_fence().is_some();
-        came && (leads || self.now() < self.table_confirmed_at.get() + TABLE_VALID_MS)
+        has_table && (leads || self.now() < self.table_confirmed_at.get() + TABLE_VALID_MS)
     }
 
     /// Returns the backend servers of a service as single places.
--- a/crates/oliveworks-gateway/src/readiness.rs
+++ b/crates/oliveworks-gateway/src/readiness.rs
@@ -12,7 +12,7 @@
 const METRICS_PATH: &str = "/metrics";
 
 /// Prefix of the names of metrics.
-const FIGURES_PREFIX: &str = "oliveworks_gateway";
+const METRICS_PREFIX: &str = "oliveworks_gateway";
 
 /// Serves a connection of the platform.
 pub async fn serve(gateway: Rc<Gateway>, io: Io) {
@@ -25,7 +25,7 @@
                 false => (StatusCode::SERVICE_UNAVAILABLE, String::new()),
             }
         } else if path == METRICS_PATH {
-            (StatusCode::OK, figures(&gateway))
+            (StatusCode::OK, render_metrics(&gateway))
         } else {
             (StatusCode::NOT_FOUND, String::new())
         };
@@ -40,7 +40,7 @@
     connection.close().await;
 }
 
-fn figures(gateway: &Gateway) -> String {
+fn render_metrics(gateway: &Gateway) -> String {
     let counters = gateway.counters.borrow();
     let drains = gateway.drains.borrow().failure_domains();
     let open: u32 = drains.iter().map(|name| gateway.outstanding_in(name)).sum();
@@ -59,15 +59,15 @@
     let proof_age_ms = proof_age_ms.map(|age_ms| ("configuration_proof_age_ms", age_ms));
     let counts = counters.iter().map(|(name, count)| {
         format!(
-            "{FIGURES_PREFIX}_{name} {count}
+            "{METRICS_PREFIX}_{name} {count}
 "
         )
     });
     let states = now.into_iter().chain(proof_age_ms).map(|(name, count)| {
         format!(
-            "{FIGURES_PREFIX}_{name} {count}
+            "{METRICS_PREFIX}_{name} {count}
 "
         )
     });
-    counts.chain(states).collect::<String>() + &gateway.latencies.borrow().text(FIGURES_PREFIX)
+    counts.chain(states).collect::<String>() + &gateway.latencies.borrow().text(METRICS_PREFIX)
 }
--- a/crates/oliveworks-gateway/src/state.rs
+++ b/crates/oliveworks-gateway/src/state.rs
@@ -141,7 +141,7 @@
     pub unread_headers: RefCell<HashSet<String>>,
     /// Remaining wait of callers per route, used to recognize callers that retry.
     pub waits: RefCell<Waits>,
-    /// Gateways that share the limits on what all of them may send together.
+    /// Gateways that share the limits on the sends of all gateways together.
     pub members: RefCell<Members>,
     /// Cold backend servers; none if the load on cold backend servers is not limited.
     pub slow_starts: RefCell<Option<SlowStarts>>,
@@ -339,24 +339,24 @@
     }
 
     /// Increments a counter.
-    pub fn count(&self, what: &str) {
-        self.count_by(what, 1);
+    pub fn count(&self, name: &str) {
+        self.count_by(name, 1);
     }
 
     /// Adds an amount, such as a number of bytes, to a counter.
-    pub fn count_by(&self, what: &str, much: u64) {
+    pub fn count_by(&self, name: &str, amount: u64) {
         let mut counters = self.counters.borrow_mut();
-        match counters.get_mut(what) {
-            Some(count) => *count += much,
+        match counters.get_mut(name) {
+            Some(count) => *count += amount,
             None => {
-                counters.insert(what.to_owned(), much);
+                counters.insert(name.to_owned(), amount);
             }
         }
     }
 
     /// Records a latency in ms.
-    pub fn note_latency(&self, what: &'static str, ms: u64) {
-        self.latencies.borrow_mut().note(what, ms.saturating_mul(1_000));
+    pub fn note_latency(&self, kind: &'static str, ms: u64) {
+        self.latencies.borrow_mut().note(kind, ms.saturating_mul(1_000));
     }
 
     /// Returns whether the process is stopping.
@@ -414,11 +414,11 @@
     }
 
     /// Records a failed call to the store.
-    pub fn store_failed(&self, what: &str, why: &str) {
+    pub fn store_failed(&self, call: &str, why: &str) {
         let now = self.now();
         if self.store_failed_at.get().is_none_or(|at| now > at + 1_000) {
             Event::new("store_call_failed")
-                .with("call", what)
+                .with("call", call)
                 .with("why", why)
                 .with("last_answer_ms_ago", now - self.store_answered_at.get())
                 .write();
--- a/crates/oliveworks-gateway/src/timers.rs
+++ b/crates/oliveworks-gateway/src/timers.rs
@@ -1,8 +1,9 @@
 //! Timers that include the time in which the host was suspended.
 //!
-//! The runtime's timers use the monotonic clock, which stops during a suspension: a timer set
-//! before it fires late by its duration. Tasks with long waits are therefore also notified when the
-//! process continues after a pause, and then check the gateway's own clock.
+//! The runtime's timers use the monotonic clock, which stops during a suspension: a timer that was
+//! set before a suspension fires late by the duration of that suspension. Tasks with long waits are
+//! therefore also notified when the process continues after a pause, and then check the gateway's
+//! own clock.
 
 use std::pin::pin;
 use std::time::Duration;
@@ -35,8 +36,8 @@
         }
     }
 
-    /// Waits for a future unless the process continues after a pause. The caller then repeats what
-    /// it asked before the pause.
+    /// Waits for a future unless the process continues after a pause. The caller then repeats its
+    /// request.
     pub async fn unless_resumed<T>(&self, waits: impl Future<Output = T>) -> Option<T> {
         let resumed = self.resumed.notified();
         tokio::select! {
--- a/crates/oliveworks-gateway/src/versions.rs
+++ b/crates/oliveworks-gateway/src/versions.rs
@@ -17,8 +17,8 @@
 use crate::state::Gateway;
 
 /// Time for which a starting gateway waits for a heartbeat of a gateway that holds a configuration,
-/// in ms: a few heartbeats. The store may have been restored from a copy that lacks what the others
-/// know.
+/// in ms: a few heartbeats. The store may have been restored from a copy that lacks versions known
+/// to the others.
 const PEER_WAIT_MS: u64 = 400;
 /// Time between two checks for such a heartbeat, in ms.
 const POLL_INTERVAL_MS: u64 = 20;
@@ -35,13 +35,15 @@
     }
 }
 
-/// Asks another gateway for a version that the store has not delivered to this one in time.
+/// Asks another gateway for a version that the store has not delivered to this gateway in time.
 pub async fn catch_up(gateway: &Gateway, follower: &mut Follower) -> Vec<Record> {
     let mut lag = gateway.own_lag.get();
     let is_due =
         lag.should_ask(gateway.now(), gateway.version_held(), gateway.newest_reported_version());
     gateway.own_lag.set(lag);
-    let Some(address) = gateway.holder_of_newest().filter(|_| is_due) else { return Vec::new() };
+    let Some(address) = gateway.peer_with_newest_version().filter(|_| is_due) else {
+        return Vec::new();
+    };
     let records = match follower.fetch_newest(address).await {
         Ok(records) => records,
         Err(why) => {
@@ -74,13 +76,14 @@
         recent.filter_map(|peer| peer.version).max()
     }
 
-    /// Returns a gateway that holds that version, unless all of them failed to answer.
-    fn holder_of_newest(&self) -> Option<SocketAddr> {
+    /// Returns a gateway that holds the newest reported version, unless all such gateways failed to
+    /// answer.
+    fn peer_with_newest_version(&self) -> Option<SocketAddr> {
         let newest = self.newest_reported_version()?;
         let peers = self.peers.borrow();
         let unresponsive = self.unresponsive_peers.borrow();
-        let holders = peers.values().filter(|peer| peer.version == Some(newest));
-        let responsive = holders.filter(|peer| !unresponsive.contains_key(&peer.address));
+        let up_to_date = peers.values().filter(|peer| peer.version == Some(newest));
+        let responsive = up_to_date.filter(|peer| !unresponsive.contains_key(&peer.address));
         responsive.map(|peer| peer.address).choose(&mut rand::rng())
     }
 
