--- a/crates/oliveworks-gateway-core/src/election.rs
+++ b/crates/oliveworks-gateway-core/src/election.rs
@@ -1,6 +1,6 @@
 //! Leader election among gateways.
 //!
-//! The leader is the gateway that wrote the newest record of a topic of the store. The place of
+//! The leader is the gateway that wrote the newest record of a topic of the store. The position of
 //! that record is the leader's fencing token. A gateway writes such a record, on the condition that
 //! the topic has not grown meanwhile, after the leader has been silent for some time. Backend
 //! servers refuse orders with a fence below the highest one they have seen, so a leader that was
@@ -25,7 +25,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Millis;
-use crate::place::Place;
+use crate::position::Position;
 
 /// Timeouts of an election.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,8 +50,8 @@
 /// A record of the leaders' topic.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Place of the record, in the era in which it was written.
-    pub place: Place,
+    /// Position of the record, in the era in which it was written.
+    pub place: Position,
     /// Random id of the process that wrote the record; each incarnation of a process draws a new
     /// one.
     pub claimant: u64,
@@ -83,7 +83,7 @@
     config: ElectionConfig,
     claimant: u64,
     newest: Option<Claim>,
-    read_to: Option<Place>,
+    read_to: Option<Position>,
     heartbeat: Option<Heartbeat>,
     /// Time at which a heartbeat of the leader was last received, directly or through other
     /// gateways.
@@ -117,14 +117,14 @@
 
     /// Records that the topic was read up to `end`; `newest` is the last record of the part that
     /// was read, if it held one.
-    pub fn read(&mut self, now: Millis, newest: Option<Claim>, end: Place) {
+    pub fn read(&mut self, now: Millis, newest: Option<Claim>, end: Position) {
         self.read_to = Some(match self.read_to {
             Some(old) if old.era == end.era => old.max(end),
             _ => end,
         });
         let Some(claim) = newest else { return };
         // A claim of this gateway that appears in another era may have arrived there late, at a
-        // place that the store had given to another claimant before: both would lead under one
+        // position that the store had given to another claimant before: both would lead under one
         // fence.
         if claim.claimant == self.claimant && claim.place.era != end.era {
             return;
@@ -217,7 +217,7 @@
 
     /// Decides whether to write a claim now, and returns the end of the topic that the write is
     /// conditional on. `rank` is the number of gateways ranked before this one.
-    pub fn claim(&mut self, now: Millis, rank: u64) -> Option<Place> {
+    pub fn claim(&mut self, now: Millis, rank: u64) -> Option<Position> {
         let end = self.read_to?;
         if self.leading_fence().is_some() {
             return None;
--- a/crates/oliveworks-gateway-core/src/lib.rs
+++ b/crates/oliveworks-gateway-core/src/lib.rs
@@ -13,7 +13,7 @@
 //! | [`replay`] | replay of the store's recent records to other gateways |
 //! | [`repeats`] | detection of records that are not new to other gateways |
 //! | [`era`] | detection of a store that was restored from an older copy of its data |
-//! | [`place`] | places in a topic of the store, and the fence of a claim at a place |
+//! | [`position`] | positions in a topic of the store, and the fence of a claim at a position |
 //! | [`drains`] | failure domains that the operators drain |
 //! | [`residency`] | regions that may serve a request |
 //! | [`freshness`] | whether the configuration is recent enough to accept keys |
@@ -68,8 +68,8 @@
 pub mod members;
 pub mod missing;
 pub mod obstacles;
-pub mod place;
 pub mod planner;
+pub mod position;
 pub mod quota;
 pub mod rate_limits;
 pub mod read_cursor;
--- a/crates/oliveworks-gateway-core/src/read_cursor.rs
+++ b/crates/oliveworks-gateway-core/src/read_cursor.rs
@@ -1,7 +1,7 @@
 //! Position up to which a topic of the store has been read, and the source of the next read.
 
 use crate::era::Era;
-use crate::place::Place;
+use crate::position::Position;
 use crate::sources::{self, LocalState, PeerState, ReadFrom};
 
 /// Number of consecutive questions to other gateways before a gateway that has read nothing yet
@@ -11,7 +11,7 @@
 /// Reading progress of one gateway in a topic.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReadCursor {
-    place: Option<Place>,
+    position: Option<Position>,
     /// Whether anything was read in this incarnation of the process.
     has_read: bool,
     /// Number of consecutive questions without an answer.
@@ -21,21 +21,21 @@
 }
 
 impl ReadCursor {
-    /// Returns the place up to which everything was read; `None` if all newest records are to be
+    /// Returns the position up to which everything was read; `None` if all newest records are to be
     /// read.
-    pub fn place(&self) -> Option<Place> {
-        self.place
+    pub fn position(&self) -> Option<Position> {
+        self.position
     }
 
     /// Restarts with a read of all newest records, from the store itself if it answers.
     pub fn restart(&mut self) {
-        self.place = None;
+        self.position = None;
         self.from_store = true;
     }
 
-    /// Discards a place of an era other than the store's current one, and returns it.
-    pub fn discard_other_era(&mut self, era: Era) -> Option<Place> {
-        self.place.take_if(|place| place.era != era)
+    /// Discards a position of an era other than the store's current one, and returns it.
+    pub fn discard_other_era(&mut self, era: Era) -> Option<Position> {
+        self.position.take_if(|position| position.era != era)
     }
 
     /// Returns the source of the next read; `draw` is a random number.
@@ -49,18 +49,18 @@
         first.map_or_else(next, ReadFrom::Gateway)
     }
 
-    /// Records that the store has returned everything up to a place; `None` means that the store no
-    /// longer keeps the requested place.
-    pub fn store_answered(&mut self, place: Option<Place>) {
-        self.place = place;
-        self.has_read |= place.is_some();
-        self.from_store &= place.is_none();
+    /// Records that the store has returned everything up to a position; `None` means that the store
+    /// no longer keeps the requested position.
+    pub fn store_answered(&mut self, position: Option<Position>) {
+        self.position = position;
+        self.has_read |= position.is_some();
+        self.from_store &= position.is_none();
         self.unanswered = 0;
     }
 
-    /// Records that another gateway has returned everything up to a place.
-    pub fn gateway_answered(&mut self, place: Place) {
-        self.place = Some(place);
+    /// Records that another gateway has returned everything up to a position.
+    pub fn gateway_answered(&mut self, position: Position) {
+        self.position = Some(position);
         self.has_read = true;
         self.unanswered = 0;
     }
--- a/crates/oliveworks-gateway-core/src/replay.rs
+++ b/crates/oliveworks-gateway-core/src/replay.rs
@@ -1,10 +1,10 @@
 //! Replay of a topic's recent records to other gateways.
 //!
 //! A gateway that follows a topic of the store keeps the last records, so that other gateways can
-//! follow the topic through it: they ask from a place on, as they would ask the store, and places
-//! are the store's. A gateway that asks from a place ahead of this one, or so far behind that
-//! records are no longer kept, gets a corresponding answer. A place of an earlier era counts as far
-//! behind, a place of a later era as ahead.
+//! follow the topic through it: they ask from a position on, as they would ask the store, and
+//! positions are the store's. A gateway that asks from a position ahead of this one, or so far
+//! behind that records are no longer kept, gets a corresponding answer. A position of an earlier
+//! era counts as far behind, a position of a later era as ahead.
 //!
 //! Backend servers rewrite their records every second or so, mostly unchanged. Such a repeat is of
 //! no use to a gateway that holds the record; only the leader depends on the age of records. So
@@ -14,7 +14,7 @@
 use std::collections::VecDeque;
 
 use crate::era::Era;
-use crate::place::Place;
+use crate::position::Position;
 
 /// Number of steps that are kept: at two or three a second, enough for a gateway that was away for
 /// ten seconds.
@@ -36,34 +36,34 @@
 
 #[derive(Clone, Debug)]
 struct Step<R> {
-    end: Place,
+    end: Position,
     records: Vec<Kept<R>>,
 }
 
 /// The last records of a topic.
 #[derive(Clone, Debug)]
 pub struct ReplayBuffer<R> {
-    /// Place from which on all records are kept.
-    start: Place,
-    /// Place of the next record; `None` before the topic was read.
-    next: Option<Place>,
+    /// Position from which on all records are kept.
+    start: Position,
+    /// Position of the next record; `None` before the topic was read.
+    next: Option<Position>,
     steps: VecDeque<Step<R>>,
 }
 
 impl<R> Default for ReplayBuffer<R> {
     fn default() -> ReplayBuffer<R> {
-        ReplayBuffer { start: Place::new(Era::default(), 0), next: None, steps: VecDeque::new() }
+        ReplayBuffer { start: Position::new(Era::default(), 0), next: None, steps: VecDeque::new() }
     }
 }
 
-/// Answer to a gateway that asks from a place on.
+/// Answer to a gateway that asks from a position on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplayAnswer<R> {
-    /// The records from that place on, possibly none, and the next place.
-    Records(Vec<R>, Place),
-    /// The records from that place on are no longer kept, or the asker holds nothing: the answer is
-    /// the newest record of each key, as of this place.
-    Newest(Place),
+    /// The records from that position on, possibly none, and the next position.
+    Records(Vec<R>, Position),
+    /// The records from that position on are no longer kept, or the asker holds nothing: the answer
+    /// is the newest record of each key, as of this position.
+    Newest(Position),
     /// The asker is ahead of this gateway: an answer would prove nothing.
     Behind,
     /// The topic was not read yet.
@@ -71,14 +71,14 @@
 }
 
 impl<R: Clone> ReplayBuffer<R> {
-    /// Appends records that follow the ones read before; `next` is the place after them.
-    pub fn append(&mut self, records: Vec<R>, next: Place) {
+    /// Appends records that follow the ones read before; `next` is the position after them.
+    pub fn append(&mut self, records: Vec<R>, next: Position) {
         let new = |record| Kept { record, is_repeat: false };
         self.append_with_repeats(records.into_iter().map(new).collect(), next);
     }
 
     /// Appends records that may be repeats; otherwise like [`ReplayBuffer::append`].
-    pub fn append_with_repeats(&mut self, records: Vec<Kept<R>>, next: Place) {
+    pub fn append_with_repeats(&mut self, records: Vec<Kept<R>>, next: Position) {
         self.next = Some(next);
         if records.is_empty() {
             return;
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Restarts after a read of the newest records of all keys, as of a place.
-    pub fn restart_at(&mut self, next: Place) {
+    /// Restarts after a read of the newest records of all keys, as of a position.
+    pub fn restart_at(&mut self, next: Position) {
         self.steps.clear();
         self.start = next;
         self.next = Some(next);
@@ -110,29 +110,29 @@
         *self = ReplayBuffer::default();
     }
 
-    /// Returns the place after the last record.
-    pub fn next(&self) -> Option<Place> {
+    /// Returns the position after the last record.
+    pub fn next(&self) -> Option<Position> {
         self.next
     }
 
-    /// Whether the records read so far extend beyond the newest records as of a place. Those may
+    /// Whether the records read so far extend beyond the newest records as of a position. Those may
     /// lack records known here, so they do not prove that anything has ended.
-    pub fn is_ahead_of(&self, place: Place) -> bool {
-        self.next.is_some_and(|next| next > place)
+    pub fn is_ahead_of(&self, position: Position) -> bool {
+        self.next.is_some_and(|next| next > position)
     }
 
-    /// Returns the answer to a gateway that holds everything before a place, without repeats.
-    pub fn since(&self, from: Option<Place>) -> ReplayAnswer<R> {
+    /// Returns the answer to a gateway that holds everything before a position, without repeats.
+    pub fn since(&self, from: Option<Position>) -> ReplayAnswer<R> {
         self.answer_since(from, false)
     }
 
-    /// Returns the answer to a gateway that holds everything before a place, with the repeats that
-    /// are still kept.
-    pub fn since_with_repeats(&self, from: Option<Place>) -> ReplayAnswer<R> {
+    /// Returns the answer to a gateway that holds everything before a position, with the repeats
+    /// that are still kept.
+    pub fn since_with_repeats(&self, from: Option<Position>) -> ReplayAnswer<R> {
         self.answer_since(from, true)
     }
 
-    fn answer_since(&self, from: Option<Place>, repeats: bool) -> ReplayAnswer<R> {
+    fn answer_since(&self, from: Option<Position>, repeats: bool) -> ReplayAnswer<R> {
         let Some(next) = self.next else { return ReplayAnswer::Unread };
         match from {
             Some(from) if from > next => ReplayAnswer::Behind,
--- a/crates/oliveworks-gateway-core/tests/decisions.rs
+++ b/crates/oliveworks-gateway-core/tests/decisions.rs
@@ -10,7 +10,7 @@
 use oliveworks_gateway_core::events::{Pass, Progress, Splitter};
 use oliveworks_gateway_core::fan_out::Source;
 use oliveworks_gateway_core::freshness::Freshness;
-use oliveworks_gateway_core::place::Place;
+use oliveworks_gateway_core::position::Position;
 use oliveworks_gateway_core::suspensions::Suspensions;
 use proptest::prelude::*;
 use test_case::test_case;
@@ -332,8 +332,8 @@
 }
 
 /// A place in a topic of a store that names no era.
-fn place(offset: u64) -> Place {
-    Place::new(Era::default(), offset)
+fn place(offset: u64) -> Position {
+    Position::new(Era::default(), offset)
 }
 
 /// The claim that gives a fence there.
--- a/crates/oliveworks-gateway-core/tests/drains.rs
+++ b/crates/oliveworks-gateway-core/tests/drains.rs
@@ -4,12 +4,12 @@
 
 use oliveworks_gateway_core::drains::{Drains, Ended};
 use oliveworks_gateway_core::era::Era;
-use oliveworks_gateway_core::place::Place;
+use oliveworks_gateway_core::position::Position;
 use oliveworks_gateway_core::replay::ReplayBuffer;
 
 /// A place in a topic of a store that names no era.
-fn place(offset: u64) -> Place {
-    Place::new(Era::default(), offset)
+fn place(offset: u64) -> Position {
+    Position::new(Era::default(), offset)
 }
 
 fn names(names: &[&str]) -> BTreeSet<String> {
--- a/crates/oliveworks-gateway-core/tests/place.rs
+++ b/crates/oliveworks-gateway-core/tests/place.rs
@@ -2,7 +2,7 @@
 
 use oliveworks_gateway_core::election::{Claim, Election, ElectionConfig, Heartbeat};
 use oliveworks_gateway_core::era::Era;
-use oliveworks_gateway_core::place::Place;
+use oliveworks_gateway_core::position::Position;
 use test_case::test_case;
 
 /// Whole numbers of JSON are exact up to here.
@@ -10,11 +10,11 @@
 /// Epochs of groups that one fence has room for.
 const EPOCHS_OF_FENCE: u64 = 1_000_000;
 
-fn place(era: u64, offset: u64) -> Place {
-    Place::new(Era(era), offset)
+fn place(era: u64, offset: u64) -> Position {
+    Position::new(Era(era), offset)
 }
 
-fn claim(place: Place, claimant: u64) -> Claim {
+fn claim(place: Position, claimant: u64) -> Claim {
     Claim { place, claimant }
 }
 
@@ -26,7 +26,7 @@
 #[test_case(place(1, 60), place(2, 0); "of the next era, from the start")]
 #[test_case(place(1, 1_000_000), place(2, 5); "after many claims")]
 #[test_case(place(0, 9), place(1, 3); "the store begins to name eras")]
-fn a_later_place_has_a_higher_fence(earlier: Place, later: Place) {
+fn a_later_place_has_a_higher_fence(earlier: Position, later: Position) {
     assert!(earlier < later);
     assert!(earlier.fence() < later.fence());
 }
@@ -38,7 +38,7 @@
 
 #[test_case(place(4_095, 1_000_000); "the highest era told apart")]
 #[test_case(place(u64::MAX, 1_000_000); "one beyond")]
-fn epochs_of_a_fence_are_exact_on_the_wire(place: Place) {
+fn epochs_of_a_fence_are_exact_on_the_wire(place: Position) {
     assert!(place.fence() < EXACT_MAX / EPOCHS_OF_FENCE);
 }
 
--- a/crates/oliveworks-gateway-core/tests/replay.rs
+++ b/crates/oliveworks-gateway-core/tests/replay.rs
@@ -6,7 +6,7 @@
 
 use oliveworks_gateway_core::era::Era;
 use oliveworks_gateway_core::freshness::Freshness;
-use oliveworks_gateway_core::place::Place;
+use oliveworks_gateway_core::position::Position;
 use oliveworks_gateway_core::replay::{Kept, ReplayAnswer, ReplayBuffer};
 use oliveworks_gateway_core::sources::{
     LocalState, PeerState, ReadFrom, first_source, next_source,
@@ -76,8 +76,8 @@
 }
 
 /// A place in a topic of a store that names no era.
-fn place(offset: u64) -> Place {
-    Place::new(Era::default(), offset)
+fn place(offset: u64) -> Position {
+    Position::new(Era::default(), offset)
 }
 
 fn address(gateway: usize) -> SocketAddr {
--- a/crates/oliveworks-gateway-core/tests/restored_store/gateway.rs
+++ b/crates/oliveworks-gateway-core/tests/restored_store/gateway.rs
@@ -10,7 +10,7 @@
 use oliveworks_gateway_core::era::{Era, EraChange, StoreEra};
 use oliveworks_gateway_core::freshness::Freshness;
 use oliveworks_gateway_core::missing::{Missing, StoreState};
-use oliveworks_gateway_core::place::Place;
+use oliveworks_gateway_core::position::Position;
 use oliveworks_gateway_core::read_cursor::ReadCursor;
 use oliveworks_gateway_core::replay::ReplayBuffer;
 use oliveworks_gateway_core::sources::{LocalState, PeerState};
@@ -262,7 +262,7 @@
         newest: bool,
         told_by: ToldBy,
     ) {
-        let Some(next) = self.following[&topic].place() else { return };
+        let Some(next) = self.following[&topic].position() else { return };
         match newest {
             true => self.passing_of(topic).restart_at(next),
             false => self.passing_of(topic).append(records.clone(), next),
@@ -406,7 +406,7 @@
         }
     }
 
-    fn take_claims(&mut self, now: u64, records: &[Record], next: Place) {
+    fn take_claims(&mut self, now: u64, records: &[Record], next: Position) {
         let mut claims = records.iter().rev().filter_map(|record| match record {
             Record::Claim(claim) => Some(claim.clone()),
             _ => None,
--- a/crates/oliveworks-gateway-core/tests/restored_store/world.rs
+++ b/crates/oliveworks-gateway-core/tests/restored_store/world.rs
@@ -4,7 +4,7 @@
 
 use oliveworks_gateway_core::election::{Claim, Heartbeat};
 use oliveworks_gateway_core::era::Era;
-use oliveworks_gateway_core::place::Place;
+use oliveworks_gateway_core::position::Position;
 use oliveworks_gateway_core::replay::ReplayAnswer as Passed;
 use oliveworks_gateway_core::sources::ReadFrom;
 use rand::{RngExt, SeedableRng};
@@ -45,8 +45,8 @@
 
 /// A call on its way there, or its answer on its way back.
 enum Flight {
-    There { arrives: u64, sent: u64, to: ReadFrom, from: Option<Place> },
-    Back { arrives: u64, sent: u64, to: ReadFrom, from: Option<Place>, answer: Option<Answer> },
+    There { arrives: u64, sent: u64, to: ReadFrom, from: Option<Position> },
+    Back { arrives: u64, sent: u64, to: ReadFrom, from: Option<Position>, answer: Option<Answer> },
 }
 
 #[derive(Clone, Debug)]
@@ -58,8 +58,8 @@
 
 /// A claim on its way, or its answer.
 enum ClaimFlight {
-    There { arrives: u64, sent: u64, end: Place },
-    Back { arrives: u64, sent: u64, end: Place, answer: Option<(u64, Option<u64>)> },
+    There { arrives: u64, sent: u64, end: Position },
+    Back { arrives: u64, sent: u64, end: Position, answer: Option<(u64, Option<u64>)> },
 }
 
 /// An order on its way to a host.
@@ -271,7 +271,7 @@
         gateway.following_of(topic).discard_other_era(era);
         let (own, known) = (gateway.own(now), gateway.known(now));
         let to = gateway.following[&topic].source(own, &known, draw);
-        let from = gateway.following[&topic].place();
+        let from = gateway.following[&topic].position();
         if to == ReadFrom::Store {
             gateway.calls_store(now);
         }
@@ -305,7 +305,7 @@
         self.arrive_claim(index);
     }
 
-    fn store_answers(&self, index: usize, topic: Topic, from: Option<Place>) -> Option<Answer> {
+    fn store_answers(&self, index: usize, topic: Topic, from: Option<Position>) -> Option<Answer> {
         if self.platform.is_away() || self.seats[index].cut_until.is_some() {
             return None;
         }
@@ -325,7 +325,7 @@
             },
             Topic::Claims => {
                 let record = |offset, claim: &ClaimRecord| {
-                    let place = Place::new(Era(self.era_of(claim.era)), offset);
+                    let place = Position::new(Era(self.era_of(claim.era)), offset);
                     Record::Claim(Claim { place, claimant: claim.claimant })
                 };
                 tail(&topics.claims, from.map_or(0, |from| from.offset), record)
@@ -353,7 +353,7 @@
         index: usize,
         other: usize,
         topic: Topic,
-        from: Option<Place>,
+        from: Option<Position>,
     ) -> Option<Answer> {
         if !self.hears(index, other) {
             return None;
@@ -408,7 +408,7 @@
         index: usize,
         topic: Topic,
         sent: u64,
-        from: Option<Place>,
+        from: Option<Position>,
         answer: Answer,
     ) -> bool {
         let now = self.now;
@@ -422,7 +422,7 @@
         match answer.told {
             Told::Expired => gateway.following_of(topic).store_answered(None),
             Told::Records { records, newest, next } => {
-                gateway.following_of(topic).store_answered(Some(Place::new(era, next)));
+                gateway.following_of(topic).store_answered(Some(Position::new(era, next)));
                 gateway.take(now, sent, topic, records, newest, answer.by);
             }
         }
@@ -434,7 +434,7 @@
         let gateway = &mut self.seats[index].gateway;
         let era = Era(answer.era);
         let Told::Records { records, newest, next } = answer.told else { return false };
-        let place = Place::new(era, next);
+        let place = Position::new(era, next);
         if era < gateway.era.era() || (newest && gateway.passing[&topic].is_ahead_of(place)) {
             return false;
         }
@@ -499,8 +499,8 @@
         match offset.filter(|_| era == end.era) {
             None => gateway.election.claim_refused(now),
             Some(offset) => {
-                let claim = Claim { place: Place::new(end.era, offset), claimant: seat.life };
-                gateway.election.read(now, Some(claim), Place::new(end.era, offset + 1));
+                let claim = Claim { place: Position::new(end.era, offset), claimant: seat.life };
+                gateway.election.read(now, Some(claim), Position::new(end.era, offset + 1));
             }
         }
     }
--- a/crates/oliveworks-gateway/src/dialect.rs
+++ b/crates/oliveworks-gateway/src/dialect.rs
@@ -7,8 +7,8 @@
 use oliveworks_gateway_core::configuration::Configuration;
 use oliveworks_gateway_core::election::Claim;
 use oliveworks_gateway_core::era::Era;
-use oliveworks_gateway_core::place::Place;
 use oliveworks_gateway_core::planner::{Order, Outcome};
+use oliveworks_gateway_core::position::Position;
 use oliveworks_gateway_core::rate_limits::Rate;
 use serde::{Deserialize, Serialize};
 
@@ -250,7 +250,7 @@
         body: &[u8],
     ) -> Result<Tail, Malformed>;
     /// Builds the call that claims the leadership if the topic still ends at `end`.
-    fn claim_call(&self, end: Place, claimant: u64) -> Call;
+    fn claim_call(&self, end: Position, claimant: u64) -> Call;
     /// Parses the answer to a claim.
     ///
     /// # Errors
--- a/crates/oliveworks-gateway/src/follow.rs
+++ b/crates/oliveworks-gateway/src/follow.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use oliveworks_gateway_core::Millis;
-use oliveworks_gateway_core::place::Place;
+use oliveworks_gateway_core::position::Position;
 use oliveworks_gateway_core::read_cursor::ReadCursor;
 use oliveworks_gateway_core::sources::ReadFrom;
 use tokio::time::{sleep, timeout};
@@ -88,8 +88,8 @@
     }
 
     /// Returns the position up to which everything was read.
-    pub fn position(&self) -> Option<Place> {
-        self.cursor.place()
+    pub fn position(&self) -> Option<Position> {
+        self.cursor.position()
     }
 
     /// Requests a snapshot with the next step, from the store itself if it answers.
@@ -117,11 +117,11 @@
 
     /// Discards a position of another era, since the store has assigned its offset again.
     fn discard_former_position(&mut self, gateway: &Gateway) {
-        let Some(place) = self.cursor.discard_other_era(gateway.era()) else { return };
+        let Some(position) = self.cursor.discard_other_era(gateway.era()) else { return };
         Event::new("place_is_void")
             .debug("topic", self.topic)
-            .with("offset", place.offset)
-            .with("of_era", place.era.0)
+            .with("offset", position.offset)
+            .with("of_era", position.era.0)
             .with("era", gateway.era().0)
             .write();
     }
@@ -139,7 +139,7 @@
             .debug("topic", self.topic)
             .with("address", address.to_string())
             .with("is_store", read_from == ReadFrom::Store)
-            .with("offset", self.position().map(|place| place.offset))
+            .with("offset", self.position().map(|position| position.offset))
             .with("era", gateway.era().0)
             .write();
     }
@@ -150,7 +150,7 @@
         let step = async {
             match self.position() {
                 None => self.snapshot().await,
-                Some(place) => self.tail(place, if is_trial { 0 } else { wait_ms }).await,
+                Some(position) => self.tail(position, if is_trial { 0 } else { wait_ms }).await,
             }
         };
         let step = match is_trial {
@@ -249,7 +249,7 @@
         if self.topic == Topic::Leaders {
             // The last records of this topic are enough, and they have no keys by which to ask for
             // the newest ones.
-            return self.tail(Place::new(gateway.era(), 0), 0).await;
+            return self.tail(Position::new(gateway.era(), 0), 0).await;
         }
         loop {
             let call = gateway.dialect.newest_call(self.topic, after.as_deref());
@@ -258,7 +258,7 @@
                 gateway.dialect.parse_page(self.topic, status, &body).map_err(|e| e.to_string())?;
             records.extend(page.records);
             // Pages do not form a consistent snapshot: changes since the first page are read again.
-            let end = *first_end.get_or_insert(Place::new(gateway.era(), page.end));
+            let end = *first_end.get_or_insert(Position::new(gateway.era(), page.end));
             if end.era != gateway.era() {
                 return Err("the store came back from a copy between two pages".to_owned());
             }
@@ -271,14 +271,14 @@
         Ok(Step { records, snapshot: true, sent, held_ms: 0, source: RecordSource::Store })
     }
 
-    async fn tail(&mut self, place: Place, wait_ms: u64) -> Result<Step, String> {
+    async fn tail(&mut self, position: Position, wait_ms: u64) -> Result<Step, String> {
         let gateway = self.client.gateway().clone();
         let sent = gateway.now();
-        let from = place.offset;
+        let from = position.offset;
         let call = gateway.dialect.tail_call(self.topic, from, wait_ms);
         let (status, body) = self.client.call(&call, wait_ms).await?;
         let era = gateway.era();
-        if era != place.era && from != 0 {
+        if era != position.era && from != 0 {
             // The records of the answer do not continue those read before.
             return Ok(Step::empty(sent));
         }
@@ -289,7 +289,7 @@
         match tail {
             Tail::Records(records, next) => {
                 let held_ms = if records.is_empty() { wait_ms } else { 0 };
-                self.cursor.store_answered(Some(Place::new(era, next)));
+                self.cursor.store_answered(Some(Position::new(era, next)));
                 Ok(Step { records, snapshot: false, sent, held_ms, source: RecordSource::Store })
             }
             Tail::Expired(first) => {
@@ -302,7 +302,7 @@
                 if self.topic == Topic::Leaders && first.is_none() && from == 0 {
                     return Err("it does not say which is the first record it keeps".to_owned());
                 }
-                self.cursor.store_answered(first.map(|first| Place::new(era, first)));
+                self.cursor.store_answered(first.map(|first| Position::new(era, first)));
                 Ok(Step::empty(sent))
             }
             Tail::Refused(status) => Err(format!("refused with {status}")),
--- a/crates/oliveworks-gateway/src/peer_replay.rs
+++ b/crates/oliveworks-gateway/src/peer_replay.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use log::{debug, warn};
-use oliveworks_gateway_core::place::Place;
+use oliveworks_gateway_core::position::Position;
 use oliveworks_gateway_core::replay::ReplayAnswer;
 use serde::{Deserialize, Serialize};
 use tokio::net::{TcpListener, TcpStream};
@@ -42,7 +42,7 @@
 struct Question {
     topic: Topic,
     /// Position up to which the asking gateway holds all records; none if it holds no records.
-    from: Option<Place>,
+    from: Option<Position>,
     /// Whether records that repeat what the asking gateway already holds are included.
     repeats: bool,
 }
@@ -55,7 +55,7 @@
     /// Whether the records are a snapshot of all newest records, as opposed to the added ones.
     pub snapshot: bool,
     /// Position after the records.
-    pub next: Place,
+    pub next: Position,
     /// Time for which the question was held back, in ms.
     pub held_ms: u64,
     /// Age, at the time of the answer, of the proof that the store held nothing newer, in ms; none
@@ -109,7 +109,7 @@
     pub async fn ask(
         &mut self,
         topic: Topic,
-        from: Option<Place>,
+        from: Option<Position>,
         repeats: bool,
     ) -> Result<Option<Answer>, String> {
         let question = Question { topic, from, repeats };
--- a/crates/oliveworks-gateway/src/records.rs
+++ b/crates/oliveworks-gateway/src/records.rs
@@ -10,7 +10,7 @@
 use oliveworks_gateway_core::balance::Target;
 use oliveworks_gateway_core::configuration::{Configuration, Lookup};
 use oliveworks_gateway_core::listing::{Listing, ListingConfig};
-use oliveworks_gateway_core::place::Place;
+use oliveworks_gateway_core::position::Position;
 use oliveworks_gateway_core::repeats::Repeats;
 use oliveworks_gateway_core::replay::Kept;
 use oliveworks_gateway_core::slow_start::cold::{Listed, Reading};
@@ -32,7 +32,7 @@
 /// Time without new backend servers after which the list counts as complete, in ms.
 const SERVERS_SETTLE_MS: u64 = 1_500;
 
-fn apply_configuration(gateway: &Gateway, step: Step, next: Option<Place>) {
+fn apply_configuration(gateway: &Gateway, step: Step, next: Option<Position>) {
     let mut drained_domains = BTreeSet::new();
     for record in step.records {
         match record {
@@ -142,7 +142,7 @@
 
 /// Keeps the records of a step for gateways that read through this one; `next` is the position
 /// after them.
-fn keep_for_peers(gateway: &Gateway, topic: Topic, step: &Step, next: Option<Place>) {
+fn keep_for_peers(gateway: &Gateway, topic: Topic, step: &Step, next: Option<Position>) {
     let mut buffer = gateway.replay_buffer(topic).borrow_mut();
     match next {
         Some(next) if step.snapshot => buffer.restart_at(next),
@@ -305,7 +305,12 @@
 
 /// Keeps records of backend servers for gateways that read through this one, and notifies these if
 /// there are new records.
-fn keep_servers(gateway: &Gateway, kept: Vec<Kept<Record>>, snapshot: bool, next: Option<Place>) {
+fn keep_servers(
+    gateway: &Gateway,
+    kept: Vec<Kept<Record>>,
+    snapshot: bool,
+    next: Option<Position>,
+) {
     let news = snapshot || kept.iter().any(|kept| !kept.is_repeat);
     let mut buffer = gateway.replay_buffer(Topic::BackendServers).borrow_mut();
     match next {
--- a/crates/oliveworks-gateway/src/store.rs
+++ b/crates/oliveworks-gateway/src/store.rs
@@ -4,7 +4,7 @@
 
 use oliveworks_gateway_core::election::Claim;
 use oliveworks_gateway_core::era::EraChange;
-use oliveworks_gateway_core::place::Place;
+use oliveworks_gateway_core::position::Position;
 
 use crate::dialect::{Call, ClaimOutcome};
 use crate::events::Event;
@@ -71,7 +71,7 @@
 }
 
 /// Claims the leadership.
-pub async fn claim_leadership(gateway: Rc<Gateway>, end: Place) {
+pub async fn claim_leadership(gateway: Rc<Gateway>, end: Position) {
     let mut client = Client::new(&gateway);
     let call = gateway.dialect.claim_call(end, gateway.incarnation);
     Event::new("claims_to_lead").with("end", end.offset).with("era", end.era.0).write();
@@ -87,8 +87,9 @@
             gateway.election.borrow_mut().claim_refused(now);
         }
         Ok(ClaimOutcome::Written(offset)) => {
-            let claim = Claim { place: Place::new(end.era, offset), claimant: gateway.incarnation };
-            let next = Place::new(end.era, offset + 1);
+            let claim =
+                Claim { place: Position::new(end.era, offset), claimant: gateway.incarnation };
+            let next = Position::new(end.era, offset + 1);
             gateway.election.borrow_mut().read(now, Some(claim), next);
         }
         Ok(ClaimOutcome::Lost) => gateway.election.borrow_mut().claim_refused(now),
