--- a/crates/oliveworks-gateway-core/src/position.rs
+++ b/crates/oliveworks-gateway-core/src/position.rs
@@ -32,8 +32,8 @@
         Position { era, offset }
     }
 
-    /// Returns the fence of a claim at this position. It is higher than all fences of earlier eras,
-    /// including those of claims that the store has lost.
+    /// Returns the fence of a claim at this position. The fence is higher than all fences of
+    /// earlier eras, including those of claims that the store has lost.
     pub fn fence(self) -> u64 {
         (self.era.0.min(MAX_ERA) << CLAIM_BITS) + self.offset + 1
     }
--- a/crates/oliveworks-gateway-core/src/slow_start/sends.rs
+++ b/crates/oliveworks-gateway-core/src/slow_start/sends.rs
@@ -29,23 +29,23 @@
 
 impl Sends {
     /// Returns the time from which a backend server may receive another request, with a limit of
-    /// `part` requests per window; `None` if never.
-    pub fn free_at(&self, now: Millis, target: Target, part: u32) -> Option<Millis> {
-        if part == 0 {
+    /// `share` requests per window; `None` if never.
+    pub fn free_at(&self, now: Millis, target: Target, share: u32) -> Option<Millis> {
+        if share == 0 {
             return None;
         }
         let Some(sent) = self.0.get(&target) else { return Some(now) };
-        let part = part.saturating_sub(sent.chosen) as usize;
-        if part == 0 {
+        let share = share.saturating_sub(sent.chosen) as usize;
+        if share == 0 {
             // The whole share is assigned to requests that are not sent yet.
             return Some(now + WINDOW_MS);
         }
         let recent = sent.since(now.saturating_sub(WINDOW_MS)).count();
-        if recent < part {
+        if recent < share {
             return Some(now);
         }
-        // Finds the send that has to leave the window so that at most `part - 1` sends remain.
-        let mut recent = sent.since(now.saturating_sub(WINDOW_MS)).skip(recent - part);
+        // Finds the send that has to leave the window so that at most `share - 1` sends remain.
+        let mut recent = sent.since(now.saturating_sub(WINDOW_MS)).skip(recent - share);
         recent.next().map(|sent_at| sent_at + WINDOW_MS)
     }
 
