--- a/crates/oliveworks-gateway-core/src/balance.rs
+++ b/crates/oliveworks-gateway-core/src/balance.rs
@@ -266,21 +266,21 @@
         draw: u64,
     ) -> Result<Target, NoTarget> {
         let untried = candidates.iter().filter(|candidate| !tried.contains(&candidate.target));
-        let near: Vec<&Candidate> = untried.filter(|candidate| candidate.is_local).collect();
-        let found = self.least_busy(now, &near, compare_limit(candidates), full_at, draw);
+        let local: Vec<&Candidate> = untried.filter(|candidate| candidate.is_local).collect();
+        let found = self.least_busy(now, &local, compare_limit(candidates), full_at, draw);
         found.map_or_else(|| self.choose(now, candidates, tried, full_at, draw), Ok)
     }
 
     /// Returns the usage of the local and of the remote candidates.
     pub fn usage_by_locality(&self, now: Millis, candidates: &[Candidate]) -> UsageByLocality {
-        let mut sides = UsageByLocality::default();
+        let mut usage = UsageByLocality::default();
         for candidate in candidates {
             let load = self.load(now, candidate.target);
             let reading_ms = f64::from(load.tokens) * candidate.token_ms;
-            let side = if candidate.is_local { &mut sides.local } else { &mut sides.remote };
+            let side = if candidate.is_local { &mut usage.local } else { &mut usage.remote };
             side.add(f64::from(load.requests), f64::from(candidate.slots), reading_ms);
         }
-        sides
+        usage
     }
 
     /// Returns the least busy of the first `limit` candidates that are not full.
@@ -382,8 +382,8 @@
 
     /// Returns the targets from which this gateway has received data since a given time.
     pub fn received_since(&self, since: Millis) -> impl Iterator<Item = Target> {
-        let heard = self.own.iter().filter(move |(_, own)| own.last_received_at >= since);
-        heard.map(|(target, _)| *target)
+        let recent = self.own.iter().filter(move |(_, own)| own.last_received_at >= since);
+        recent.map(|(target, _)| *target)
     }
 
     /// Returns whether this gateway has received data from a target since a given time.
@@ -394,8 +394,8 @@
     /// Returns the targets from which other gateways of this failure domain have received data
     /// since a given time. See also [`Balance::received_since`].
     pub fn received_by_local_peers_since(&self, since: Millis) -> impl Iterator<Item = Target> {
-        let heard = self.received_by_local_peers.iter().filter(move |(_, at)| **at >= since);
-        heard.map(|(target, _)| *target)
+        let recent = self.received_by_local_peers.iter().filter(move |(_, at)| **at >= since);
+        recent.map(|(target, _)| *target)
     }
 
     /// Records that a request at a target has ended. `began` is whether its stream had begun,
--- a/crates/oliveworks-gateway-core/src/demand.rs
+++ b/crates/oliveworks-gateway-core/src/demand.rs
@@ -1,7 +1,7 @@
 //! Fraction of the requests for each model that find a slot, as observed by all gateways.
 //!
-//! The fraction of occupied slots tells how busy a model is only up to the point at which all are
-//! occupied: a model that refuses one request of ten and one that refuses nine look alike. The
+//! The fraction of occupied slots shows how busy a model is only up to the point at which all slots
+//! are occupied: a model that refuses one request of ten and one that refuses nine look alike. The
 //! fraction of refused requests distinguishes them. Rejected: computing the demand from arrivals
 //! and the length of answers, because callers only guess that length.
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Recent requests that looked for a slot, weighted by age.
+/// Counts of recent requests that needed a slot, weighted by age.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RequestCounts {
     /// All of these requests.
@@ -49,14 +49,14 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct DecayingCount {
-    looked: RequestCounts,
+    counts: RequestCounts,
     at: Millis,
 }
 
 impl DecayingCount {
     fn now(&self, now: Millis) -> RequestCounts {
         let left = 0.5f64.powf(now.saturating_sub(self.at) as f64 / HALF_LIFE_MS);
-        RequestCounts { all: self.looked.all * left, refused: self.looked.refused * left }
+        RequestCounts { all: self.counts.all * left, refused: self.counts.refused * left }
     }
 }
 
@@ -68,14 +68,13 @@
 }
 
 impl ModelDemand {
-    /// Records that a request at this gateway looked for a slot. `refused` is whether it found
-    /// none.
+    /// Records that a request at this gateway needed a slot. `refused` is whether no slot was free.
     pub fn record_request(&mut self, now: Millis, model: ModelKey, refused: bool) {
         let decaying = self.own.entry(model).or_default();
-        let mut looked = decaying.now(now);
-        looked.all += 1.0;
-        looked.refused += f64::from(u8::from(refused));
-        *decaying = DecayingCount { looked, at: now };
+        let mut counts = decaying.now(now);
+        counts.all += 1.0;
+        counts.refused += f64::from(u8::from(refused));
+        *decaying = DecayingCount { counts, at: now };
     }
 
     /// Returns the demand that this gateway observed.
@@ -89,18 +88,18 @@
         &mut self,
         now: Millis,
         source: Source,
-        looked: HashMap<ModelKey, RequestCounts>,
+        counts: HashMap<ModelKey, RequestCounts>,
     ) {
-        self.peers.insert(source, (now, looked));
+        self.peers.insert(source, (now, counts));
     }
 
     /// Returns the demand that the gateways of this failure domain observed.
     pub fn failure_domain_counts(&self, now: Millis) -> HashMap<ModelKey, RequestCounts> {
         let mut sum: HashMap<ModelKey, RequestCounts> = self.own_counts(now).collect();
         let local = self.peers.iter().filter(|(source, _)| source.is_local());
-        for (_, (_, looked)) in local.filter(|(_, (at, _))| now < at + PEER_STALE_MS) {
-            for (model, looked) in looked {
-                sum.entry(*model).or_default().add(*looked);
+        for (_, (_, counts)) in local.filter(|(_, (at, _))| now < at + PEER_STALE_MS) {
+            for (model, count) in counts {
+                sum.entry(*model).or_default().add(*count);
             }
         }
         sum
@@ -112,8 +111,8 @@
 
     fn total_demand(&self, now: Millis, model: ModelKey) -> RequestCounts {
         let mut sum = self.own_demand(now, model);
-        for (_, looked) in self.peers.values().filter(|(at, _)| now < at + PEER_STALE_MS) {
-            sum.add(looked.get(&model).copied().unwrap_or_default());
+        for (_, counts) in self.peers.values().filter(|(at, _)| now < at + PEER_STALE_MS) {
+            sum.add(counts.get(&model).copied().unwrap_or_default());
         }
         sum
     }
@@ -131,8 +130,8 @@
         let own = self.own_demand(now, model).all;
         let total = self.total_demand(now, model);
         let all = total.all;
-        let domain = self.failure_domain_counts(now).get(&model).map_or(0.0, |looked| looked.all);
-        // A gateway that knows of no requests may be the only one that gets some.
+        let domain = self.failure_domain_counts(now).get(&model).map_or(0.0, |counts| counts.all);
+        // Without known requests, this gateway may be the only one that receives any.
         let part = |of: f64, whole: f64| if whole > 0.0 { of / whole } else { 1.0 };
         CallerShare {
             of_all: part(own, all),
--- a/crates/oliveworks-gateway-core/src/fan_out.rs
+++ b/crates/oliveworks-gateway-core/src/fan_out.rs
@@ -2,11 +2,11 @@
 //! constant as the number of gateways grows.
 //!
 //! Gateways of one failure domain send heartbeats to each other directly. To other failure domains,
-//! each gateway sends the sum over the gateways of its own domain, to a few gateways there. Enough
-//! gateways of a domain do so that every gateway receives every domain's sum with each heartbeat or
-//! every other one. Rejected: sending each gateway's own counts to a random part of all others
-//! (with 53 gateways: 0.875 GB between failure domains in 48 s, and a gateway missed more than half
-//! of the others' heartbeats).
+//! each gateway sends the sum over the gateways of its own domain, to a few gateways there. A
+//! domain has enough senders for every remote gateway to receive the domain's sum with each
+//! heartbeat or every other one. Rejected: sending each gateway's own counts to a random part of
+//! all others (with 53 gateways: 0.875 GB between failure domains in 48 s, and a gateway missed
+//! more than half of the others' heartbeats).
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -41,9 +41,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recipients {
     /// Recipients in the sender's failure domain.
-    pub near: Vec<SocketAddr>,
+    pub local: Vec<SocketAddr>,
     /// Recipients in other failure domains.
-    pub far: Vec<SocketAddr>,
+    pub remote: Vec<SocketAddr>,
 }
 
 /// Chooses the recipients among all other gateways, grouped by failure domain. `draw` is a random
@@ -53,17 +53,17 @@
     others: &BTreeMap<&str, Vec<SocketAddr>>,
     draw: u64,
 ) -> Recipients {
-    let near = others.get(own_domain).map_or(&[][..], Vec::as_slice);
-    let far: Vec<_> = others.iter().filter(|(domain, _)| **domain != own_domain).collect();
-    let start = if far.is_empty() { 0 } else { draw as usize % far.len() };
-    let rotated_domains = (0..far.len()).map(|step| far[(start + step) % far.len()]);
+    let local = others.get(own_domain).map_or(&[][..], Vec::as_slice);
+    let remote: Vec<_> = others.iter().filter(|(domain, _)| **domain != own_domain).collect();
+    let start = if remote.is_empty() { 0 } else { draw as usize % remote.len() };
+    let rotated_domains = (0..remote.len()).map(|step| remote[(start + step) % remote.len()]);
     let chosen = rotated_domains.flat_map(|(domain, gateways)| {
         let draw = xxh3_64_with_seed(domain.as_bytes(), draw);
         rotated(gateways, draw, REMOTE_RECIPIENTS_PER_DOMAIN)
     });
     Recipients {
-        near: rotated(near, draw, LOCAL_RECIPIENTS_MAX).collect(),
-        far: chosen.take(REMOTE_RECIPIENTS_MAX).collect(),
+        local: rotated(local, draw, LOCAL_RECIPIENTS_MAX).collect(),
+        remote: chosen.take(REMOTE_RECIPIENTS_MAX).collect(),
     }
 }
 
--- a/crates/oliveworks-gateway-core/src/planner/arrivals.rs
+++ b/crates/oliveworks-gateway-core/src/planner/arrivals.rs
@@ -1,11 +1,11 @@
 //! Detects whether a domain's hosts are still being listed.
 //!
-//! The case behind this: a whole domain goes down and returns under twice the usual traffic. Its
-//! hosts are listed in batches within a few seconds. The state of the domain after the first batch
-//! does not justify loads of 12 s and more. A host that replaces another waits only for one read of
-//! the list. Rejected: the longer wait for every host, because hosts are replaced one by one all
-//! the time and each would load a second later. Rejected: no time limit, because a domain that
-//! keeps growing would never settle.
+//! Motivating case: a whole domain goes down and returns under twice the usual traffic. Its hosts
+//! are listed in batches within a few seconds. The state of the domain after the first batch does
+//! not justify loads of 12 s and more. A host that replaces another waits only for one read of the
+//! list. Rejected: the longer wait for every host, because hosts are replaced one by one all the
+//! time and each would load a second later. Rejected: no time limit, because a domain that keeps
+//! growing would never settle.
 
 use crate::Millis;
 
@@ -22,21 +22,21 @@
 
 /// Hosts that a domain got in short succession.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Growth {
+pub(super) struct ArrivalBurst {
     first_at: Millis,
     last_at: Millis,
     hosts: usize,
 }
 
-impl Growth {
-    pub(super) fn new(now: Millis) -> Growth {
-        Growth { first_at: now, last_at: now, hosts: 0 }
+impl ArrivalBurst {
+    pub(super) fn new(now: Millis) -> ArrivalBurst {
+        ArrivalBurst { first_at: now, last_at: now, hosts: 0 }
     }
 
     /// Records one more listed host.
     pub(super) fn add(&mut self, now: Millis) {
         if now >= self.last_at + RETURN_QUIET_MS {
-            *self = Growth::new(now);
+            *self = ArrivalBurst::new(now);
         }
         self.last_at = now;
         self.hosts += 1;
@@ -48,7 +48,7 @@
     }
 
     /// Whether the domain is returning, with more hosts to be listed.
-    pub(super) fn is_return(&self, now: Millis) -> bool {
+    pub(super) fn is_returning(&self, now: Millis) -> bool {
         let ends_at = (self.last_at + RETURN_QUIET_MS).min(self.first_at + RETURN_MAX_MS);
         self.hosts >= RETURNING_HOSTS_MIN && now < ends_at
     }
--- a/crates/oliveworks-gateway-core/src/planner/host.rs
+++ b/crates/oliveworks-gateway-core/src/planner/host.rs
@@ -57,7 +57,7 @@
     pub(super) drained: bool,
     /// Whether the host has accepted an order of this leader, or never had one of another leader.
     pub(super) knows_fence: bool,
-    /// Whether another backend server answers at the host's address, so that this one has ended.
+    /// Whether another backend server answers at the host's address, so that this host has ended.
     pub(super) replaced: bool,
     /// Newest epoch for which an order to join or open went unanswered.
     pub(super) unanswered: Option<u64>,
@@ -71,8 +71,8 @@
     /// Last reported pace.
     pace: f64,
     order_pending: bool,
-    /// Whether the host must be probed before the next order. This holds after an unanswered order,
-    /// since an order that arrived late may have changed the host's state.
+    /// Whether the host must be probed before the next order: after an unanswered order, since an
+    /// order that arrived late may have changed the host's state.
     probe_first: bool,
     ordered_at: Millis,
     /// Time at which the host accepted its last order, if it accepted one of this leader.
@@ -146,8 +146,9 @@
         self.server = server.clone();
         self.cold_until = now + server.cold_ms;
         // A record may be seconds older than the last report or order, so it proves nothing about
-        // the current state. It is a reason to probe. Rejected: trusting a record some time after
-        // the last order, because members of a group whose head was serving then counted as free.
+        // the current state, but a difference is a reason to probe. Rejected: trusting a record
+        // some time after the last order, because members of a group whose head was serving then
+        // counted as free.
         self.wants_probe |= !self.holding.has_same_models_and_group(&server.holding);
     }
 
--- a/crates/oliveworks-gateway-core/src/rate_limits.rs
+++ b/crates/oliveworks-gateway-core/src/rate_limits.rs
@@ -132,7 +132,7 @@
     /// Returns whether a request with this permit may be sent to a backend server now. A limit may
     /// have been named after the request was assigned.
     pub fn may_send(&self, now: Millis, target: Target, permit: Option<Permit>) -> bool {
-        self.limits.rate(target).is_none() || permit.is_some_and(|permit| permit.holds(now))
+        self.limits.rate(target).is_none() || permit.is_some_and(|permit| permit.is_valid(now))
     }
 
     /// Returns the next step for a request that needs a permit for a backend server with a rate
@@ -165,7 +165,7 @@
         let grant = match limit.rate {
             None => Grant::Permit,
             Some(rate) if is_limiter && members.sharers(now).is_some() => {
-                let per_s = rate.per_s() * members.heard_part(now);
+                let per_s = rate.per_s() * members.observed_share(now);
                 self.buckets.ask(now, target, per_s, question.need)
             }
             Some(_) => Grant::After(NO_LIMITER_RETRY_MS),
@@ -191,7 +191,7 @@
         if limiter != members.own() {
             return Some(limiter);
         }
-        self.buckets.spend(now, target, rate.per_s() * members.heard_part(now));
+        self.buckets.spend(now, target, rate.per_s() * members.observed_share(now));
         None
     }
 
--- a/crates/oliveworks-gateway-core/src/rate_limits/limits.rs
+++ b/crates/oliveworks-gateway-core/src/rate_limits/limits.rs
@@ -8,8 +8,9 @@
 //! newer than that revision.
 //!
 //! Rejected: ordering by the time at which a limit was named (a forwarded report is delayed by an
-//! unknown time, and a limit that has ended would come back), and limits that expire (an overloaded
-//! backend server that receives no requests for a while would then receive as many as before).
+//! unknown time, and a limit that has ended would be in force again), and limits that expire (an
+//! overloaded backend server that receives no requests for a while would then receive as many as
+//! before).
 
 use std::collections::HashMap;
 
@@ -36,7 +37,7 @@
 pub struct Limit {
     /// The backend server to which the limit applies.
     pub target: Target,
-    /// The incarnation of the backend server that named the limit, if known.
+    /// Start of the incarnation of the backend server that named the limit, if known.
     pub life: Option<Born>,
     /// Number of changes in this incarnation.
     pub revision: u32,
@@ -68,8 +69,8 @@
 pub struct RateObservation {
     /// The backend server that answered.
     pub target: Target,
-    /// The incarnation of the backend server, as known when the request was sent.
-    pub life: Option<Born>,
+    /// Start of the incarnation of the backend server, as known when the request was sent.
+    pub incarnation: Option<Born>,
     /// Time at which the request was sent.
     pub sent_at: Millis,
     /// The rate that the answer names.
@@ -93,21 +94,22 @@
 
 impl Limits {
     /// Applies the rate information of an answer, and returns whether the known limit changes.
-    pub fn observe(&mut self, now: Millis, heard: RateObservation) -> bool {
-        let RateObservation { target, life, sent_at, rate, would_name } = heard;
+    pub fn observe(&mut self, now: Millis, observation: RateObservation) -> bool {
+        let RateObservation { target, incarnation, sent_at, rate, would_name } = observation;
         if rate.is_none() && !would_name {
             return false;
         }
         let known = self.0.get(&target).copied();
         let Some(known) = known else {
-            let limit = Limit { target, life, revision: 1, rate };
+            let limit = Limit { target, life: incarnation, revision: 1, rate };
             return rate.is_some() && self.learn(now, limit);
         };
-        let incarnation_order = life.zip(known.limit.life).map(|(own, known)| own.cmp(&known));
+        let incarnation_order =
+            incarnation.zip(known.limit.life).map(|(own, known)| own.cmp(&known));
         match incarnation_order {
             Some(std::cmp::Ordering::Less) => false,
             Some(std::cmp::Ordering::Greater) => {
-                self.learn(now, Limit { target, life, revision: 1, rate })
+                self.learn(now, Limit { target, life: incarnation, revision: 1, rate })
             }
             _ => {
                 let is_newer = sent_at >= known.learned_at;
@@ -117,7 +119,7 @@
                 applies
                     && self.learn(
                         now,
-                        Limit { life: life.or(known.limit.life), revision, rate, target },
+                        Limit { life: incarnation.or(known.limit.life), revision, rate, target },
                     )
             }
         }
--- a/crates/oliveworks-gateway-core/tests/decisions.rs
+++ b/crates/oliveworks-gateway-core/tests/decisions.rs
@@ -11,7 +11,7 @@
 use oliveworks_gateway_core::events::{Pass, Progress, Splitter};
 use oliveworks_gateway_core::fan_out::Source;
 use oliveworks_gateway_core::freshness::Freshness;
-use oliveworks_gateway_core::place::Place;
+use oliveworks_gateway_core::position::Position;
 use oliveworks_gateway_core::suspensions::Suspensions;
 use proptest::prelude::*;
 use test_case::test_case;
--- a/crates/oliveworks-gateway-core/tests/drains.rs
+++ b/crates/oliveworks-gateway-core/tests/drains.rs
@@ -4,7 +4,7 @@
 
 use oliveworks_gateway_core::drains::{Drains, Ended};
 use oliveworks_gateway_core::era::Era;
-use oliveworks_gateway_core::place::Place;
+use oliveworks_gateway_core::position::Position;
 use oliveworks_gateway_core::replay::ReplayBuffer;
 
 /// Returns a place in a topic of a store that reports no era.
@@ -52,7 +52,7 @@
     drains.replace_all(200, &names(&[]));
     drains.end(200, "west");
     drains.begin(200, "west");
-    assert!(drains.holds("west"));
+    assert!(drains.contains("west"));
 }
 
 /// A gateway that has read further than the gateway that it asks does not treat a drain as ended
@@ -106,7 +106,7 @@
     let mut drains = Drains::default();
     drains.begin(100, "west");
     drains.begin(200, "east");
-    drains.read_in_part(&names(&["east"]));
+    drains.mark_unread_unconfirmed(&names(&["east"]));
     assert_eq!(drains.failure_domains(), names(&["east", "west"]));
     assert!(drains.any_unconfirmed());
     assert_eq!(drains.replace_all(5_000, &names(&["east"])), [ended("west", 4_900)]);
@@ -126,7 +126,7 @@
 fn a_drain_that_the_store_lacks_ends_by_its_own_record() {
     let mut drains = Drains::default();
     drains.begin(100, "west");
-    drains.read_in_part(&names(&[]));
+    drains.mark_unread_unconfirmed(&names(&[]));
     assert_eq!(drains.end(700, "west"), Some(ended("west", 600)));
     assert!(!drains.any_unconfirmed());
 }
--- a/crates/oliveworks-gateway-core/tests/members.rs
+++ b/crates/oliveworks-gateway-core/tests/members.rs
@@ -12,8 +12,8 @@
 /// Returns the members as seen by a gateway that has known all of them for long.
 fn members_known_to(own: u64, all: &[u64]) -> Members {
     let mut members = Members::new(own, all.len() == 1, 0);
-    all.iter().for_each(|other| members.heard(*other, 1_000));
-    all.iter().for_each(|other| members.heard(*other, 10_000));
+    all.iter().for_each(|other| members.record_contact(*other, 1_000));
+    all.iter().for_each(|other| members.record_contact(*other, 10_000));
     members
 }
 
@@ -58,9 +58,9 @@
 #[test]
 fn a_new_gateway_has_no_share_until_peers_have_heard_of_it() {
     let mut members = Members::new(0, false, 5_000);
-    members.heard(1, 5_100);
-    assert_eq!(members.part(6_999, 47.0, Target(1)), 0);
-    assert!(members.part(7_000, 47.0, Target(1)) > 0);
+    members.record_contact(1, 5_100);
+    assert_eq!(members.share(6_999, 47.0, Target(1)), 0);
+    assert!(members.share(7_000, 47.0, Target(1)) > 0);
 }
 
 #[test]
@@ -81,7 +81,7 @@
     let mut members = members_known_to(0, &[0, 1, 2, 3]);
     let before = members.part(10_000, 47.0, Target(1));
     (11..1_000).for_each(|second| members.retain(second * 1_000));
-    assert_eq!(members.part(1_000_000, 47.0, Target(1)), before);
+    assert_eq!(members.share(1_000_000, 47.0, Target(1)), before);
 }
 
 /// Three of fifteen gateways that are cut off together still receive each other's heartbeats.
@@ -90,8 +90,8 @@
     let all: Vec<u64> = (0..15).collect();
     let mut members = members_known_to(0, &all);
     for second in 11..1_000 {
-        members.heard(1, second * 1_000);
-        members.heard(2, second * 1_000);
+        members.record_contact(1, second * 1_000);
+        members.record_contact(2, second * 1_000);
         members.retain(second * 1_000);
     }
     assert_eq!(members.count(), 15);
@@ -116,7 +116,7 @@
     let all: Vec<u64> = (0..15).collect();
     let mut members = members_known_to(0, &all);
     members.retain(100_000);
-    (1..9).for_each(|other| members.heard(other, 100_100));
+    (1..9).for_each(|other| members.record_contact(other, 100_100));
     members.retain(100_100);
     assert_eq!(members.count(), 15);
 }
@@ -140,9 +140,9 @@
 #[test]
 fn a_gateway_that_hears_peers_late_waits_until_they_have_heard_of_it() {
     let mut members = Members::new(0, false, 5_000);
-    members.heard(1, 20_000);
-    assert_eq!(members.part(21_999, 47.0, Target(1)), 0);
-    assert!(members.part(22_000, 47.0, Target(1)) > 0);
+    members.record_contact(1, 20_000);
+    assert_eq!(members.share(21_999, 47.0, Target(1)), 0);
+    assert!(members.share(22_000, 47.0, Target(1)) > 0);
 }
 
 #[test]
--- a/crates/oliveworks-gateway-core/tests/missing.rs
+++ b/crates/oliveworks-gateway-core/tests/missing.rs
@@ -103,7 +103,7 @@
 /// Returns a state with a backend server that is gone since 900 ms, before the era became known.
 fn gone() -> Missing {
     let mut missing = Missing::default();
-    missing.dropped(900, "h1".into());
+    missing.record_removal(900, "h1".into());
     missing.sweep(900, read_at(900), &directory());
     missing
 }
@@ -122,7 +122,7 @@
 #[test]
 fn a_server_that_is_dropped_twice_keeps_its_incarnation() {
     let mut missing = gone();
-    missing.dropped(950, "h1".into());
+    missing.record_removal(950, "h1".into());
     missing.sweep(950, read_at(950), &Directory::default());
     assert!(!missing.is_old(&server(INCARNATION + 1, 1), true, era(KNOWN_SINCE)));
     assert!(missing.is_old(&server(INCARNATION, NUMBER), false, era(KNOWN_SINCE)));
--- a/crates/oliveworks-gateway-core/tests/rate_limits/replay.rs
+++ b/crates/oliveworks-gateway-core/tests/rate_limits/replay.rs
@@ -130,7 +130,7 @@
 fn gateway(world: World, own: usize, starts_at: u64) -> Gateway {
     let mut members = Members::new(own as u64, false, starts_at);
     if starts_at == 0 {
-        (0..world.gateways).for_each(|other| members.heard(other as u64, 0));
+        (0..world.gateways).for_each(|other| members.record_contact(other as u64, 0));
     }
     Gateway {
         limits: RateLimits::default(),
@@ -225,7 +225,7 @@
         }
         for gateway in &mut self.gateways {
             if gateway.wakes_at == now && gateway.frozen_ms > 0 {
-                gateway.members.paused(now, gateway.frozen_ms);
+                gateway.members.record_pause(now, gateway.frozen_ms);
             }
         }
     }
@@ -249,7 +249,7 @@
             heard.for_each(|(other, _)| gateway.members.heard(*other as u64, now));
             silent[usize::from(side)]
                 .iter()
-                .for_each(|(other, at)| gateway.members.heard(*other, *at));
+                .for_each(|(other, at)| gateway.members.record_contact(*other, *at));
             gateway.members.retain(now);
             gateway.limits.retain(now, |_| true);
             for host in 0..hosts {
@@ -382,7 +382,7 @@
     fn may_send_part(&mut self, now: u64, index: usize, host: Target) -> bool {
         let gateway = &mut self.gateways[index];
         let bound = self.world.per_s * WINDOW as f64 / 1_000.0;
-        let part = gateway.members.part(now, bound, host) as usize;
+        let part = gateway.members.share(now, bound, host) as usize;
         let sent = gateway.sent.entry(host).or_default();
         while sent.front().is_some_and(|at| now > at + WINDOW + TRANSIT_MAX_MS) {
             sent.pop_front();
--- a/crates/oliveworks-gateway-core/tests/replay.rs
+++ b/crates/oliveworks-gateway-core/tests/replay.rs
@@ -7,7 +7,7 @@
 
 use oliveworks_gateway_core::era::Era;
 use oliveworks_gateway_core::freshness::Freshness;
-use oliveworks_gateway_core::place::Place;
+use oliveworks_gateway_core::position::Position;
 use oliveworks_gateway_core::replay::{Kept, ReplayAnswer, ReplayBuffer};
 use oliveworks_gateway_core::sources::{
     LocalState, PeerState, ReadFrom, first_source, next_source,
--- a/crates/oliveworks-gateway-core/tests/restored_store/gateway.rs
+++ b/crates/oliveworks-gateway-core/tests/restored_store/gateway.rs
@@ -11,7 +11,7 @@
 use oliveworks_gateway_core::era::{Era, EraChange, StoreEra};
 use oliveworks_gateway_core::freshness::Freshness;
 use oliveworks_gateway_core::missing::{Missing, StoreState};
-use oliveworks_gateway_core::place::Place;
+use oliveworks_gateway_core::position::Position;
 use oliveworks_gateway_core::read_cursor::ReadCursor;
 use oliveworks_gateway_core::replay::ReplayBuffer;
 use oliveworks_gateway_core::sources::{LocalState, PeerState};
@@ -385,7 +385,7 @@
             let Record::Host(record) = record else { continue };
             let host = host(record);
             if record.gone {
-                self.missing.dropped(now, host.id);
+                self.missing.record_removal(now, host.id);
                 continue;
             }
             listed.insert(host.id.clone());
@@ -395,7 +395,7 @@
             if overtaken || (is_old && self.variant != Variant::CopiesListHosts) {
                 continue;
             }
-            self.missing.found(now, &host.id);
+            self.missing.record_listed(now, &host.id);
             if host.draining {
                 self.left.insert((host.id.to_string(), host.holding.born));
             }
@@ -406,8 +406,8 @@
             let known: Vec<Rc<str>> = self.directory.iter().map(|host| host.id.clone()).collect();
             for id in known.into_iter().filter(|id| !listed.contains(id)) {
                 match self.variant {
-                    Variant::CopiesDropHosts => self.missing.dropped(now, id),
-                    _ => self.missing.absent(now, id, self.era, by_store),
+                    Variant::CopiesDropHosts => self.missing.record_removal(now, id),
+                    _ => self.missing.record_absence(now, id, self.era, by_store),
                 }
             }
         }
@@ -447,7 +447,7 @@
                 version.into_iter().chain(drain).collect()
             }
             Topic::Hosts => {
-                let listed = self.directory.iter().filter(|host| !self.missing.holds(&host.id));
+                let listed = self.directory.iter().filter(|host| !self.missing.contains(&host.id));
                 listed.map(|host| Record::Host(record_of(host))).collect()
             }
             Topic::Claims => self.election.newest().map(Record::Claim).into_iter().collect(),
--- a/crates/oliveworks-gateway-core/tests/restored_store/world.rs
+++ b/crates/oliveworks-gateway-core/tests/restored_store/world.rs
@@ -347,7 +347,7 @@
             },
             Topic::Claims => {
                 let record = |offset, claim: &ClaimRecord| {
-                    let place = Place::new(Era(self.era_of(claim.era)), offset);
+                    let place = Position::new(Era(self.era_of(claim.era)), offset);
                     Record::Claim(Claim { place, claimant: claim.claimant })
                 };
                 records_from(&topics.claims, from.map_or(0, |from| from.offset), record)
@@ -379,7 +379,7 @@
         index: usize,
         other: usize,
         topic: Topic,
-        from: Option<Place>,
+        from: Option<Position>,
     ) -> Option<Answer> {
         if !self.can_reach(index, other) {
             return None;
@@ -439,7 +439,7 @@
         index: usize,
         topic: Topic,
         sent: u64,
-        from: Option<Place>,
+        from: Option<Position>,
         answer: Answer,
     ) -> bool {
         let now = self.now;
--- a/crates/oliveworks-gateway-core/tests/slow_start/cold.rs
+++ b/crates/oliveworks-gateway-core/tests/slow_start/cold.rs
@@ -78,7 +78,7 @@
     let mut slow_starts = warm();
     slow_starts.lost(5_000, HEAD);
     assert!(is_cold(&slow_starts, 60_000));
-    slow_starts.heard(60_000, HEAD, TERMS);
+    slow_starts.record_data(60_000, HEAD, TERMS);
     assert!(is_cold(&slow_starts, 62_999));
     assert!(!is_cold(&slow_starts, 63_000));
 }
@@ -88,7 +88,7 @@
 fn a_server_lost_again_is_doubted_again() {
     let mut slow_starts = warm();
     slow_starts.lost(5_000, HEAD);
-    slow_starts.heard(6_000, HEAD, TERMS);
+    slow_starts.record_data(6_000, HEAD, TERMS);
     slow_starts.lost(7_000, HEAD);
     assert!(is_cold(&slow_starts, 9_500));
 }
@@ -123,7 +123,7 @@
 #[test]
 fn after_a_pause_all_are_cold_until_records_are_read() {
     let mut slow_starts = warm();
-    slow_starts.paused(20_000, 4_000);
+    slow_starts.record_pause(20_000, 4_000);
     slow_starts.records_read(19_999);
     assert!(is_cold(&slow_starts, 20_100));
     slow_starts.records_read(20_000);
@@ -135,7 +135,7 @@
 #[test]
 fn doubt_after_a_pause_ends_without_the_store() {
     let mut slow_starts = warm();
-    slow_starts.paused(20_000, 4_000);
+    slow_starts.record_pause(20_000, 4_000);
     assert!(!is_cold(&slow_starts, 20_000 + TERMS.lasts_ms + LAG_MS));
 }
 
@@ -182,7 +182,7 @@
 fn a_list_of_a_gateway_without_the_store_does_not_say_that_one_is_warm() {
     let mut slow_starts = without_records();
     record(&mut slow_starts, 1_000, 0, Listed::Late);
-    slow_starts.heard(20_000, HEAD, TERMS);
+    slow_starts.record_data(20_000, HEAD, TERMS);
     assert!(is_cold(&slow_starts, 22_999));
     assert!(!is_cold(&slow_starts, 23_000));
 }
@@ -248,7 +248,7 @@
     let mut slow_starts = warm();
     slow_starts.drain_ended(5_000, HEAD, None);
     assert!(is_cold(&slow_starts, 60_000));
-    slow_starts.heard(61_000, HEAD, TERMS);
+    slow_starts.record_data(61_000, HEAD, TERMS);
     assert!(is_cold(&slow_starts, 61_000 + TERMS.lasts_ms - 1));
     assert!(!is_cold(&slow_starts, 61_000 + TERMS.lasts_ms));
 }
--- a/crates/oliveworks-gateway-core/tests/slow_start/replay.rs
+++ b/crates/oliveworks-gateway-core/tests/slow_start/replay.rs
@@ -211,7 +211,7 @@
     slow_starts.record(BEGAN, HEAD, Some(TERMS.lasts_ms), END, Listed::Newly);
     if known {
         for at in [0, BEGAN] {
-            (0..fleet.known).for_each(|other| members.heard(other as u64, at));
+            (0..fleet.known).for_each(|other| members.record_contact(other as u64, at));
         }
     }
     let cut_off = index < fleet.cut_off;
--- a/crates/oliveworks-gateway-core/tests/worst_load/world.rs
+++ b/crates/oliveworks-gateway-core/tests/worst_load/world.rs
@@ -300,7 +300,7 @@
             tokens: arrival.tokens,
             full_at,
             goal_ms: self.model.goal_ms,
-            parts,
+            capacity_shares: parts,
         };
         gateway.admission.admit(now, &gateway.balance, &admission_request, &mut candidates);
         let chosen = match spills {
--- a/crates/oliveworks-gateway/src/dialect.rs
+++ b/crates/oliveworks-gateway/src/dialect.rs
@@ -7,8 +7,8 @@
 use oliveworks_gateway_core::configuration::Configuration;
 use oliveworks_gateway_core::election::Claim;
 use oliveworks_gateway_core::era::Era;
-use oliveworks_gateway_core::place::Place;
 use oliveworks_gateway_core::planner::{Order, Outcome};
+use oliveworks_gateway_core::position::Position;
 use oliveworks_gateway_core::rate_limits::Rate;
 use serde::{Deserialize, Serialize};
 
@@ -46,7 +46,7 @@
 pub enum Record {
     /// A version of the configuration.
     Configuration(Configuration),
-    /// Begin or end of the drain of a failure domain; part of the configuration's topic.
+    /// Start or end of the drain of a failure domain; part of the configuration's topic.
     Drain {
         /// Name of the failure domain.
         failure_domain: String,
@@ -155,7 +155,7 @@
 pub enum RetryAfter {
     /// The answer names no time.
     #[default]
-    NotTold,
+    Absent,
     /// Number of ms to wait.
     Ms(u64),
     /// The value cannot be parsed.
@@ -167,7 +167,7 @@
 pub enum NamedLimit {
     /// The answer names no limit.
     #[default]
-    NotTold,
+    Absent,
     /// Rate of accepted requests.
     Rate(Rate),
     /// The value cannot be parsed.
@@ -179,7 +179,7 @@
 pub enum NamedEra {
     /// The answer names no era.
     #[default]
-    NotTold,
+    Absent,
     /// Era of the store.
     Era(Era),
     /// The value cannot be parsed.
@@ -193,7 +193,7 @@
     pub id: Option<String>,
     /// Whether the answer carries the backend server's signature.
     pub signed: bool,
-    /// Whether the answer says that the request did not run.
+    /// Whether the answer states that the request did not run.
     pub not_run: bool,
     /// Whether the body is encoded, for which no caller asks.
     pub encoded: bool,
@@ -215,8 +215,8 @@
     /// Returns an error if the request has no id.
     fn parse_request(&self, headers: &Headers) -> Result<RequestInfo, Malformed>;
     /// Returns the headers for a backend server: those of the caller, except for headers reserved
-    /// for this system, and those with the information in `said`.
-    fn outgoing_headers(&self, headers: &Headers, said: &ForwardInfo<'_>) -> Headers;
+    /// for this system, and those with the information in `info`.
+    fn outgoing_headers(&self, headers: &Headers, info: &ForwardInfo<'_>) -> Headers;
     /// Reads the relevant parts of an answer's head.
     fn parse_answer(&self, status: u16, headers: &Headers) -> AnswerInfo;
     /// Returns the header with the time after which a caller may retry.
@@ -250,7 +250,7 @@
         body: &[u8],
     ) -> Result<Tail, Malformed>;
     /// Builds the call that claims the leadership if the topic still ends at `end`.
-    fn claim_call(&self, end: Place, claimant: u64) -> Call;
+    fn claim_call(&self, end: Position, claimant: u64) -> Call;
     /// Parses the answer to a claim.
     ///
     /// # Errors
--- a/crates/oliveworks-gateway/src/heartbeat.rs
+++ b/crates/oliveworks-gateway/src/heartbeat.rs
@@ -58,7 +58,7 @@
     figures: Figures,
     /// Outstanding requests.
     telling: LoadReport,
-    /// Recent requests that looked for a place, per model.
+    /// Counts of recent requests that needed a place, per model.
     looked: Vec<(ModelKey, RequestCounts)>,
     /// Groups that the sender observes as stalled.
     suspects: Vec<u64>,
@@ -154,23 +154,23 @@
     }
 }
 
-/// Returns what this failure domain knows of outstanding requests, for reports to other domains.
+/// Returns the outstanding requests known in this failure domain, for reports to other domains.
 pub fn domain_figures(gateway: &Gateway) -> DomainLoad {
     let now = gateway.now();
     let balance = gateway.balance.borrow();
-    let near = balance.received_by_local_peers_since(now.saturating_sub(HEARD_LOCAL_MS));
-    let heard = balance.received_since(now.saturating_sub(HEARD_MS)).chain(near).collect();
+    let local = balance.received_by_local_peers_since(now.saturating_sub(HEARD_LOCAL_MS));
+    let heard = balance.received_since(now.saturating_sub(HEARD_MS)).chain(local).collect();
     DomainLoad { open: balance.domain_open(now), heard }
 }
 
 /// Returns the heartbeat for another failure domain, with the sums over the gateways of this
 /// domain.
-pub fn for_domain(gateway: &Gateway, own: &Beat, known: &DomainLoad, listener: &str) -> Beat {
+pub fn for_domain(gateway: &Gateway, own: &Beat, known: &DomainLoad, recipient: &str) -> Beat {
     let now = gateway.now();
-    let source = domain_source(listener);
+    let source = domain_source(recipient);
     let due = gateway.elsewhere_reports.borrow_mut().is_due(now, source, known.open.len());
     let directory = gateway.directory.borrow();
-    let is_there = |target| directory.failure_domain(target) == Some(listener);
+    let is_there = |target| directory.failure_domain(target) == Some(recipient);
     let telling =
         load_report::remote_report(&gateway.balance.borrow(), now, known, source, is_there, due);
     let looked = gateway.demand.borrow().failure_domain_counts(now).into_iter().collect();
@@ -200,8 +200,8 @@
     reports.collect()
 }
 
-/// Processes a heartbeat, except for what it says about the leader, which is returned to the
-/// caller.
+/// Processes a heartbeat, except for the forwarded heartbeat of the leader, which is returned to
+/// the caller.
 pub fn process(gateway: &Gateway, from: SocketAddr, beat: Beat) -> Option<LeaderHeartbeat> {
     let now = gateway.now();
     if beat.node == gateway.settings.node {
@@ -212,16 +212,16 @@
     if beat.traffic {
         gateway.traffic.set(true);
     }
-    let near = beat.failure_domain == gateway.settings.failure_domain;
-    let source = match near {
+    let is_local = beat.failure_domain == gateway.settings.failure_domain;
+    let source = match is_local {
         true => Source::Gateway(xxh3_64(beat.node.as_bytes())),
         false => domain_source(&beat.failure_domain),
     };
     record_heard_targets(gateway, now, source, &beat.telling);
     let is_for_this_gateway = match beat.figures {
         Figures::None => false,
-        Figures::OfGateway => near,
-        Figures::OfFailureDomain => !near,
+        Figures::OfGateway => is_local,
+        Figures::OfFailureDomain => !is_local,
     };
     if is_for_this_gateway {
         gateway.demand.borrow_mut().record_peer(now, source, beat.looked.into_iter().collect());
@@ -268,7 +268,7 @@
     }
 }
 
-/// Records the gateways that share the limits on what all gateways may send together.
+/// Records the gateways that share the limits on the sends of all gateways together.
 fn record_sharers(gateway: &Gateway, now: Millis, beat: &Beat) {
     let sender = std::iter::once((members::hash(&beat.node), now));
     let reported = beat
--- a/crates/oliveworks-gateway/src/members.rs
+++ b/crates/oliveworks-gateway/src/members.rs
@@ -1,5 +1,5 @@
-//! Gateways that share limits on what all of them may send together: records messages from them,
-//! and reports the silent ones.
+//! Gateways that share limits on the sends of all gateways together: records messages from these
+//! gateways, and reports the silent ones.
 
 use oliveworks_gateway_core::Millis;
 use oliveworks_gateway_core::members::Members;
@@ -25,7 +25,7 @@
     pub fn record_members(&self, gateways: impl IntoIterator<Item = (u64, Millis)>) {
         let mut members = self.members.borrow_mut();
         for (gateway, at) in gateways {
-            members.heard(gateway, at);
+            members.record_contact(gateway, at);
         }
     }
 
--- a/crates/oliveworks-gateway/src/records.rs
+++ b/crates/oliveworks-gateway/src/records.rs
@@ -10,7 +10,7 @@
 use oliveworks_gateway_core::balance::Target;
 use oliveworks_gateway_core::configuration::{Configuration, Lookup};
 use oliveworks_gateway_core::listing::{Listing, ListingConfig};
-use oliveworks_gateway_core::place::Place;
+use oliveworks_gateway_core::position::Position;
 use oliveworks_gateway_core::repeats::Repeats;
 use oliveworks_gateway_core::replay::Kept;
 use oliveworks_gateway_core::slow_start::cold::{Listed, Reading};
@@ -32,7 +32,7 @@
 /// Time without new backend servers after which the list counts as complete, in ms.
 const SERVERS_SETTLE_MS: u64 = 1_500;
 
-fn apply_configuration(gateway: &Gateway, step: Step, next: Option<Place>) {
+fn apply_configuration(gateway: &Gateway, step: Step, next: Option<Position>) {
     let mut drained_domains = BTreeSet::new();
     for record in step.records {
         match record {
@@ -142,7 +142,7 @@
 
 /// Keeps the records of a step for gateways that read through this one; `next` is the position
 /// after them.
-fn keep_for_peers(gateway: &Gateway, topic: Topic, step: &Step, next: Option<Place>) {
+fn keep_for_peers(gateway: &Gateway, topic: Topic, step: &Step, next: Option<Position>) {
     let mut buffer = gateway.replay_buffer(topic).borrow_mut();
     match next {
         Some(next) if step.snapshot => buffer.restart_at(next),
@@ -197,7 +197,7 @@
     true
 }
 
-/// Adds to a record what the backend server itself said about leaving.
+/// Marks the record of a backend server as draining if the server has announced that it leaves.
 fn with_leaving(gateway: &Gateway, record: Record) -> Record {
     match record {
         Record::BackendServer(server) => {
@@ -229,7 +229,7 @@
             }
             Record::BackendServer(server) => {
                 let restarted = has_restarted(gateway, server);
-                let is_back = missing.found(now, &server.id) && !restarted;
+                let is_back = missing.record_listed(now, &server.id) && !restarted;
                 listed.insert(server.id.clone());
                 if let Some(planner) = gateway.planners.borrow_mut().get_mut(&server.service) {
                     planner.handle_listed_host(now, server);
@@ -259,12 +259,12 @@
                 is_repeat = repeats.is_repeat(now, &server.id, changed || is_back);
             }
             Record::BackendServerGone(id) => {
-                missing.dropped(now, id.clone());
+                missing.record_removal(now, id.clone());
                 repeats.gone(id);
             }
             Record::BackendServerUnusable { id, why } => {
                 warn!("servers: {id}: {why}");
-                missing.dropped(now, id.clone());
+                missing.record_removal(now, id.clone());
                 repeats.gone(id);
             }
             Record::Unknown(why) => warn!("servers: {why}"),
@@ -276,7 +276,7 @@
         let by_store = step.source == RecordSource::Store;
         for server in gateway.directory.borrow().iter() {
             if !listed.contains(&server.id) {
-                missing.absent(now, server.id.clone(), store_era, by_store);
+                missing.record_absence(now, server.id.clone(), store_era, by_store);
             }
         }
         gateway.directory_read.set(true);
@@ -305,7 +305,12 @@
 
 /// Keeps records of backend servers for gateways that read through this one, and notifies these if
 /// there are new records.
-fn keep_servers(gateway: &Gateway, kept: Vec<Kept<Record>>, snapshot: bool, next: Option<Place>) {
+fn keep_servers(
+    gateway: &Gateway,
+    kept: Vec<Kept<Record>>,
+    snapshot: bool,
+    next: Option<Position>,
+) {
     let news = snapshot || kept.iter().any(|kept| !kept.is_repeat);
     let mut buffer = gateway.replay_buffer(Topic::BackendServers).borrow_mut();
     match next {
--- a/crates/oliveworks-gateway/src/state.rs
+++ b/crates/oliveworks-gateway/src/state.rs
@@ -64,11 +64,11 @@
     pub version: Option<u64>,
 }
 
-/// Time after the begin of a stop during which new connections may still arrive, in ms. The
+/// Time after the start of a stop during which new connections may still arrive, in ms. The
 /// platform checks the readiness of a process once a second and removes it after two failed checks.
 pub const STOP_NOTICE_MS: u64 = 2_300;
 /// Gap between two ticks, in ms, after which the process counts as having been paused.
-const ASLEEP_MS: u64 = 150;
+const PAUSE_MIN_MS: u64 = 150;
 /// Gap between two ticks, in ms, after which waiting tasks check the clock again. For shorter gaps,
 /// repeating their requests would cost more than waiting.
 const RESUMED_MS: u64 = 1_000;
@@ -132,7 +132,7 @@
     /// Rate limits named by backend servers, and permits for them.
     pub rate_limits: RefCell<RateLimits>,
     /// Notifies waiting requests that a permit has arrived.
-    pub permits_came: Notify,
+    pub permits_received: Notify,
     /// Outgoing messages to limiters, with their addresses.
     pub to_limiters: RefCell<Vec<(SocketAddr, ToLimiter)>>,
     /// Time of the last log line on the limit of each backend server.
@@ -141,7 +141,7 @@
     pub unread_headers: RefCell<HashSet<String>>,
     /// Remaining wait of callers per route, used to recognize callers that retry.
     pub waits: RefCell<Waits>,
-    /// Gateways that share the limits on what all of them may send together.
+    /// Gateways that share the limits on the sends of all gateways together.
     pub members: RefCell<Members>,
     /// Cold backend servers; none if the load on cold backend servers is not limited.
     pub slow_starts: RefCell<Option<SlowStarts>>,
@@ -181,8 +181,8 @@
     pub changes_to_forward: RefCell<Vec<Change>>,
     /// Received parts of a newer table.
     pub table_parts: RefCell<Assembly>,
-    /// Times at which the sums of requests outstanding elsewhere were last sent to each failure
-    /// domain.
+    /// Times at which the sums of the requests outstanding outside a failure domain were last sent
+    /// to that domain.
     pub elsewhere_reports: RefCell<ReportIntervals>,
     /// Whether the next heartbeat is sent at once.
     pub heartbeat_is_urgent: Cell<bool>,
@@ -207,7 +207,7 @@
     /// Notifies waiting tasks that the process continues after a pause.
     pub resumed: Notify,
     ticked_at: Cell<Millis>,
-    woke_at: Cell<Millis>,
+    resumed_at: Cell<Millis>,
 }
 
 impl Gateway {
@@ -248,7 +248,7 @@
             convictions: Notify::new(),
             backoffs: RefCell::default(),
             rate_limits: RefCell::default(),
-            permits_came: Notify::new(),
+            permits_received: Notify::new(),
             to_limiters: RefCell::default(),
             limit_logged_at: RefCell::default(),
             unread_headers: RefCell::default(),
@@ -286,7 +286,7 @@
             latencies: RefCell::default(),
             resumed: Notify::new(),
             ticked_at: Cell::new(now),
-            woke_at: Cell::new(0),
+            resumed_at: Cell::new(0),
             clock,
             settings,
         }
@@ -305,12 +305,12 @@
     /// Records that the process is running; called every few tens of ms.
     pub fn tick(&self) {
         let now = self.now();
-        if now > self.ticked_at.get() + ASLEEP_MS {
+        if now > self.ticked_at.get() + PAUSE_MIN_MS {
             let paused_ms = now - self.ticked_at.get();
-            self.woke_at.set(now);
-            self.members.borrow_mut().paused(now, paused_ms);
+            self.resumed_at.set(now);
+            self.members.borrow_mut().record_pause(now, paused_ms);
             if let Some(slow_starts) = self.slow_starts.borrow_mut().as_mut() {
-                slow_starts.paused(now, paused_ms);
+                slow_starts.record_pause(now, paused_ms);
             }
             self.notify_resumed(paused_ms);
         }
@@ -332,31 +332,31 @@
     /// this time proves nothing.
     pub fn awake_since(&self) -> Millis {
         let now = self.now();
-        match now > self.ticked_at.get() + ASLEEP_MS {
+        match now > self.ticked_at.get() + PAUSE_MIN_MS {
             true => now,
-            false => self.woke_at.get(),
+            false => self.resumed_at.get(),
         }
     }
 
     /// Increments a counter.
-    pub fn count(&self, what: &str) {
-        self.count_by(what, 1);
+    pub fn count(&self, name: &str) {
+        self.count_by(name, 1);
     }
 
     /// Adds an amount, such as a number of bytes, to a counter.
-    pub fn count_by(&self, what: &str, much: u64) {
+    pub fn count_by(&self, name: &str, amount: u64) {
         let mut counters = self.counters.borrow_mut();
-        match counters.get_mut(what) {
-            Some(count) => *count += much,
+        match counters.get_mut(name) {
+            Some(count) => *count += amount,
             None => {
-                counters.insert(what.to_owned(), much);
+                counters.insert(name.to_owned(), amount);
             }
         }
     }
 
     /// Records a latency in ms.
-    pub fn note_latency(&self, what: &'static str, ms: u64) {
-        self.latencies.borrow_mut().note(what, ms.saturating_mul(1_000));
+    pub fn note_latency(&self, kind: &'static str, ms: u64) {
+        self.latencies.borrow_mut().note(kind, ms.saturating_mul(1_000));
     }
 
     /// Returns whether the process is stopping.
@@ -414,11 +414,11 @@
     }
 
     /// Records a failed call to the store.
-    pub fn store_failed(&self, what: &str, why: &str) {
+    pub fn store_failed(&self, call: &str, why: &str) {
         let now = self.now();
         if self.store_failed_at.get().is_none_or(|at| now > at + 1_000) {
             Event::new("store_call_failed")
-                .with("call", what)
+                .with("call", call)
                 .with("why", why)
                 .with("last_answer_ms_ago", now - self.store_answered_at.get())
                 .write();
