--- a/crates/oliveworks-gateway-core/tests/decisions.rs
+++ b/crates/oliveworks-gateway-core/tests/decisions.rs
@@ -350,8 +350,8 @@
 }
 
 /// Returns a place in a topic of a store that reports no era.
-fn place(offset: u64) -> Place {
-    Place::new(Era::default(), offset)
+fn place(offset: u64) -> Position {
+    Position::new(Era::default(), offset)
 }
 
 /// Returns the claim that results in `fence` at such a place.
--- a/crates/oliveworks-gateway-core/tests/drains.rs
+++ b/crates/oliveworks-gateway-core/tests/drains.rs
@@ -8,8 +8,8 @@
 use oliveworks_gateway_core::replay::ReplayBuffer;
 
 /// Returns a place in a topic of a store that reports no era.
-fn place(offset: u64) -> Place {
-    Place::new(Era::default(), offset)
+fn place(offset: u64) -> Position {
+    Position::new(Era::default(), offset)
 }
 
 fn names(names: &[&str]) -> BTreeSet<String> {
@@ -25,7 +25,7 @@
     let mut drains = Drains::default();
     assert!(drains.begin(100, "west"));
     assert!(!drains.begin(200, "west"), "the drain is already known");
-    assert!(drains.holds("west") && !drains.holds("east"));
+    assert!(drains.contains("west") && !drains.contains("east"));
     assert_eq!(drains.end(500, "west"), Some(ended("west", 400)));
     assert_eq!(drains.end(600, "west"), None);
     assert!(drains.is_empty());
@@ -117,7 +117,7 @@
 fn a_rewritten_drain_is_no_longer_unconfirmed() {
     let mut drains = Drains::default();
     drains.begin(100, "west");
-    drains.read_in_part(&names(&[]));
+    drains.mark_unread_unconfirmed(&names(&[]));
     assert!(!drains.begin(1_000, "west"), "the drain is already known");
     assert!(!drains.any_unconfirmed());
 }
--- a/crates/oliveworks-gateway-core/tests/fan_out.rs
+++ b/crates/oliveworks-gateway-core/tests/fan_out.rs
@@ -35,9 +35,9 @@
                     (name.as_str(), others.copied().collect())
                 })
                 .collect();
-            let Recipients { near, far } = recipients(own, &others, rng.next_u64());
-            reached.extend(near);
-            reached.extend(far);
+            let Recipients { local, remote } = recipients(own, &others, rng.next_u64());
+            reached.extend(local);
+            reached.extend(remote);
         }
     }
     reached.len()
@@ -60,15 +60,15 @@
     let all = gateways(domains, each);
     let others = all.iter().map(|(name, addresses)| (name.as_str(), addresses.clone())).collect();
     for draw in 0..200 {
-        let Recipients { near, far } = recipients("d0", &others, draw);
+        let Recipients { local, remote } = recipients("d0", &others, draw);
         assert!(
-            near.len() + far.len() <= limit,
+            local.len() + remote.len() <= limit,
             "{} local and {} remote recipients",
-            near.len(),
-            far.len()
+            local.len(),
+            remote.len()
         );
-        let distinct: BTreeSet<_> = near.iter().chain(&far).collect();
-        assert_eq!(distinct.len(), near.len() + far.len(), "no gateway is a recipient twice");
+        let distinct: BTreeSet<_> = local.iter().chain(&remote).collect();
+        assert_eq!(distinct.len(), local.len() + remote.len(), "no gateway is a recipient twice");
     }
 }
 
--- a/crates/oliveworks-gateway-core/tests/members.rs
+++ b/crates/oliveworks-gateway-core/tests/members.rs
@@ -18,7 +18,7 @@
 }
 
 fn shares(all: &[u64], bound: f64, target: Target) -> Vec<u32> {
-    all.iter().map(|own| members_known_to(*own, all).part(10_000, bound, target)).collect()
+    all.iter().map(|own| members_known_to(*own, all).share(10_000, bound, target)).collect()
 }
 
 #[test_case(1, 47.0; "one")]
@@ -40,7 +40,7 @@
     let all: Vec<u64> = (0..53).collect();
     for own in &all {
         let members = members_known_to(*own, &all);
-        let shares = (0..40).map(|target| members.part(10_000, 18.5, Target(target)));
+        let shares = (0..40).map(|target| members.share(10_000, 18.5, Target(target)));
         assert!(shares.max() == Some(1), "gateway {own}");
     }
 }
@@ -50,7 +50,7 @@
 fn a_part_never_grows_with_more_gateways() {
     let all: Vec<u64> = (0..40).collect();
     for target in (0..20).map(Target) {
-        let part = |count: usize| members_known_to(0, &all[..count]).part(10_000, 47.0, target);
+        let part = |count: usize| members_known_to(0, &all[..count]).share(10_000, 47.0, target);
         assert!((1..40).all(|count| part(count + 1) <= part(count)));
     }
 }
@@ -65,21 +65,21 @@
 
 #[test]
 fn a_gateway_without_peers_has_the_whole_share_at_once() {
-    assert_eq!(Members::new(0, true, 5_000).part(5_000, 47.0, Target(1)), shared_part(47.0));
+    assert_eq!(Members::new(0, true, 5_000).share(5_000, 47.0, Target(1)), shared_part(47.0));
 }
 
 #[test]
 fn a_gateway_paused_for_long_counts_as_new() {
     let mut members = members_known_to(0, &[0, 1, 2]);
-    members.paused(20_000, 3_500);
-    assert_eq!(members.part(21_999, 47.0, Target(1)), 0);
-    assert!(members.part(22_000, 47.0, Target(1)) > 0);
+    members.record_pause(20_000, 3_500);
+    assert_eq!(members.share(21_999, 47.0, Target(1)), 0);
+    assert!(members.share(22_000, 47.0, Target(1)) > 0);
 }
 
 #[test]
 fn a_gateway_that_hears_nobody_keeps_its_share() {
     let mut members = members_known_to(0, &[0, 1, 2, 3]);
-    let before = members.part(10_000, 47.0, Target(1));
+    let before = members.share(10_000, 47.0, Target(1));
     (11..1_000).for_each(|second| members.retain(second * 1_000));
     assert_eq!(members.share(1_000_000, 47.0, Target(1)), before);
 }
@@ -101,7 +101,8 @@
 fn gone_peers_are_forgotten_after_a_minute() {
     let all: Vec<u64> = (0..15).collect();
     let mut members = members_known_to(0, &all);
-    let observe = |members: &mut Members, now| (1..12).for_each(|other| members.heard(other, now));
+    let observe =
+        |members: &mut Members, now| (1..12).for_each(|other| members.record_contact(other, now));
     observe(&mut members, 69_000);
     members.retain(69_000);
     assert_eq!(members.count(), 15);
@@ -133,8 +134,8 @@
 #[test]
 fn a_new_gateway_that_hears_nobody_sends_nothing_for_a_minute() {
     let members = Members::new(0, false, 5_000);
-    assert_eq!(members.part(64_999, 47.0, Target(1)), 0);
-    assert_eq!(members.part(65_000, 47.0, Target(1)), shared_part(47.0));
+    assert_eq!(members.share(64_999, 47.0, Target(1)), 0);
+    assert_eq!(members.share(65_000, 47.0, Target(1)), shared_part(47.0));
 }
 
 #[test]
@@ -158,7 +159,7 @@
     let members = Members::new(0, false, 5_000);
     assert_eq!(members.sharers(30_000), None);
     let mut members = Members::new(0, false, 5_000);
-    members.heard(1, 40_000);
+    members.record_contact(1, 40_000);
     assert_eq!(members.sharers(41_999), None, "other gateways may not count this one yet");
     assert_eq!(members.sharers(42_000), Some(2));
 }
--- a/crates/oliveworks-gateway-core/tests/missing.rs
+++ b/crates/oliveworks-gateway-core/tests/missing.rs
@@ -52,15 +52,15 @@
 #[test]
 fn a_server_that_a_record_drops_is_gone_at_once() {
     let mut missing = Missing::default();
-    missing.dropped(1_100, "h1".into());
+    missing.record_removal(1_100, "h1".into());
     assert_eq!(departed(&mut missing, 1_200, read_at(1_100)).len(), 1);
-    assert!(missing.has_gone("h1") && !missing.holds("h1"));
+    assert!(missing.has_gone("h1") && !missing.contains("h1"));
 }
 
 #[test]
 fn a_server_that_a_copy_lacks_is_gone_after_the_time_to_rewrite() {
     let mut missing = Missing::default();
-    missing.absent(1_100, "h1".into(), era(KNOWN_SINCE), true);
+    missing.record_absence(1_100, "h1".into(), era(KNOWN_SINCE), true);
     assert_eq!(departed(&mut missing, LACKS_UNTIL - 1, read_at(LACKS_UNTIL - 1)), []);
     assert_eq!(departed(&mut missing, LACKS_UNTIL, read_at(LACKS_UNTIL)).len(), 1);
 }
@@ -70,7 +70,7 @@
 #[test]
 fn a_server_that_may_have_rewritten_since_the_read_is_not_gone() {
     let mut missing = Missing::default();
-    missing.absent(1_100, "h1".into(), era(KNOWN_SINCE), true);
+    missing.record_absence(1_100, "h1".into(), era(KNOWN_SINCE), true);
     assert_eq!(departed(&mut missing, 9_000, read_at(LACKS_UNTIL - 1)), []);
 }
 
@@ -78,8 +78,8 @@
 #[test]
 fn a_second_restore_restarts_the_time_to_rewrite() {
     let mut missing = Missing::default();
-    missing.absent(1_100, "h1".into(), era(KNOWN_SINCE), true);
-    missing.absent(3_100, "h1".into(), era(3_000), true);
+    missing.record_absence(1_100, "h1".into(), era(KNOWN_SINCE), true);
+    missing.record_absence(3_100, "h1".into(), era(3_000), true);
     assert_eq!(departed(&mut missing, LACKS_UNTIL, read_at(LACKS_UNTIL)), []);
     assert_eq!(departed(&mut missing, 3_000 + REWRITE_MS, read_at(3_000 + REWRITE_MS)).len(), 1);
 }
@@ -87,17 +87,17 @@
 #[test]
 fn a_server_that_a_peer_lacks_has_longer_to_rewrite() {
     let mut missing = Missing::default();
-    missing.absent(1_100, "h1".into(), era(KNOWN_SINCE), false);
+    missing.record_absence(1_100, "h1".into(), era(KNOWN_SINCE), false);
     assert_eq!(departed(&mut missing, LACKS_UNTIL, read_at(LACKS_UNTIL)), []);
 }
 
 #[test]
 fn a_server_that_only_the_copy_lacked_was_not_lost() {
     let mut missing = Missing::default();
-    missing.absent(1_100, "h1".into(), era(KNOWN_SINCE), true);
-    assert!(!missing.found(2_000, "h1"));
-    missing.absent(5_000, "h1".into(), StoreEra::default(), true);
-    assert!(missing.found(5_100, "h1"), "no restored copy lacks the server");
+    missing.record_absence(1_100, "h1".into(), era(KNOWN_SINCE), true);
+    assert!(!missing.record_listed(2_000, "h1"));
+    missing.record_absence(5_000, "h1".into(), StoreEra::default(), true);
+    assert!(missing.record_listed(5_100, "h1"), "no restored copy lacks the server");
 }
 
 /// Returns a state with a backend server that is gone since 900 ms, before the era became known.
--- a/crates/oliveworks-gateway-core/tests/rate_limits/replay.rs
+++ b/crates/oliveworks-gateway-core/tests/rate_limits/replay.rs
@@ -246,7 +246,7 @@
         for gateway in self.gateways.iter_mut().filter(|gateway| is_running(gateway)) {
             let side = gateway.cut_off;
             let heard = senders.iter().filter(|(_, cut_off)| *cut_off == side);
-            heard.for_each(|(other, _)| gateway.members.heard(*other as u64, now));
+            heard.for_each(|(other, _)| gateway.members.record_contact(*other as u64, now));
             silent[usize::from(side)]
                 .iter()
                 .for_each(|(other, at)| gateway.members.record_contact(*other, *at));
--- a/crates/oliveworks-gateway-core/tests/replay.rs
+++ b/crates/oliveworks-gateway-core/tests/replay.rs
@@ -78,8 +78,8 @@
 }
 
 /// Returns a position in a topic of a store that reports no era.
-fn place(offset: u64) -> Place {
-    Place::new(Era::default(), offset)
+fn place(offset: u64) -> Position {
+    Position::new(Era::default(), offset)
 }
 
 fn address(gateway: usize) -> SocketAddr {
--- a/crates/oliveworks-gateway-core/tests/restored_store/gateway.rs
+++ b/crates/oliveworks-gateway-core/tests/restored_store/gateway.rs
@@ -272,7 +272,7 @@
         newest: bool,
         answered_by: AnsweredBy,
     ) {
-        let Some(next) = self.cursors[&topic].place() else { return };
+        let Some(next) = self.cursors[&topic].position() else { return };
         match newest {
             true => self.replay_buffer(topic).restart_at(next),
             false => self.replay_buffer(topic).append(records.clone(), next),
@@ -352,10 +352,10 @@
         let sound = self.variant != Variant::CopiesEndDrains;
         match answered_by {
             AnsweredBy::Store if sound && self.era.may_lack_records(now) => {
-                self.drains.read_in_part(&drained);
+                self.drains.mark_unread_unconfirmed(&drained);
             }
             AnsweredBy::Gateway { .. } if sound && now < self.era.others_lack_records_until() => {
-                self.drains.read_in_part(&BTreeSet::new());
+                self.drains.mark_unread_unconfirmed(&BTreeSet::new());
             }
             _ => {
                 self.drains.replace_all(now, &drained);
@@ -425,7 +425,7 @@
         }
     }
 
-    fn apply_claims(&mut self, now: u64, records: &[Record], next: Place) {
+    fn apply_claims(&mut self, now: u64, records: &[Record], next: Position) {
         let mut claims = records.iter().rev().filter_map(|record| match record {
             Record::Claim(claim) => Some(claim.clone()),
             _ => None,
@@ -442,7 +442,7 @@
                     .map(|version| Record::OperatorRecord(OperatorRecord::Version(version)));
                 let drain = self
                     .drains
-                    .holds(DRAINED)
+                    .contains(DRAINED)
                     .then_some(Record::OperatorRecord(OperatorRecord::Drain(true)));
                 version.into_iter().chain(drain).collect()
             }
--- a/crates/oliveworks-gateway-core/tests/restored_store/judge.rs
+++ b/crates/oliveworks-gateway-core/tests/restored_store/judge.rs
@@ -119,7 +119,7 @@
 
     fn check_drain(&mut self, world: &World, node: &Node) {
         let began = world.platform.drain_changed_at;
-        let holds = node.gateway.drains.holds(DRAINED);
+        let holds = node.gateway.drains.contains(DRAINED);
         if world.platform.drained {
             let knew = self.drain_known_since.get(&node.incarnation) == Some(&began);
             if knew && !holds {
--- a/crates/oliveworks-gateway-core/tests/restored_store/world.rs
+++ b/crates/oliveworks-gateway-core/tests/restored_store/world.rs
@@ -4,7 +4,7 @@
 
 use oliveworks_gateway_core::election::{Claim, Heartbeat};
 use oliveworks_gateway_core::era::Era;
-use oliveworks_gateway_core::place::Place;
+use oliveworks_gateway_core::position::Position;
 use oliveworks_gateway_core::replay::ReplayAnswer;
 use oliveworks_gateway_core::sources::ReadFrom;
 use rand::{RngExt, SeedableRng};
@@ -46,8 +46,19 @@
 
 /// A call in flight: the request, or the response (`answer` is `None` if the call fails).
 enum Call {
-    Request { arrives: u64, sent: u64, to: ReadFrom, from: Option<Place> },
-    Response { arrives: u64, sent: u64, to: ReadFrom, from: Option<Place>, answer: Option<Answer> },
+    Request {
+        arrives: u64,
+        sent: u64,
+        to: ReadFrom,
+        from: Option<Position>,
+    },
+    Response {
+        arrives: u64,
+        sent: u64,
+        to: ReadFrom,
+        from: Option<Position>,
+        answer: Option<Answer>,
+    },
 }
 
 #[derive(Clone, Debug)]
@@ -59,8 +70,8 @@
 
 /// A claim in flight: the request, or the response (`answer` is `None` if the claim fails).
 enum ClaimCall {
-    Request { arrives: u64, sent: u64, end: Place },
-    Response { arrives: u64, sent: u64, end: Place, answer: Option<(u64, Option<u64>)> },
+    Request { arrives: u64, sent: u64, end: Position },
+    Response { arrives: u64, sent: u64, end: Position, answer: Option<(u64, Option<u64>)> },
 }
 
 /// An order in flight to a host.
@@ -282,7 +293,7 @@
         gateway.cursor(topic).discard_other_era(era);
         let (own, known) = (gateway.local_state(now), gateway.peer_states(now));
         let to = gateway.cursors[&topic].source(own, &known, draw);
-        let from = gateway.cursors[&topic].place();
+        let from = gateway.cursors[&topic].position();
         if to == ReadFrom::Store {
             gateway.record_store_call(now);
         }
@@ -323,7 +334,7 @@
         self.deliver_claim(index);
     }
 
-    fn store_answers(&self, index: usize, topic: Topic, from: Option<Place>) -> Option<Answer> {
+    fn store_answers(&self, index: usize, topic: Topic, from: Option<Position>) -> Option<Answer> {
         if self.platform.is_unavailable() || self.nodes[index].store_unreachable_until.is_some() {
             return None;
         }
@@ -453,7 +464,7 @@
         match answer.content {
             AnswerContent::Expired => gateway.cursor(topic).store_answered(None),
             AnswerContent::Records { records, newest, next } => {
-                gateway.cursor(topic).store_answered(Some(Place::new(era, next)));
+                gateway.cursor(topic).store_answered(Some(Position::new(era, next)));
                 gateway.apply(now, sent, topic, records, newest, answer.by);
             }
         }
@@ -471,7 +482,7 @@
         let gateway = &mut self.nodes[index].gateway;
         let era = Era(answer.era);
         let AnswerContent::Records { records, newest, next } = answer.content else { return false };
-        let place = Place::new(era, next);
+        let place = Position::new(era, next);
         if era < gateway.era.era() || (newest && gateway.replay_buffers[&topic].is_ahead_of(place))
         {
             return false;
@@ -541,8 +552,8 @@
             None => gateway.election.claim_refused(now),
             Some(offset) => {
                 let claim =
-                    Claim { place: Place::new(end.era, offset), claimant: node.incarnation };
-                gateway.election.read(now, Some(claim), Place::new(end.era, offset + 1));
+                    Claim { place: Position::new(end.era, offset), claimant: node.incarnation };
+                gateway.election.read(now, Some(claim), Position::new(end.era, offset + 1));
             }
         }
     }
--- a/crates/oliveworks-gateway-core/tests/slow_start/cold.rs
+++ b/crates/oliveworks-gateway-core/tests/slow_start/cold.rs
@@ -144,9 +144,9 @@
 fn all_cold_after_silence(others_heard_at: u64, store_heard_at: u64, now: u64) -> bool {
     let mut slow_starts = warm();
     let mut members = no_peers();
-    members.heard(1, others_heard_at);
-    members.heard(2, others_heard_at);
-    slow_starts.store_heard(store_heard_at);
+    members.record_contact(1, others_heard_at);
+    members.record_contact(2, others_heard_at);
+    slow_starts.record_store_answer(store_heard_at);
     slow_starts.is_cold(now, HEAD, TERMS, &members)
 }
 
@@ -167,7 +167,7 @@
     let mut starting = without_records();
     record(&mut starting, 6_000, remaining_ms, Listed::Known);
     assert!(is_cold(&starting, 6_000 + TERMS.lasts_ms + LAG_MS - 1));
-    informed.heard(7_000, HEAD, TERMS);
+    informed.record_data(7_000, HEAD, TERMS);
     assert_eq!(informed.remaining_cold_ms(8_000, HEAD, TERMS.lasts_ms), TERMS.lasts_ms - 1_000);
 }
 
--- a/crates/oliveworks-gateway-core/tests/slow_start/replay.rs
+++ b/crates/oliveworks-gateway-core/tests/slow_start/replay.rs
@@ -142,7 +142,7 @@
         heard.dedup_by_key(|(gateway, _)| *gateway);
         for gateway in &mut self.gateways {
             if is_connected(gateway) {
-                heard.iter().for_each(|(other, at)| gateway.members.heard(*other, *at));
+                heard.iter().for_each(|(other, at)| gateway.members.record_contact(*other, *at));
             }
             gateway.slow_starts.retain(now, |_| true);
             gateway.members.retain(now);
