--- a/crates/oliveworks-gateway/src/crashers.rs
+++ b/crates/oliveworks-gateway/src/crashers.rs
@@ -1,5 +1,17 @@
 //! Requests that crash the backend servers they run at: identifies them by fingerprint, finds out
 //! whether a host ended during one, and reports them to the other gateways.
+//!
+//! The terms are those of [`oliveworks_gateway_core::crashers`]. The *standing* of a request is the
+//! evidence against it:
+//!
+//! - A request is *clear* if there is no evidence against it.
+//! - A request is a *suspect* if a backend server ended under it, and a *strong suspect* if more
+//!   than one did.
+//! - A request is *convicted* if enough backend servers ended under it one after the other and none
+//!   of its runs completed. A convicted request is not sent until the conviction ends.
+//!
+//! A *trial* is a run of a request whose copies must not run side by side. The copies are rejected
+//! while the outcome of the trial is awaited.
 
 use oliveworks_gateway_core::Millis;
 use oliveworks_gateway_core::attempts::Failure;
--- a/crates/oliveworks-gateway/src/dialect.rs
+++ b/crates/oliveworks-gateway/src/dialect.rs
@@ -129,7 +129,8 @@
     pub model: Option<String>,
     /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// The caller's name for the contents of the prompt, equal for equal prompts.
+    /// Text in which the caller describes the parts of the prompt, in the format of the platform.
+    /// Equal prompts have equal texts.
     pub prompt: Option<String>,
     /// Last event received by the caller.
     pub last_event: Option<u64>,
--- a/crates/oliveworks-gateway/src/drains.rs
+++ b/crates/oliveworks-gateway/src/drains.rs
@@ -47,7 +47,8 @@
         && gateway.election.borrow().store_answers()
 }
 
-/// Processes a snapshot in which `drained` are the drained failure domains.
+/// Processes a snapshot of the store's records. `drained` holds the failure domains that are
+/// drained according to it.
 pub fn apply_snapshot(gateway: &Gateway, drained: &BTreeSet<String>, source: RecordSource) {
     let era = gateway.store_era.get();
     let now = gateway.now();
--- a/crates/oliveworks-gateway/src/exchange.rs
+++ b/crates/oliveworks-gateway/src/exchange.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// A connection.
+/// An HTTP/1 connection to a backend server or the store.
 pub struct Exchange {
     sender: http1::SendRequest<Full<Bytes>>,
     driver: Option<Pin<Box<Driver>>>,
--- a/crates/oliveworks-gateway/src/follow.rs
+++ b/crates/oliveworks-gateway/src/follow.rs
@@ -19,11 +19,11 @@
 
 /// First and longest pause after a failed call, in ms. The pause doubles with each failure.
 const RETRY_MS: (u64, u64) = (40, 320);
-/// Timeout of a call to the store, in ms, if the store is not known to answer this gateway and
-/// others know what it holds. The value is many times a usual response time, and short compared to
-/// the time of more than 2 s within which a change must be in force. With the usual timeout of 2.95
-/// s, a domain of five gateways, three of which got no answer from a silent store, received a
-/// change after 3.4 s instead of 3 s.
+/// Timeout of a trial call to the store, in ms. A call is a trial if the store is not known to
+/// answer this gateway, while other gateways know what the store holds. The value is many times a
+/// usual response time, and short compared to the time of more than 2 s within which a change must
+/// be in force. The usual timeout of 2.95 s is too long for a trial: in a domain of five gateways,
+/// three of which got no answer from a silent store, a change arrived after 3.4 s instead of 3 s.
 const TRIAL_TIMEOUT_MS: u64 = 400;
 
 /// A reader of one topic.
@@ -210,9 +210,9 @@
             Some(peer_client) => peer_client,
             None => PeerClient::open(address).await?,
         };
-        // The planner uses the age of records, so a leader needs repeated records as well. A host
-        // that the store listed from an older copy of its data is known to be alive by its next
-        // record.
+        // The planner uses the age of records, so a leader needs repeated records as well. A
+        // repeated record also settles whether a host in doubt is cold. A host that the store
+        // listed from an older copy of its data is known to be alive by its next record.
         let leads = gateway.election.borrow().leading_fence().is_some();
         let repeats = leads || gateway.doubts_any_host() || gateway.store_may_lack_records();
         let answer = peer_client.ask(self.topic, self.position(), repeats).await?;
--- a/crates/oliveworks-gateway/src/heartbeat.rs
+++ b/crates/oliveworks-gateway/src/heartbeat.rs
@@ -26,9 +26,10 @@
 const SUSPECT_MS: u64 = 400;
 /// Longest age, in ms, at which data received from a target is reported as recent.
 const HEARD_MS: u64 = 200;
-/// The same for reports of other gateways of this failure domain, in ms. Added to their own 200 ms
-/// and the transmission time, this is half of the 600 ms that the detection of a silent group takes
-/// at least.
+/// Longest age, in ms, at which reports of other gateways of this failure domain on received data
+/// are passed on as recent. Those gateways report data of up to `HEARD_MS` (200 ms). Both ages and
+/// the transmission time add up to half of the 600 ms that the detection of a silent group takes at
+/// least.
 const HEARD_LOCAL_MS: u64 = 100;
 /// Number of gateways named in one heartbeat. Each gateway is named by many others, so that every
 /// one of hundreds of gateways is reported at least twice a second.
@@ -154,7 +155,8 @@
     }
 }
 
-/// Returns the outstanding requests known in this failure domain, for reports to other domains.
+/// Returns the outstanding requests known in this failure domain, for reports to other failure
+/// domains.
 pub fn domain_figures(gateway: &Gateway) -> DomainLoad {
     let now = gateway.now();
     let balance = gateway.balance.borrow();
@@ -163,8 +165,8 @@
     DomainLoad { open: balance.domain_open(now), heard }
 }
 
-/// Returns the heartbeat for another failure domain, with the sums over the gateways of this
-/// domain.
+/// Returns the heartbeat for the failure domain `recipient`, with the sums over the gateways of
+/// this gateway's failure domain.
 pub fn for_domain(gateway: &Gateway, own: &Beat, known: &DomainLoad, recipient: &str) -> Beat {
     let now = gateway.now();
     let source = domain_source(recipient);
--- a/crates/oliveworks-gateway/src/leader.rs
+++ b/crates/oliveworks-gateway/src/leader.rs
@@ -26,12 +26,12 @@
 /// Longest time between two planning rounds, in ms.
 const PLAN_INTERVAL_MS: u64 = 40;
 /// Shortest time between two planning rounds when an answer requests one at once, in ms. The median
-/// repair of a large group takes 0.80 s instead of 1.05 s, and a burst of answers does not use up
-/// the processor.
+/// repair of a large group takes 0.80 s with such early rounds and 1.05 s without them. The minimum
+/// keeps a burst of answers from using up the processor.
 const PLAN_INTERVAL_MIN_MS: u64 = 10;
 /// Time after a pause in which a leader sends no orders, in ms.
 const AFTER_PAUSE_MS: u64 = 250;
-/// Time between two log lines on each model, and between two checks for changed lines on failure
+/// Time between two log lines on each model, and between two checks for changed lines on fabric
 /// domains, in ms.
 const LOG_INTERVAL_MS: u64 = 1_000;
 /// Slowdown factor above which a host gets a log line.
@@ -160,6 +160,7 @@
         }
     }
     planner.adopt_ended(gateway.table.borrow().ended.iter().copied());
+    // `most_hosts` is the largest number of hosts that earlier leaders saw in each fabric domain.
     if let Some(most) = gateway.table.borrow().most_hosts.get(service) {
         planner.adopt_most_hosts(most);
     }
--- a/crates/oliveworks-gateway/src/lib.rs
+++ b/crates/oliveworks-gateway/src/lib.rs
@@ -16,7 +16,8 @@
 //! | `store` | calls to the platform's store |
 //! | `eras` | era of the store, which changes when it is restored from a copy |
 //! | `follow`, `sources` | follow a topic of the store, directly or through another gateway |
-//! | `records`, `missing` | process the records of the topics |
+//! | `records` | processes the records of the topics |
+//! | `missing` | removes backend servers that are missing from the list |
 //! | `drains` | drains of failure domains |
 //! | `versions` | configuration versions held by other gateways |
 //! | `peer_replay` | serves the store's records to other gateways, and reads them from others |
@@ -31,6 +32,11 @@
 //! | `leader` | elections, and execution of the planner's commands |
 //! | `calls` | limit on concurrent calls of a leader |
 //! | `peers`, `heartbeat` | messages between gateways |
+//! | `members` | gateways that share the limits on the sends of all gateways together |
+//! | `state` | state shared by the modules |
+//! | `events` | structured log lines |
+//! | `timers` | timers that include the time in which the host was suspended |
+//! | `readiness` | readiness checks and metrics for the platform |
 
 mod callers;
 mod calls;
--- a/crates/oliveworks-gateway/src/peer_replay.rs
+++ b/crates/oliveworks-gateway/src/peer_replay.rs
@@ -5,8 +5,8 @@
 //! encoding are those of libraries. The answering gateway uses only its own records and asks no
 //! other gateway, so questions never form a cycle.
 //!
-//! Rejected: QUIC, whose handshake costs more processor time than the few questions per second that
-//! a gateway asks.
+//! Rejected alternative: QUIC, whose handshake costs more processor time than the few questions per
+//! second that a gateway asks.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/oliveworks-gateway/src/peers.rs
+++ b/crates/oliveworks-gateway/src/peers.rs
@@ -49,7 +49,7 @@
     Part(Box<Part>),
     /// Request for the changes since the table version held by the sender.
     AskTable(Version),
-    /// Request for a permit, sent to the limiter of a backend server.
+    /// Request for a permit, sent to the limiter of a backend server (see [`crate::rate_limits`]).
     AskPermit(PermitRequest),
     /// Answer of a limiter.
     Permit(Answer),
--- a/crates/oliveworks-gateway/src/rate_limits.rs
+++ b/crates/oliveworks-gateway/src/rate_limits.rs
@@ -1,5 +1,8 @@
 //! Rate limits named by backend servers: processes limits from answers and from reports of other
 //! gateways, and obtains permits for requests.
+//!
+//! Each backend server with a limit has a *limiter*: the gateway that grants permits for it to all
+//! gateways (see [`oliveworks_gateway_core::rate_limits`]).
 
 use std::net::SocketAddr;
 
@@ -48,6 +51,8 @@
             }
         };
         let target = Target::of(sender.server);
+        // An answer without a limit shows that none is in force only if it would name an existing
+        // limit. Answers to calls and refusals may omit the limit.
         let would_name = sender.to_request && answered.signed;
         let Sender { incarnation, sent_at, .. } = sender;
         let observation = RateObservation { target, incarnation, sent_at, rate, would_name };
@@ -131,7 +136,8 @@
     /// A place in a remote failure domain is not asked for while a local one is eligible, nor is a
     /// place that was already tried.
     ///
-    /// Rejected: requesting several permits at once, since all but one of them would remain unused.
+    /// Rejected alternative: requesting several permits at once, since all but one of them would
+    /// remain unused.
     pub fn request_permits(
         &self,
         without_permit: Vec<Place>,
--- a/crates/oliveworks-gateway/src/records.rs
+++ b/crates/oliveworks-gateway/src/records.rs
@@ -152,8 +152,8 @@
     }
 }
 
-/// Returns whether the source of a list may have been without an answer of the store for longer
-/// than records lag.
+/// Returns whether a list may be out of date: its source is another gateway that may have been
+/// without an answer of the store for longer than `Settings::record_lag_ms`.
 fn is_late(gateway: &Gateway, source: RecordSource) -> bool {
     let lag_ms = gateway.settings.record_lag_ms();
     match source {
@@ -236,6 +236,7 @@
                 }
                 if gateway.directory.borrow().get(&server.id).is_none() {
                     update.new = true;
+                    // `domain` is the fabric domain of the backend server.
                     Event::new("host_listed")
                         .with("host", &*server.id)
                         .with("service", server.service.as_str())
@@ -290,8 +291,8 @@
     update
 }
 
-/// Records up to which time the list is known. Another gateway may not have received an answer of
-/// the store for a while.
+/// Notes the time up to which the list is known. A list from another gateway is only as recent as
+/// the last answer that the other gateway received from the store.
 fn note_list_read(gateway: &Gateway, sent: Millis, held_ms: u64, source: RecordSource) {
     let read_at = match source {
         RecordSource::Store => sent,
--- a/crates/oliveworks-gateway/src/relay.rs
+++ b/crates/oliveworks-gateway/src/relay.rs
@@ -372,9 +372,9 @@
     /// callers stays the same. A host that named a backoff time gets no penalty, since it is as
     /// good as any other afterwards.
     ///
-    /// Rejected: a backoff, doubled with each consecutive refusal, for hosts that name no time. The
-    /// system then lacks the capacity of these hosts under load (0.79 of callers served instead of
-    /// 0.81).
+    /// Rejected alternative: a backoff, doubled with each consecutive refusal, for hosts that name
+    /// no time. The system then lacks the capacity of these hosts under load (0.79 of callers
+    /// served instead of 0.81).
     fn is_penalized(&self, target: Target, tried: &AttemptOutcome) -> bool {
         let AttemptOutcome::Failed { failure, .. } = tried else { return false };
         let now = self.gateway.now();
--- a/crates/oliveworks-gateway/src/relay/attempt.rs
+++ b/crates/oliveworks-gateway/src/relay/attempt.rs
@@ -24,7 +24,8 @@
 /// Silence, in ms, after which a repeatable request without a model is sent to another backend
 /// server.
 const PLAIN_SILENCE_MS: u64 = 400;
-/// Factor on the goal of the route; the product replaces the silence above if it is longer.
+/// Factor on the goal of the route. The product is used in place of `PLAIN_SILENCE_MS` if it is
+/// longer.
 const PLAIN_SILENCE_GOALS: u64 = 2;
 /// Time before the deadline at which the final answer is sent, in ms.
 const DEADLINE_MARGIN_MS: u64 = 30;
--- a/crates/oliveworks-gateway/src/relay/crashers.rs
+++ b/crates/oliveworks-gateway/src/relay/crashers.rs
@@ -13,9 +13,10 @@
 use crate::places::Place;
 
 impl Job<'_> {
-    /// Returns whether the backend server of a failed run has ended, in which case the run need not
-    /// count against the request. Returns false if a backend server had already ended in an earlier
-    /// run of the same request.
+    /// Returns whether the run failed because its backend server ended, and this is the first end
+    /// under the request. Such a run need not count against the request. The result is false after
+    /// the deadline of the request, and also if the backend server ended but the request is then a
+    /// strong suspect (see [`crate::crashers`]).
     pub(super) async fn has_ended(&self, run: &FailedRun<'_>) -> bool {
         if self.gateway.now() >= self.deadline {
             return false;
@@ -25,8 +26,8 @@
         if !ended || !gateway.standing(self.fingerprint).is_strong_suspect() {
             return ended;
         }
-        // Before the request is sent again, ends reported for requests that ran beside it are
-        // awaited, as well as further ends at other gateways.
+        // The pause leaves time for two kinds of reports before the request is sent again: ends
+        // under requests that ran beside it, and further ends at other gateways.
         sleep(Duration::from_millis(SETTLED_MS)).await;
         false
     }
@@ -53,8 +54,8 @@
     /// Rejects a request during which several backend servers ended in a row. The answer states
     /// that this attempt has not run and when the caller may retry.
     ///
-    /// Rejected: a status for requests that can never succeed. The request may succeed once the
-    /// server is fixed, and another server may handle the same request.
+    /// Rejected alternative: a status for requests that can never succeed. The request may succeed
+    /// once the server is fixed, and another server may handle the same request.
     pub(super) async fn reject_crasher(
         &mut self,
         connection: &mut Connection,
--- a/crates/oliveworks-gateway/src/relay/placing.rs
+++ b/crates/oliveworks-gateway/src/relay/placing.rs
@@ -84,9 +84,10 @@
         }
     }
 
-    /// Chooses a place for a request that may be suspect. Places with other suspects are avoided,
-    /// since the end of a backend server then gives the strongest evidence of its cause. If all
-    /// places have suspects, only places with strong suspects are avoided.
+    /// Chooses a place for a request that may be a suspect (see [`crate::crashers`]). Places with
+    /// other suspects are avoided, since the end of a backend server then gives the strongest
+    /// evidence of its cause. If all places have suspects, only places with strong suspects are
+    /// avoided.
     fn choose_for_suspect(
         &self,
         places: &[Place],
--- a/crates/oliveworks-gateway/src/slow_start.rs
+++ b/crates/oliveworks-gateway/src/slow_start.rs
@@ -80,8 +80,9 @@
         record
     }
 
-    /// Returns whether the state of any backend server is in doubt. A record that repeats its
-    /// predecessor then counts as news.
+    /// Returns whether any backend server is in doubt: it counts as cold for another reason than
+    /// its record, and a newer record would settle its state. Records that repeat their
+    /// predecessors are then needed as well.
     pub fn doubts_any_host(&self) -> bool {
         let slow_starts = self.slow_starts.borrow();
         slow_starts.as_ref().is_some_and(|slow_starts| slow_starts.doubts_any(self.now()))
@@ -98,9 +99,9 @@
         }
     }
 
-    /// Processes the listing of a backend server whose failure domain's drain has just ended: its
-    /// record may be older than the end. Servers that were listed at the end are handled by the end
-    /// itself.
+    /// Treats a newly listed backend server as possibly cold if a drain of its failure domain has
+    /// just ended, since its record may be older than that end. For servers that were already
+    /// listed when the drain ended, `mark_cold_after_drain` does the same.
     pub fn doubt_after_drain(&self, server: &BackendServer) {
         let (now, lag_ms) = (self.now(), self.settings.record_lag_ms());
         if !self.drains.borrow().has_ended_within(now, &server.failure_domain, lag_ms) {
@@ -115,8 +116,8 @@
     /// Records that a backend server could not be reached. If that lasts, it may be cold
     /// afterwards.
     ///
-    /// Rejected: treating each failed call as a loss. A host that missed one call would be sent few
-    /// requests for seconds, and callers would be rejected meanwhile.
+    /// Rejected alternative: treating each failed call as a loss. A host that missed one call would
+    /// be sent few requests for seconds, and callers would be rejected meanwhile.
     pub fn record_unreachable(&self, server: &str) {
         if !self.suspensions.borrow().is_lost(Target::of(server)) {
             return;
--- a/crates/oliveworks-gateway/src/state.rs
+++ b/crates/oliveworks-gateway/src/state.rs
@@ -123,7 +123,7 @@
     pub balance: RefCell<Balance>,
     /// Targets that are stalled or could not be reached.
     pub suspensions: RefCell<Suspensions>,
-    /// Requests during which backend servers ended.
+    /// Requests during which backend servers ended, with their standing (see [`crate::crashers`]).
     pub crashers: RefCell<Crashers>,
     /// Notifies runs that a request was convicted of crashing its backend servers.
     pub convictions: Notify,
@@ -167,7 +167,8 @@
     pub table_confirmed_at: Cell<Millis>,
     /// Other gateways by name.
     pub peers: RefCell<BTreeMap<String, Peer>>,
-    /// Stalled groups to report to the leader, with the time of detection.
+    /// Stalled groups to report to the leader, with the time of detection. Suspect requests are in
+    /// `crashers`.
     pub suspects: RefCell<HashMap<u64, Millis>>,
     /// Backend servers to report as leaving, with the time at which this gateway learned of it.
     pub leaving_reports: RefCell<Vec<(Millis, Leaving)>>,
@@ -181,8 +182,8 @@
     pub changes_to_forward: RefCell<Vec<Change>>,
     /// Received parts of a newer table.
     pub table_parts: RefCell<Assembly>,
-    /// Times at which the sums of the requests outstanding outside a failure domain were last sent
-    /// to that domain.
+    /// Time of the last report, to each remote failure domain, of the requests that this failure
+    /// domain has outstanding at targets outside the remote one.
     pub elsewhere_reports: RefCell<ReportIntervals>,
     /// Whether the next heartbeat is sent at once.
     pub heartbeat_is_urgent: Cell<bool>,
--- a/crates/oliveworks-gateway/src/store.rs
+++ b/crates/oliveworks-gateway/src/store.rs
@@ -81,8 +81,9 @@
     });
     let now = gateway.now();
     match claimed {
-        // The record names the era in which the topic ended at `end`. In another era, other
-        // gateways would not compute the same fence.
+        // The fence is computed from the era and the offset. The record names the era in which the
+        // topic ended at `end`, so in another era this gateway and the others would compute
+        // different fences for the same claim.
         Ok(ClaimOutcome::Written(_)) if gateway.era() != end.era => {
             gateway.election.borrow_mut().claim_refused(now);
         }
--- a/crates/oliveworks-gateway/src/table.rs
+++ b/crates/oliveworks-gateway/src/table.rs
@@ -11,7 +11,7 @@
         let fits = self.table.borrow_mut().apply(&change);
         if fits {
             self.changes.borrow_mut().keep(change);
-            self.record_incarnations();
+            self.mark_restarted_heads_cold();
         }
         fits
     }
@@ -19,11 +19,11 @@
     /// Replaces the table.
     pub fn replace_table(&self, table: Table) {
         *self.table.borrow_mut() = table;
-        self.record_incarnations();
+        self.mark_restarted_heads_cold();
     }
 
-    /// Records heads that have restarted since their records were written as cold.
-    fn record_incarnations(&self) {
+    /// Marks as cold each head that has restarted since its record was written.
+    fn mark_restarted_heads_cold(&self) {
         for group in &self.table.borrow().groups {
             let Some(born) = group.head_born else { continue };
             let known = self.directory.borrow().born(&group.members[0]);
--- a/crates/oliveworks-gateway/src/versions.rs
+++ b/crates/oliveworks-gateway/src/versions.rs
@@ -105,7 +105,9 @@
         heartbeat_at.zip(since).is_some_and(|(heartbeat_at, since)| heartbeat_at < since)
     }
 
-    /// Returns whether a step proves that there is nothing newer than what this gateway holds.
+    /// Updates the lag of the store after a step, and returns whether the step proves that there is
+    /// nothing newer than what this gateway holds. Logs when the store begins or ceases to be
+    /// behind, and counts the steps that prove nothing.
     pub fn step_proves(&self, now: Millis) -> bool {
         let known = self.version_held().max(self.newest_reported_version());
         let mut lag = self.store_lag.get();
