--- a/crates/oliveworks-agent/src/process.rs
+++ b/crates/oliveworks-agent/src/process.rs
@@ -70,8 +70,8 @@
     cancellations: watch::Sender<u64>,
 }
 
-/// Locks a mutex, even if a thread panicked while it held the lock. The decisions leave no partly
-/// changed state behind.
+/// Locks a mutex, even if a thread panicked while it held the lock. Changes of the [`Agent`]
+/// leave no partly changed state behind.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -101,7 +101,7 @@
         Now { mono, wall_ms: wall_ms(), config_age_ms: age }
     }
 
-    /// Applies `change` to the agent's decisions and carries out the resulting commands.
+    /// Applies `change` to the state of the [`Agent`] and carries out the resulting commands.
     pub fn apply(self: &Arc<Process>, change: impl FnOnce(&mut Agent) -> Vec<Command>) {
         let commands = change(&mut lock(&self.agent));
         for command in commands {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Reads the agent's decisions, or changes them in a way that results in no commands.
+    /// Reads the state of the [`Agent`], or changes it in a way that results in no commands.
     pub fn with_agent<T>(&self, access: impl FnOnce(&mut Agent) -> T) -> T {
         access(&mut lock(&self.agent))
     }
@@ -144,7 +144,7 @@
     }
 
     /// Sets the group that the log assigns to this host, after records were applied. `proved`
-    /// states whether the configuration had been proved to be the latest at some time before that.
+    /// is [`Applied::proved`](oliveworks_feed::Applied::proved) of these records.
     fn assign(self: &Arc<Process>, proved: bool) {
         let host = self.settings.host;
         let assigned = self.store.with_pool(|pool| Assigned::of(pool, host));
@@ -182,7 +182,7 @@
         order_max_ms: if backend.checks_fences { 0 } else { backend.order_max_ms },
     };
     let agent = Agent::new(clock.now(), Incarnation(rng.random()), config);
-    #[expect(clippy::arc_with_non_send_sync, reason = "the decisions' tasks share one thread")]
+    #[expect(clippy::arc_with_non_send_sync, reason = "the Agent's tasks share one thread")]
     let process = Arc::new(Process {
         engine: Engine::new(&backend.url).await,
         clock,
--- a/crates/oliveworks-core/src/agent/binding.rs
+++ b/crates/oliveworks-core/src/agent/binding.rs
@@ -53,7 +53,7 @@
             EngineOrder::Bind { rank, fence, .. } => {
                 self.bound = self.ordered;
                 if self.machine.fire("bound") {
-                    self.last_ask = now;
+                    self.leader_wait_start = now;
                 }
                 let text = format!("rank {rank} fence {}.{}", fence.epoch, fence.view);
                 vec![Command::RecordEvent("bound", text)]
@@ -69,7 +69,8 @@
         if now < self.orders_allowed_from || !self.engine_healthy {
             return;
         }
-        // An order without an answer is sent again after the retry time, unless it is outdated.
+        // An order without an answer is sent again after the retry time. An outdated order is
+        // replaced at once.
         let current = self.machine.is("withdrawing") || self.ordered == self.wanted;
         if now < self.order_due && (self.order.is_none() || current) {
             return;
--- a/crates/oliveworks-core/src/agent/leading.rs
+++ b/crates/oliveworks-core/src/agent/leading.rs
@@ -42,7 +42,7 @@
             return true;
         }
         let lease = &self.config.lease;
-        now.since(self.last_ask) > lease.ttl_ms + rank * lease.stagger_ms
+        now.since(self.leader_wait_start) > lease.ttl_ms + rank * lease.stagger_ms
     }
 
     pub(super) fn propose(&mut self, now: Millis, assigned: &Assigned, out: &mut Vec<Command>) {
@@ -108,7 +108,7 @@
             self.stop_leading(out);
             self.suspected.clear();
             self.backoff_until = now.plus(self.config.lease.lost_ms);
-            self.last_ask = now;
+            self.leader_wait_start = now;
         } else if waited_long {
             self.suspected.retain(|h| lost.contains(h));
         }
@@ -183,7 +183,7 @@
             }
             LeaseMsg::Beat { epoch, view } => {
                 if self.assigned.as_ref().is_some_and(|a| a.epoch == epoch) {
-                    self.last_ask = now;
+                    self.leader_wait_start = now;
                     self.last_leader = Some(from);
                 }
                 self.observe_later_view(now, epoch, view)
@@ -228,7 +228,7 @@
         }
         match self.grantor.grant(now, epoch, view, from, &self.config.lease) {
             Ok(()) => {
-                self.last_ask = now;
+                self.leader_wait_start = now;
                 self.last_leader = Some(from);
                 self.wanted = Some(wanted);
                 let ready = self.is_ready();
@@ -255,7 +255,7 @@
         if self.holder.as_ref().is_some_and(outdated) {
             self.stop_leading(&mut out);
             self.grantor.observe(epoch, highest);
-            self.last_ask = now;
+            self.leader_wait_start = now;
         }
         out
     }
--- a/crates/oliveworks-core/src/agent/mod.rs
+++ b/crates/oliveworks-core/src/agent/mod.rs
@@ -41,7 +41,7 @@
     pub draining: bool,
     /// Offset at which the keys' homes were last reassigned.
     pub homes_at: Offset,
-    /// Whether the slot had no group before.
+    /// Whether the slot is known to have had no group before. See [`Group::first_home`].
     pub first_home: bool,
 }
 
@@ -135,7 +135,7 @@
     leaving: bool,
     /// Start of the current wait for a leader: the time of the latest ask or beat, or of a later
     /// event that restarts the wait.
-    last_ask: Millis,
+    leader_wait_start: Millis,
     last_tick: Millis,
     /// Time before which this host does not propose a view, after it abandoned one.
     backoff_until: Millis,
@@ -143,8 +143,10 @@
     /// were the leader that this host replaces.
     suspected: BTreeSet<HostId>,
     reported_complete: bool,
-    /// Whether this run of the agent saw its host free before the group was formed there. No
-    /// earlier run can then have been the home of the group's keys.
+    /// Whether this run of the agent held a configuration that was proved to be the latest at some
+    /// time, before the log assigned the current group to the host. The host was then free or in
+    /// another group, so no earlier run can have been the home of the group's keys. Cleared when
+    /// the homes are reassigned.
     seen_unassigned: bool,
 }
 
@@ -169,7 +171,7 @@
             last_leader: None,
             engine_healthy: true,
             leaving: false,
-            last_ask: now,
+            leader_wait_start: now,
             last_tick: now,
             backoff_until: now,
             suspected: BTreeSet::new(),
@@ -215,8 +217,8 @@
     }
 
     /// Sets the group that the log assigns to this host, after records were applied. `proved`
-    /// states whether, before that, this run of the agent held a configuration that was proved to
-    /// be the latest at some time.
+    /// states whether this run of the agent had a proof of its configuration before it applied
+    /// these records: a source had proved at some time that there was no later record.
     pub fn assign(
         &mut self,
         now: Millis,
@@ -235,7 +237,7 @@
             self.seen_unassigned = proved;
             self.suspected.clear();
             self.order = None;
-            self.last_ask = now;
+            self.leader_wait_start = now;
             self.last_leader = None;
             // Until a leader assigns a rank, the host prepares for its rank in the record.
             let rank = |a: &Assigned| a.ranked.iter().position(|h| *h == self.config.host);
--- a/crates/oliveworks-core/src/decider.rs
+++ b/crates/oliveworks-core/src/decider.rs
@@ -112,7 +112,9 @@
     pub fn applied(&mut self, record: &Record) {
         self.outstanding.remove(&record.id);
         if record.author == Author::System {
-            self.pending_since = None; // Another entry acts, so plan again before acting.
+            // A planned record of this or another entry has come through the log, so the wait of
+            // this rank starts anew.
+            self.pending_since = None;
         }
     }
 
--- a/crates/oliveworks-core/src/error.rs
+++ b/crates/oliveworks-core/src/error.rs
@@ -128,7 +128,8 @@
     }
 }
 
-/// Refusal: the final answer to a request that was given up.
+/// Refusal of a request, or of one attempt at it. The entry may make another attempt after the
+/// refusal of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
     /// Error kind.
--- a/crates/oliveworks-core/src/feed.rs
+++ b/crates/oliveworks-core/src/feed.rs
@@ -3,11 +3,13 @@
 //! The entries of a region are ordered by a hash that every process computes alike, and form a
 //! tree. The first entry reads the log, and each other entry asks its parent. Agents ask an entry
 //! of their region, chosen by hash. A process moves up the tree if its source is silent or lacks a
-//! recent proof that its own configuration is current, and finally asks the log itself. A parent
-//! always has a lower rank, so there are no cycles.
+//! recent proof that its own configuration is current, and finally asks the log itself. Within a
+//! region a parent always has a lower rank, so there are no cycles. The first readers of two
+//! regions may ask each other.
 //!
-//! Each answer carries the *age* of its proof: the maximum time since the log was read without
-//! newer records. Ages are durations that are added at each hop, so no two clocks are compared.
+//! Each answer carries the *age* of its proof: an upper bound on the time since a read of the log
+//! that found no newer record. Ages are durations that are added at each hop, so no two clocks are
+//! compared.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
--- a/crates/oliveworks-core/src/fleet.rs
+++ b/crates/oliveworks-core/src/fleet.rs
@@ -11,7 +11,7 @@
 use crate::id::{DomainId, Epoch, HostId, Millis};
 use crate::message::GroupReport;
 
-/// Entry of the platform's list of hosts.
+/// Host as the platform's list of hosts describes it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedHost {
     /// Host.
@@ -46,12 +46,13 @@
 }
 
 impl HostView {
-    /// Returns whether the host is live, so that new groups may use it.
+    /// Returns whether the host is live. Unlike [`Fleet::is_usable`], it does not require that a
+    /// host that was lost has been listed again for [`FleetConfig::settle_ms`].
     pub fn is_usable(&self) -> bool {
         self.machine.is("live")
     }
 
-    /// Returns whether the host is considered dead.
+    /// Returns whether the host is lost or in the state `unknown`, the initial one.
     pub fn is_lost(&self) -> bool {
         self.machine.is("lost") || self.machine.is("unknown")
     }
@@ -144,7 +145,10 @@
                 self.returned.insert(listed_host.host, now);
             }
             if view.machine.is("leaving") {
-                view.machine.fire("gone"); // The platform no longer removes the host.
+                // The platform no longer removes the host. The chart ignores `listed` in the state
+                // `leaving`, so `gone` moves the host to `unknown` first, and `listed` below makes
+                // it live.
+                view.machine.fire("gone");
             }
             view.machine.fire("listed");
         }
@@ -197,7 +201,8 @@
         self.hosts.iter().map(|(h, v)| (*h, v))
     }
 
-    /// Returns whether new groups may use a host: it is live and has not just come back.
+    /// Returns whether new groups may use a host: it is live, and if it was lost, the list has
+    /// named it again for longer than [`FleetConfig::settle_ms`].
     pub fn is_usable(&self, host: HostId) -> bool {
         let settled = !self.returned.contains_key(&host);
         settled && self.hosts.get(&host).is_some_and(HostView::is_usable)
--- a/crates/oliveworks-core/src/id.rs
+++ b/crates/oliveworks-core/src/id.rs
@@ -11,7 +11,7 @@
 #[serde(transparent)]
 pub struct HostId(pub u32);
 
-/// Entry process.
+/// Entry: a process that takes callers' requests and hands them to agents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct EntryId(pub u32);
@@ -28,7 +28,7 @@
 #[serde(transparent)]
 pub struct Offset(pub u64);
 
-/// Incarnation of a replica group: the offset of the record that formed the group.
+/// Formation of a replica group: the offset of the record that formed the group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Epoch(pub u64);
--- a/crates/oliveworks-core/src/lease.rs
+++ b/crates/oliveworks-core/src/lease.rs
@@ -2,9 +2,10 @@
 //!
 //! Every host gives at most one *promise* at a time: to one leader, in one view of one epoch, until
 //! a time on the host's own clock. A leader serves only while it holds the promises of all members
-//! of its view. The leader counts each promise on its own clock from the time at which it *asked*,
-//! and shortens the promise by the bound on the clocks' drift. On the leader, a promise therefore
-//! always ends before it ends on the member.
+//! of its view; these promises together are its *lease*. To *grant* is to give a promise. The
+//! leader counts each promise on its own clock from the time at which it *asked*, and shortens the
+//! promise by the bound on the clocks' drift. On the leader, a promise therefore always ends before
+//! it ends on the member.
 //!
 //! Two views of an epoch each choose `width` members out of `width + spares` hosts. There are fewer
 //! spares than members, so the views share a host, and that host promises to only one of them. Two
@@ -68,8 +69,8 @@
     /// ask.
     ///
     /// A clock with a rate error of at most r shows between (1 - r) and (1 + r) times the real
-    /// time. The member's promise lasts at least ttl / (1 + r) of real time. The leader's promise
-    /// must last at most that long: ttl (1 - r) / (1 + r) on its clock, for which ttl (1 - 2r) is a
+    /// time. The member's promise lasts at least ttl / (1 + r) of real time. The leader may rely on
+    /// it for at most that long: ttl (1 - r) / (1 + r) on its clock, for which ttl (1 - 2r) is a
     /// lower bound. One millisecond more is subtracted for the rounding of both clocks.
     pub fn leader_ttl_ms(&self) -> u64 {
         (self.ttl_ms * (MILLION - 2 * self.drift_ppm) / MILLION).saturating_sub(1)
--- a/crates/oliveworks-core/src/message.rs
+++ b/crates/oliveworks-core/src/message.rs
@@ -59,8 +59,8 @@
     },
 }
 
-/// Fencing token that orders engine orders by epoch, then by view. An engine that checks fences
-/// refuses an order whose fence is lower than one it has seen.
+/// Fencing token of an order to an engine. Fences compare by epoch, then by view. An engine that
+/// checks fences refuses an order whose fence is lower than one it has seen.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/oliveworks-core/src/placement.rs
+++ b/crates/oliveworks-core/src/placement.rs
@@ -73,12 +73,13 @@
     }
 }
 
-/// Shortage of hosts for a replica that has no group.
+/// Shortage of hosts for a replica that has no group, or whose broken group cannot be rebuilt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Missing {
     /// Slot of the replica.
     pub slot: SlotId,
-    /// Number of free hosts that the replica needs in one domain.
+    /// Number of hosts of a whole group, which are needed free in one domain to form a new one. A
+    /// repair in place needs only as many as the broken group lacks.
     pub wants: u16,
     /// Largest number of suitable free hosts in any one domain.
     pub largest: u16,
@@ -432,7 +433,8 @@
         let template = &published.template;
         let needed = usize::from(template.spares).saturating_sub(have);
         let left = self.suitable(domain, published).len();
-        // Hosts that make up whole replicas are left free. Only the remainder may become spares.
+        // While a replica lacks a group, hosts that make up whole replicas are left free and only
+        // the remainder may become spares. Otherwise all of them may.
         let remainder = left % usize::from(template.hosts.max(1));
         let spare = if self.all_formed() { left } else { remainder };
         let count = needed.min(spare.saturating_sub(self.reserve(domain)));
--- a/crates/oliveworks-core/src/pool.rs
+++ b/crates/oliveworks-core/src/pool.rs
@@ -1,4 +1,5 @@
-//! Pool: the state that results from all records up to an offset.
+//! Pool: the state that results from all records up to an offset. It is also called the
+//! configuration of a process that holds it.
 //!
 //! [`Pool::apply`] is a pure function of the pool and the record. Every process applies the same
 //! records in the same order and reaches the same pool, so a record that is not valid at its
@@ -26,11 +27,13 @@
     pub template: Template,
     /// Offset at which the template was published.
     pub at: Offset,
-    /// Offset at which the number of replicas last changed. The homes of keys date from this
-    /// offset.
+    /// Offset of the first publication or of the last change of the number of replicas. The home of
+    /// a key depends on that number, so the homes were last reassigned at this offset.
     pub homes_at: Offset,
-    /// Replicas that cannot have been the home of any key before `homes_at` and have had no group
-    /// since. Empty from the first change of the number of replicas on.
+    /// Indexes of the replicas that cannot have been the home of any key: the template is new, so
+    /// they were no home before `homes_at`, and they have had no group since. The set is empty if a
+    /// template of this name was withdrawn before, and from the first change of the number of
+    /// replicas on.
     pub never_homed: BTreeSet<u16>,
 }
 
@@ -48,7 +51,7 @@
 pub struct Group {
     /// Offset at which the group was formed.
     pub epoch: Epoch,
-    /// Slot of the replica.
+    /// Slot that the group fills.
     pub slot: SlotId,
     /// Digest of the template fields that determine the group's composition.
     pub shape: u64,
@@ -62,7 +65,9 @@
     pub width: u16,
     /// Whether the group takes new work.
     pub state: GroupState,
-    /// Whether the slot had no group before, so that no request with a key can have run there.
+    /// Whether the slot is known to have had no group before, so that no request with a key can
+    /// have run there. Always `false` after a change of the number of replicas, even for a new
+    /// slot.
     pub first_home: bool,
     /// Group that this group replaces. The replaced group continues until this group serves.
     pub alongside: Option<Epoch>,
--- a/crates/oliveworks-core/src/record.rs
+++ b/crates/oliveworks-core/src/record.rs
@@ -66,7 +66,7 @@
         /// Workspace.
         workspace: Workspace,
     },
-    /// A partner proposes the shares of the pool in percent. The shares take effect once every
+    /// A partner proposes the shares of the hosts in percent. The shares take effect once every
     /// partner has published the same values.
     SetShares {
         /// Share of each partner.
--- a/crates/oliveworks-core/src/relay.rs
+++ b/crates/oliveworks-core/src/relay.rs
@@ -55,8 +55,7 @@
     tried: Vec<Epoch>,
     attempts: u32,
     may_have_run: bool,
-    /// Refusal for the current attempt if its revocation does not prove that the attempt did not
-    /// run.
+    /// Refusal for the caller in case the current attempt, which is being revoked, may have run.
     lost: Option<Refusal>,
 }
 
@@ -197,7 +196,7 @@
         self.give_up(Refusal::new(ErrorKind::Unavailable, Ran::No, reason))
     }
 
-    /// Records that the deadline passed. `begun` is set if the current attempt may have begun.
+    /// Records that the deadline passed. `begun` is set if any attempt may have begun.
     pub fn deadline(&mut self, begun: bool) -> Next {
         self.may_have_run |= begun;
         self.give_up(Refusal::new(ErrorKind::DeadlineExceeded, Ran::No, "the deadline passed"))
--- a/crates/oliveworks-core/src/template.rs
+++ b/crates/oliveworks-core/src/template.rs
@@ -33,7 +33,8 @@
     }
 }
 
-/// One replica of a template, independent of the hosts that form it at a given time.
+/// Slot: the place of one replica in a template, independent of the hosts that form the replica at
+/// a given time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SlotId {
     /// Key of the template.
--- a/crates/oliveworks-core/tests/lease.rs
+++ b/crates/oliveworks-core/tests/lease.rs
@@ -1,5 +1,5 @@
-//! Leases: guards against two promises at a time and against a leader's lease that outlasts its
-//! member's.
+//! Leases: guards against a host that gives two promises at a time, and against a leader that
+//! relies on a promise after it has ended on the member's clock.
 
 use oliveworks_core::id::{Epoch, HostId, Millis, View};
 use oliveworks_core::lease::{GrantRefusal, Grantor, Holder, LeaseConfig};
@@ -64,8 +64,8 @@
     let leader_real = config.leader_ttl_ms() * 1000 * million / (million - drift_ppm);
     let member_real = config.ttl_ms * 1000 * million / (million + drift_ppm);
     assert!(leader_real <= member_real, "{leader_real} {member_real}");
-    // The quiet time of a restarted member on the fastest clock outlasts the promise on the
-    // slowest.
+    // A restarted member with the fastest clock stays quiet at least as long, in real time, as a
+    // promise lasts on the slowest clock. Checked up to a drift of 1000 ppm.
     let quiet_real = config.quiet_ms() * 1000 * million / (million + drift_ppm);
     let promise_real = config.ttl_ms * 1000 * million / (million - drift_ppm.min(1000));
     assert!(drift_ppm > 1000 || quiet_real >= promise_real, "{quiet_real} {promise_real}");
--- a/crates/oliveworks-core/tests/lease_machine.rs
+++ b/crates/oliveworks-core/tests/lease_machine.rs
@@ -97,7 +97,8 @@
         match step {
             Step::Wait(ms) => world.now += ms,
             Step::Propose { leader, epoch, view, members } => {
-                // A leader that changes its view abandons the old one first.
+                // A leader replaces its view only by a later one, and drops the old view's
+                // promises.
                 let members: Vec<HostId> = members.into_iter().map(HostId).collect();
                 let now = world.clock(leader);
                 let later = world
--- a/crates/oliveworks-entry/src/completion.rs
+++ b/crates/oliveworks-entry/src/completion.rs
@@ -296,8 +296,8 @@
                 return Err(Some(Refusal::new(ErrorKind::AnswerGone, Ran::Yes, why)));
             }
         }
-        // The pieces for a caller that reads slowly are held back at the agent, not here. A caller
-        // that disconnects is detected during the wait for the next piece.
+        // The loop does not wait for a caller that reads slowly: the channel to the caller has no
+        // bound. A caller that disconnects is detected during the wait for the next piece.
         out = tokio::select! {
             next = driver.next() => next.map_err(Some)?,
             () = closed(sender) => return Err(None),
--- a/crates/oliveworks-entry/src/driver.rs
+++ b/crates/oliveworks-entry/src/driver.rs
@@ -80,7 +80,9 @@
     id: AttemptId,
     epoch: Epoch,
     reader: Reader,
-    // Dropping the writer signals to the agent that the answer is no longer wanted.
+    // Open until the attempt ends; `None` if sending the body failed. The agent notices that the
+    // answer is no longer wanted when `reader` is dropped, because it watches whether this side
+    // still reads.
     _writer: Option<Writer>,
 }
 
--- a/crates/oliveworks-entry/src/state.rs
+++ b/crates/oliveworks-entry/src/state.rs
@@ -18,7 +18,7 @@
 
 use crate::settings::CallerSettings;
 
-/// Owner of a caller's token.
+/// Workspace that a caller's token belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Caller {
     /// Partner.
--- a/crates/oliveworks-feed/src/lib.rs
+++ b/crates/oliveworks-feed/src/lib.rs
@@ -61,7 +61,7 @@
     outcomes: VecDeque<(Offset, Result<(), Ignored>)>,
 }
 
-/// Configuration of a process.
+/// Configuration of a process: its pool, and the source and age of the pool.
 pub struct Store {
     inner: Mutex<Inner>,
     keys: KeyRing,
@@ -76,7 +76,8 @@
     pub records: Vec<(Offset, Record)>,
     /// Whether a snapshot was adopted.
     pub snapshot: bool,
-    /// Whether the configuration held before had been proved to be the latest at some time.
+    /// Whether the store had a proof of its pool before this answer: a source had proved at some
+    /// time that there was no later record.
     pub proved: bool,
 }
 
--- a/crates/oliveworks-net/src/wire.rs
+++ b/crates/oliveworks-net/src/wire.rs
@@ -23,7 +23,8 @@
 /// [`Question::BodyEnd`] is the first frame of its stream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Question {
-    /// Query of an entry for the status of an agent, and for its cache events from this number on.
+    /// Query by an entry for the status of an agent and for the agent's cache events, from the
+    /// event with this number on.
     Hello(u64),
     /// Handover of a request from an entry. [`Question::Body`] frames follow, then
     /// [`Question::BodyEnd`].
@@ -57,7 +58,7 @@
     }
 }
 
-/// Request as sent to an agent.
+/// Attempt at a request, as sent to an agent. The run of an agent process is an `Incarnation`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Run {
     /// Id of the attempt.
--- a/crates/oliveworks-standin/src/platform.rs
+++ b/crates/oliveworks-standin/src/platform.rs
@@ -54,7 +54,7 @@
     leaving: BTreeSet<HostId>,
     /// Hosts that are omitted from the list.
     hidden: BTreeSet<HostId>,
-    /// Records before this offset are dropped when the faults are set the next time.
+    /// Records before this offset are dropped once, when the faults are set to this value.
     expire_before: u64,
 }
 
--- a/crates/oliveworks/src/lib.rs
+++ b/crates/oliveworks/src/lib.rs
@@ -1,4 +1,4 @@
-//! oliveworks serves models whose replicas span several hosts, for partners who share one pool.
+//! oliveworks serves models whose replicas span several hosts, for partners who share hosts.
 //!
 //! This crate is a facade: it re-exports the types that are usually needed by programs that embed
 //! oliveworks and by separate tools. The executables `oliveworks-entry`, `oliveworks-agent` and
--- a/crates/oliveworksctl/src/explain.rs
+++ b/crates/oliveworksctl/src/explain.rs
@@ -13,11 +13,11 @@
 use crate::Output;
 use crate::logs::{LeftOut, Line, Logs};
 
-/// Lines about the hosts of a request are shown from this time before its end on, in ms. Longer
-/// than the duration of any request that was sent twice.
+/// Time before the end of a request from which lines about its hosts are shown, in ms. The time is
+/// longer than the duration of any request that was sent twice.
 const BEFORE_MS: u64 = 10_000;
-/// Lines about the hosts of a request are shown up to this time after its end, in ms. The repair of
-/// a failed group has started by then.
+/// Time after the end of a request until which lines about its hosts are shown, in ms. The repair
+/// of a failed group has started by then.
 const AFTER_MS: u64 = 2_000;
 /// Event kinds whose newest line before the arrival of the request is shown, regardless of the
 /// hosts that the line names. The newest line per model is shown.
--- a/crates/oliveworksctl/src/publish.rs
+++ b/crates/oliveworksctl/src/publish.rs
@@ -249,6 +249,7 @@
         None => {}
         Some(behind) if behind.is_empty() => println!("In force everywhere."),
         Some(behind) => {
+            // `next` is the offset of the first record that the process does not hold.
             for (process, next) in behind {
                 match next {
                     Some(next) => println!("not in force at {process}: it holds up to {next}"),
--- a/crates/oliveworksctl/src/show.rs
+++ b/crates/oliveworksctl/src/show.rs
@@ -25,6 +25,7 @@
         println!("{status}");
         return Ok(());
     }
+    // `next` is the offset of the first record that the entry does not hold.
     println!(
         "Seen by {}: records up to {}, proved current {} ms ago, from {}.",
         text(&status, "entry"),
