--- a/crates/oliveworks-gateway-core/tests/crashers.rs
+++ b/crates/oliveworks-gateway-core/tests/crashers.rs
@@ -53,9 +53,11 @@
     assert_eq!(crashers.standing(3_000, request(GUILTY)), Standing::Suspect { ends: 1 });
 }
 
-/// An innocent request runs beside the guilty request three times. Ends that both requests explain
-/// convict neither of them. The next end convicts the guilty request and from then on also explains
-/// the chain of the innocent request, both locally and at the gateway that received both chains.
+/// The chain of a request is the sequence of ends of backend servers on which the request ran. An
+/// innocent request runs beside the guilty request three times, so both have the same chain. Ends
+/// that either request may have caused convict neither of them. The next end convicts the guilty
+/// request, and from then on the ends in the chain of the innocent request are attributed to the
+/// guilty one, both locally and at the gateway that received both chains.
 #[test]
 fn a_shared_chain_waits_for_one_more_end() {
     let (mut crashers, mut other) = (Crashers::default(), Crashers::default());
@@ -94,8 +96,9 @@
     assert!(is_convicted(&mut crashers, 4_500, GUILTY));
 }
 
-/// Two gateways each observe a concurrent end of the same request as its third end, while an
-/// innocent request runs at one of the two hosts.
+/// The guilty request runs at two hosts that end at the same time. Two gateways each observe the
+/// end of one of these hosts as the third end in the chain of the guilty request. An innocent
+/// request runs at one of the two hosts.
 #[test]
 fn concurrent_ends_at_different_gateways_are_explained_too() {
     let (mut one, mut other) = (Crashers::default(), Crashers::default());
@@ -427,10 +430,11 @@
     }
 }
 
-/// Either one of forty hosts ends every ten seconds, a rate per host about 40,000 times that of a
-/// pool that loses 49 of 4,100 hosts a day, or a third of the hosts end at once, as in the loss of
-/// a failure domain. At the far higher rate of one host a second, three ends in a row happen by
-/// chance with some seeds and cannot be distinguished from a guilty request.
+/// Every ten seconds, either one of forty hosts ends, or a third of the hosts end at once, as in
+/// the loss of a failure domain. The former is a rate of 216 ends a day per host; a pool that loses
+/// 49 of 4,100 hosts a day has a rate of 0.012. At the far higher rate of one host a second, three
+/// ends in a row happen by chance with some seeds and cannot be distinguished from a guilty
+/// request.
 #[test_case(1; "one host")]
 #[test_case(13; "a failure domain")]
 fn crashes_that_nobody_caused_convict_nobody(crashes: usize) {
--- a/crates/oliveworks-gateway-core/tests/crashers_under_load.rs
+++ b/crates/oliveworks-gateway-core/tests/crashers_under_load.rs
@@ -30,16 +30,17 @@
 const HARMLESS_PER_S: u64 = 200;
 /// Interval between two arrivals of a request that crashes its hosts, in ms.
 const ARRIVAL_INTERVAL_MS: u64 = 110;
-/// Period in which such a request arrives, in ms.
+/// Period in which requests that crash their hosts arrive, in ms.
 const ARRIVALS: std::ops::Range<u64> = 2_000..11_000;
 const DURATION_MS: u64 = 14_000;
 /// Number of sends of one attempt of a caller.
 const SENDS: u32 = 2;
 /// Number of attempts of one caller.
 const ATTEMPTS: u32 = 2;
-/// Maximum average number of hosts that one such request may end.
+/// Maximum average number of hosts that a request that crashes its hosts may end.
 const ENDS_MAX: usize = 5;
-/// Maximum number of sends of such a request more than `LATE_AFTER_MS` after its third end.
+/// Maximum number of sends of a request that crashes its hosts, more than `LATE_AFTER_MS` after its
+/// third end.
 const LATE_SENDS_MAX: usize = 3;
 const LATE_AFTER_MS: u64 = 3_000;
 
--- a/crates/oliveworks-gateway-core/tests/decisions.rs
+++ b/crates/oliveworks-gateway-core/tests/decisions.rs
@@ -16,6 +16,8 @@
 use proptest::prelude::*;
 use test_case::test_case;
 
+/// `proofs` holds pairs: time at which the call to the store was sent, and time for which the store
+/// held the call back. The proof is dated at the sum of the two.
 #[test_case(&[], 1_000, Some(5_000), false; "nothing proved yet")]
 #[test_case(&[(1_000, 0)], 4_900, Some(5_000), true; "young enough")]
 #[test_case(&[(1_000, 0)], 5_000, Some(5_000), false; "four fifths of the bound")]
@@ -349,14 +351,14 @@
     assert_eq!(balance.stalled_at(target, 1_000, PASS_MS), expected);
 }
 
-/// Returns a place in a topic of a store that reports no era.
-fn place(offset: u64) -> Position {
+/// Returns a position in a topic of a store that reports no era.
+fn position(offset: u64) -> Position {
     Position::new(Era::default(), offset)
 }
 
-/// Returns the claim that results in `fence` at such a place.
+/// Returns the claim that results in `fence`, in a store that reports no era.
 fn claim(fence: u64, claimant: u64) -> Claim {
-    Claim { place: place(fence - 1), claimant }
+    Claim { place: position(fence - 1), claimant }
 }
 
 fn election(claimant: u64) -> Election {
@@ -371,20 +373,20 @@
 fn a_claim_on_the_first_start_is_made_at_once() {
     let mut first = election(1);
     assert_eq!(first.claim(0, 0), None, "the topic was not read yet");
-    first.read(0, None, place(0));
-    assert_eq!(first.claim(0, 0), Some(place(0)));
+    first.read(0, None, position(0));
+    assert_eq!(first.claim(0, 0), Some(position(0)));
     assert_eq!(first.claim(1, 0), None, "one claim at a time");
 }
 
 #[test]
 fn a_silent_leader_is_replaced_by_rank() {
     let mut second = election(2);
-    second.read(0, Some(claim(1, 1)), place(1));
+    second.read(0, Some(claim(1, 1)), position(1));
     assert!(second.observe_heartbeat(1_000, heartbeat(1, 0)));
     assert_eq!(second.claim(1_600, 0), None);
-    assert_eq!(second.claim(1_700, 0), Some(place(1)));
+    assert_eq!(second.claim(1_700, 0), Some(position(1)));
     let mut third = election(3);
-    third.read(0, Some(claim(1, 1)), place(1));
+    third.read(0, Some(claim(1, 1)), position(1));
     assert!(third.observe_heartbeat(1_000, heartbeat(1, 0)));
     assert_eq!(third.claim(1_700, 1), None, "the candidate ranked before it claims first");
 }
@@ -392,9 +394,9 @@
 #[test]
 fn expired_leader_records_are_no_first_start() {
     let mut late = election(4);
-    late.read(0, None, place(9));
+    late.read(0, None, position(9));
     assert_eq!(late.claim(0, 0), None);
-    assert_eq!(late.claim(700, 0), Some(place(9)));
+    assert_eq!(late.claim(700, 0), Some(position(9)));
 }
 
 /// A leader that was paused steps down when it observes a higher fence, or when its orders are
@@ -402,7 +404,7 @@
 #[test]
 fn an_old_leader_steps_down() {
     let mut old = election(1);
-    old.read(0, Some(claim(1, 1)), place(1));
+    old.read(0, Some(claim(1, 1)), position(1));
     assert_eq!(old.leading_fence(), Some(1));
     let mut refused = old.clone();
     refused.fenced(1);
@@ -410,7 +412,7 @@
     let mut informed = old.clone();
     assert!(informed.observe_heartbeat(10, heartbeat(2, 0)));
     assert_eq!(informed.leading_fence(), None);
-    old.read(10, Some(claim(2, 2)), place(2));
+    old.read(10, Some(claim(2, 2)), position(2));
     assert_eq!(old.leading_fence(), None);
 }
 
@@ -418,8 +420,8 @@
 #[test]
 fn leadership_never_goes_back() {
     let mut election = election(1);
-    election.read(0, Some(claim(5, 2)), place(5));
-    election.read(1, Some(claim(3, 1)), place(5));
+    election.read(0, Some(claim(5, 2)), position(5));
+    election.read(1, Some(claim(3, 1)), position(5));
     assert_eq!((election.leading_fence(), election.fence()), (None, Some(5)));
 }
 
@@ -428,7 +430,7 @@
 #[test]
 fn only_new_heartbeats_of_the_leader_count() {
     let mut election = election(2);
-    election.read(0, Some(claim(5, 1)), place(5));
+    election.read(0, Some(claim(5, 1)), position(5));
     assert!(election.observe_heartbeat(1_000, heartbeat(5, 8)));
     assert!(!election.observe_heartbeat(1_500, heartbeat(5, 8)), "the same heartbeat again");
     assert!(!election.observe_heartbeat(1_500, heartbeat(5, 7)), "an earlier heartbeat");
@@ -436,7 +438,7 @@
         !election.observe_heartbeat(1_500, heartbeat(4, 99)),
         "a heartbeat of an earlier leader"
     );
-    assert_eq!(election.claim(1_700, 0), Some(place(5)));
+    assert_eq!(election.claim(1_700, 0), Some(position(5)));
 }
 
 /// A leader without access to the store remains, unless the candidate itself reaches the store.
@@ -444,7 +446,7 @@
 #[test_case(false, None; "nobody reaches the store")]
 fn a_leader_without_the_store(answers: bool, expected: Option<u64>) {
     let mut election = election(2);
-    election.read(0, Some(claim(5, 1)), place(5));
+    election.read(0, Some(claim(5, 1)), position(5));
     if !answers {
         election.store_failed();
     }
@@ -453,7 +455,7 @@
         let now = number * 100;
         election.observe_heartbeat(now, heartbeat);
         let claimed = election.claim(now, 0);
-        assert_eq!(claimed, expected.map(place).filter(|_| now == 2_500), "at {now} ms");
+        assert_eq!(claimed, expected.map(position).filter(|_| now == 2_500), "at {now} ms");
         if claimed.is_some() {
             return;
         }
@@ -465,7 +467,7 @@
 #[test]
 fn an_outage_that_ends_deposes_nobody() {
     let mut election = election(2);
-    election.read(0, Some(claim(5, 1)), place(5));
+    election.read(0, Some(claim(5, 1)), position(5));
     election.store_failed();
     election.observe_heartbeat(9_900, Heartbeat { reaches_store: false, ..heartbeat(5, 0) });
     election.store_answered(10_000);
@@ -478,8 +480,8 @@
 #[test]
 fn a_local_pause_does_not_count_as_silence_of_the_leader() {
     let mut election = election(2);
-    election.read(0, Some(claim(5, 1)), place(5));
+    election.read(0, Some(claim(5, 1)), position(5));
     election.awake_since(4_000);
     assert_eq!(election.claim(4_100, 0), None);
-    assert_eq!(election.claim(4_700, 0), Some(place(5)));
+    assert_eq!(election.claim(4_700, 0), Some(position(5)));
 }
--- a/crates/oliveworks-gateway-core/tests/drains.rs
+++ b/crates/oliveworks-gateway-core/tests/drains.rs
@@ -7,8 +7,8 @@
 use oliveworks_gateway_core::position::Position;
 use oliveworks_gateway_core::replay::ReplayBuffer;
 
-/// Returns a place in a topic of a store that reports no era.
-fn place(offset: u64) -> Position {
+/// Returns a position in a topic of a store that reports no era.
+fn position(offset: u64) -> Position {
     Position::new(Era::default(), offset)
 }
 
@@ -55,17 +55,17 @@
     assert!(drains.contains("west"));
 }
 
-/// A gateway that has read further than the gateway that it asks does not treat a drain as ended
-/// that the other gateway does not know yet.
+/// A gateway may have read further than the gateway that it asks. It must not treat a drain as
+/// ended only because the other gateway does not know the drain yet.
 #[test]
 fn newest_records_of_a_gateway_that_is_behind_are_recognized() {
     let mut replay_buffer = ReplayBuffer::default();
-    assert!(!replay_buffer.is_ahead_of(place(0)), "the topic was not read yet");
-    replay_buffer.append(vec!["drain"], place(8));
-    assert!(replay_buffer.is_ahead_of(place(7)));
-    assert!(!replay_buffer.is_ahead_of(place(8)));
-    replay_buffer.restart_at(place(9));
-    assert!(!replay_buffer.is_ahead_of(place(9)));
+    assert!(!replay_buffer.is_ahead_of(position(0)), "the topic was not read yet");
+    replay_buffer.append(vec!["drain"], position(8));
+    assert!(replay_buffer.is_ahead_of(position(7)));
+    assert!(!replay_buffer.is_ahead_of(position(8)));
+    replay_buffer.restart_at(position(9));
+    assert!(!replay_buffer.is_ahead_of(position(9)));
 }
 
 /// A gateway that starts after a drain learns of its end from other gateways once, however often
--- a/crates/oliveworks-gateway-core/tests/members.rs
+++ b/crates/oliveworks-gateway-core/tests/members.rs
@@ -33,8 +33,8 @@
     }
 }
 
-/// If there are more gateways than requests, each backend server has other gateways with a share of
-/// one request.
+/// If there are more gateways than requests, a gateway has a share of one request at some backend
+/// servers and no share at the others. No gateway is without a share at all of them.
 #[test]
 fn every_gateway_has_a_share_at_some_target() {
     let all: Vec<u64> = (0..53).collect();
--- a/crates/oliveworks-gateway-core/tests/missing.rs
+++ b/crates/oliveworks-gateway-core/tests/missing.rs
@@ -108,6 +108,9 @@
     missing
 }
 
+/// `newest` states whether the record stands among all newest records of the store. If the store
+/// was restored from an older copy after the server went, such a record may come from the copy,
+/// whatever its number.
 #[test_case(server(INCARNATION, NUMBER), false, true; "its last record")]
 #[test_case(server(INCARNATION, NUMBER - 2), false, true; "an earlier one, told again among others")]
 #[test_case(server(INCARNATION, NUMBER + 1), false, false; "a later one")]
--- a/crates/oliveworks-gateway-core/tests/obstacles.rs
+++ b/crates/oliveworks-gateway-core/tests/obstacles.rs
@@ -1,5 +1,5 @@
-//! Results of the obstacles that exclude a request from every place: the reported reason, and the
-//! time at which a place may become available.
+//! Tests of the result when obstacles at all places keep a request from being sent: the reported
+//! reason, and the time at which a place may become available.
 
 use oliveworks_gateway_core::balance::NoTarget;
 use oliveworks_gateway_core::obstacles::{FreeAt, NoPlace, Obstacle, describe, is_kept_by_region};
@@ -9,11 +9,12 @@
 use Obstacle::{Backoff, Cold, Drained, Leaving, Limited, Region, Suspended};
 
 const BACKOFF: Obstacle = Backoff { until: 3_000 };
-/// A cold place whose share of this gateway is used up until 700 ms.
+/// A cold place. This gateway has used up its share of the ramp-up limit there until 700 ms.
 const TAKEN: Obstacle = Cold { free_at: Some(700) };
 /// A rate-limited place without a permit until 500 ms.
 const NO_PERMIT: Obstacle = Limited { free_at: 500 };
-/// A cold place to which this gateway may send nothing.
+/// A cold place. It is unknown when a share of the ramp-up limit is available to this gateway
+/// there.
 const TAKEN_FOR_GOOD: Obstacle = Cold { free_at: None };
 
 #[test_case(&[], NoTarget::None, NotSoon; "no place at all")]
--- a/crates/oliveworks-gateway-core/tests/planner/domain_return.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/domain_return.rs
@@ -27,8 +27,8 @@
     formed_of(world, HOSTS, Default::default())
 }
 
-/// Returns a pool whose larger model has so small a share that one domain has no group of it, and
-/// that domain.
+/// Returns a pool in which one domain has no group of the larger model, because the share of that
+/// model is small. Also returns that domain.
 fn pool_without_large() -> (World, Leader, &'static str) {
     let mut world = World::new(1, HostFaults::default());
     world.engine = wide_engine();
--- a/crates/oliveworks-gateway-core/tests/planner/drain.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/drain.rs
@@ -1,5 +1,6 @@
-//! Tests of drained failure domains: their groups remain but do not serve, their quotas move to
-//! other domains, and the groups serve again once the drain ends.
+//! Tests of drained failure domains, each of which has one fabric domain here: their groups remain
+//! but do not serve, their quotas move to the fabric domains of other failure domains, and the
+//! groups serve again once the drain ends.
 
 use std::collections::BTreeSet;
 
--- a/crates/oliveworks-gateway-core/tests/planner/safety.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/safety.rs
@@ -1,10 +1,11 @@
 //! Seeded runs of the planner against all faults that its hosts and an earlier leader may have. No
 //! run violates a safety rule, and groups serve again in the end.
 //!
-//! With old lists: two hosts joined a group while the head of their previous group served, although
-//! a single leader had sent all orders. A record of a head that is read from a store that is
-//! seconds behind can be older than the group, and then does not contain the membership in it. The leader took the group as ended and its members as free, and sent the head no order.
-//! Seed 26: `TWO: h14 joins 4000022 while 4000019 serves`.
+//! The runs with old lists guard against a failure that occurs under a single leader: two hosts
+//! join a group while the head of their previous group serves. If the store is seconds behind, the
+//! record of a head can be older than its group and then does not contain the membership in the
+//! group. The leader took such a group as ended and its members as free, and sent the head no
+//! order. Seed 26 reported `TWO: h14 joins 4000022 while 4000019 serves`.
 
 use std::collections::BTreeSet;
 
@@ -23,7 +24,7 @@
     old_lists: bool,
     /// Whether hosts restart under the same id, most of them unobserved.
     restarts: bool,
-    /// Whether the state that hosts report is as old as on the users' platform.
+    /// Whether the state that hosts report is as old as on the platform.
     lagging_reports: bool,
     /// Whether some time passes between a new leader's probes and its first order, in which the
     /// earlier leader continues.
@@ -175,7 +176,7 @@
 }
 
 /// Returns the domains that are drained at `now`: each for 6 s of 17 s, so that two are drained at
-/// the same time now and then; none after 80 s, when the run is without faults.
+/// the same time now and then. Drains end at 80 s, 10 s after the faults.
 fn drained(seed: u64, now: u64) -> BTreeSet<String> {
     let drains = |index: u64| now < 80_000 && (now / 1_000 + seed * 3 + index * 5) % 17 < 6;
     let names = (0..).zip(DOMAINS).filter(|(index, _)| drains(*index));
--- a/crates/oliveworks-gateway-core/tests/planner/stale.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/stale.rs
@@ -1,4 +1,5 @@
-//! Tests of leaders that act on reports from before an order that they do not know of.
+//! Tests of leaders that act on outdated reports: a host sent its report before it received an
+//! order, which may come from another leader that the acting leader does not know of.
 //!
 //! The failure: a new leader probed all hosts. Before its first order, the earlier leader, which
 //! did not know of the new one, formed a group of some of these hosts and ordered its head to open.
@@ -15,8 +16,9 @@
 const REPORT_LAG_MS: u64 = 200;
 
 /// The head of a group that has just opened announces that it leaves, and is ordered to close. Its
-/// next report is still from before it opened and has the state ready. Two members joined another
-/// group while the head still served, 1.36 s after its announcement.
+/// next report still has the state ready, from before the group opened. Guards against a leader
+/// that takes this report as the end of the group: in the failure, two members joined another group
+/// while the head still served, 1.36 s after its announcement.
 #[test_case("large"; "a large group")]
 #[test_case("small"; "a small group")]
 fn an_answer_from_before_an_order_ends_no_group(model: &str) {
--- a/crates/oliveworks-gateway-core/tests/planner/starved.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/starved.rs
@@ -11,8 +11,8 @@
 //!   the same for a model that refuses one request of ten and for a model that refuses nine, and it
 //!   does not count groups that are being formed. So no group was preempted for the larger model,
 //!   and spares that could repair its groups served a smaller model that was merely busy. A host
-//!   that joins with a model drops the other model from its memory, so the next repair took a load
-//!   of 16 s.
+//!   that joins with a model drops the other model from its memory, so the next repair had to load
+//!   that model, which took 16 s.
 //! - Evidence: the log lines `model` (load 101 and 89 in 100, refused 65 and 2 in 100),
 //!   `host_holds` (the larger model dropped from memory by a join), and `order` (spares ordered to
 //!   join 0.3 ms after the order that dissolved a larger group).
@@ -25,7 +25,7 @@
 /// Time in which a group whose hosts have the model staged is preempted and another group is
 /// formed, in ms.
 const EXCHANGE_MS: u64 = 5_000;
-/// Time for a load of the larger model and the formation of its group, in ms.
+/// Time to load the larger model into the memory of a host and to form its group, in ms.
 const LOAD_MS: u64 = 19_000;
 
 /// Pairs the loads of the larger and of the smaller model with their names.
@@ -55,8 +55,8 @@
 }
 
 /// Three hosts that hold the larger model wait for a fourth host. Two of them must not serve a
-/// smaller model whose load is high but which refuses no requests: that would cost the larger model
-/// two more loads.
+/// smaller model that has most of its slots in use but refuses no requests: two hosts would then
+/// have to load the larger model again.
 #[test]
 fn hosts_of_a_model_that_refuses_callers_wait_for_it() {
     let (mut world, mut leader) = formed(FEW);
--- a/crates/oliveworks-gateway-core/tests/planner/world.rs
+++ b/crates/oliveworks-gateway-core/tests/planner/world.rs
@@ -81,7 +81,9 @@
     pub fence: u64,
     pub epoch: u64,
     pub last_model: Option<String>,
+    /// Models that the memory of the host keeps.
     pub staging: Vec<String>,
+    /// Running load by an order to stage a model: time at which the load ends, and the model.
     pub staged_at: Option<(u64, String)>,
     /// Model that a join loads. It replaces the staged model once the load ends.
     pub join_loads: Option<String>,
@@ -243,6 +245,7 @@
                 && old != *epoch
                 && self.head_serves(old, members)
             {
+                // TWO: a host must not join a group while the head of its previous group serves.
                 self.violations.push(format!("{now}: TWO: {id} joins {epoch} while {old} serves"));
             }
         }
@@ -298,8 +301,8 @@
             },
             Order::Close { epoch, .. } => match &mut host.group {
                 Some((member, _, _)) if member.epoch == *epoch => {
-                    // A head that is still forming opens nevertheless, as observed on the users'
-                    // bench.
+                    // A head that is still forming opens nevertheless, as observed in the
+                    // acceptance tests.
                     if member.state == MemberState::Open {
                         member.state = MemberState::Closing;
                         host.ready_at = now + CLOSING_MS;
@@ -372,6 +375,7 @@
         for (epoch, members, model) in opened {
             let size = self.engine.model(&model).expect("a model").size;
             let never = members.iter().find(|id| !self.ready.contains(&(epoch, (*id).clone())));
+            // PARTIAL: a group must not open before all its members have been ready in its epoch.
             if members.len() != size || never.is_some() {
                 self.violations.push(format!("{now}: PARTIAL: {epoch} opens without {never:?}"));
             }
@@ -435,7 +439,7 @@
     }
 
     /// Checks the number of loads within any 5 s against the rate, with 10 % and 3 loads of
-    /// tolerance.
+    /// tolerance. A violation of this ceiling is recorded as `CEILING`.
     pub fn check_loads(&mut self, from: u64) {
         let bound = LOADS_PER_S * 5.0 * 1.1 + 3.0;
         for (index, start) in self.loads.iter().enumerate().filter(|(_, at)| **at >= from) {
@@ -448,7 +452,7 @@
     }
 }
 
-/// Failure domains of a pool.
+/// Fabric domains of a pool. Each is also a failure domain of the same name.
 pub const DOMAINS: [&str; 3] = ["ruwi", "qurum", "seeb"];
 
 /// Number of hosts of a domain with few small groups, and of a domain with many.
@@ -547,8 +551,8 @@
     }
 }
 
-/// Continues the run with a demand of so many full groups for each model. Serving groups share the
-/// demand, and the rest is refused.
+/// Continues the run with the given demand for each model, as a number of full groups. Serving
+/// groups share the demand, and the rest is refused.
 pub fn run_with_demand(
     world: &mut World,
     leader: &mut Leader,
--- a/crates/oliveworks-gateway-core/tests/quota/spread.rs
+++ b/crates/oliveworks-gateway-core/tests/quota/spread.rs
@@ -14,7 +14,7 @@
 
 use crate::{model, random_capacity};
 
-/// Returns a spread in which each domain is a failure domain of its own.
+/// Returns a spread in which each fabric domain is a failure domain of its own.
 fn one_failure_domain_each(capacities: &BTreeMap<String, DomainCapacity>, lost: usize) -> Spread {
     let failure_domains =
         capacities.keys().map(|domain| (domain.clone(), domain.clone())).collect();
@@ -43,8 +43,8 @@
     names.collect::<BTreeSet<_>>().len()
 }
 
-/// Checks the numbers of groups of the large and of the small model in each domain, for domains of
-/// so many hosts and additional spares.
+/// Checks the numbers of groups of the large and of the small model in each fabric domain.
+/// `capacities` holds the numbers of hosts and of additional spares of each.
 #[test_case(8, 4, 0.5, &[(11, 2), (11, 2), (11, 2)], &[(1, 1), (1, 0), (0, 2)]; "spares of thirteen give way to a small one beside the large one")]
 #[test_case(8, 4, 0.5, &[(13, 0), (13, 0), (13, 0)], &[(1, 1), (1, 1), (0, 3)]; "thirteen hold one of each")]
 #[test_case(8, 4, 0.5, &[(13, 0), (13, 0)], &[(1, 1), (1, 1)]; "two of thirteen")]
@@ -92,7 +92,7 @@
     assert_eq!(by_domain(&found), [(1, 2), (1, 2), (0, 4)]);
 }
 
-/// Two domains of one failure domain are lost together.
+/// Two fabric domains of one failure domain are lost together.
 #[test]
 fn domains_of_one_failure_domain_count_once() {
     let models = [model("large", 8, 0.2), model("small", 4, 0.8)];
@@ -168,9 +168,9 @@
     }
 }
 
-/// No domain holds more than its hosts and spares. The models together stand in at least as many
-/// failure domains as without a tolerance, where each model counts for at most the two failure
-/// domains that are required.
+/// No fabric domain holds more than its hosts and spares. The number of failure domains that hold
+/// groups of a model, summed over the models, is at least as high as without a tolerance of losses.
+/// At most two failure domains count for each model, since no more are required.
 #[test]
 fn spreading_takes_nothing_away() {
     let mut rng = ChaCha8Rng::seed_from_u64(8);
@@ -196,7 +196,8 @@
     }
 }
 
-/// Returns all ways to place groups of two models in domains of so many hosts.
+/// Returns all ways to place groups of two models in fabric domains with the given numbers of
+/// hosts.
 fn layouts(hosts: &[usize], sizes: [usize; 2]) -> Vec<Vec<[usize; 2]>> {
     let Some((first, rest)) = hosts.split_first() else { return vec![vec![]] };
     let mut all = Vec::new();
--- a/crates/oliveworks-gateway-core/tests/rate_limits/limits.rs
+++ b/crates/oliveworks-gateway-core/tests/rate_limits/limits.rs
@@ -67,8 +67,9 @@
     assert_eq!(limits.rate(HOST), rate(4.2));
 }
 
-/// Guards against an early end of a limit: the answer to the leader's call to a host in need may
-/// omit the limit, and ended the limit of that host.
+/// Guards against an early end of a limit: the answer to a call that is not a request of a caller,
+/// such as a call of the leader, may omit the limit of the host. Such an answer must not end the
+/// limit.
 #[test]
 fn an_answer_that_may_omit_the_limit_does_not_end_it() {
     let mut limits = Limits::default();
--- a/crates/oliveworks-gateway-core/tests/rate_limits/replay.rs
+++ b/crates/oliveworks-gateway-core/tests/rate_limits/replay.rs
@@ -451,7 +451,8 @@
     );
 }
 
-/// The limit is also used up where each gateway has a caller only once in several minutes.
+/// The rate of a host is also used with hundreds of gateways, where each gateway has a caller only
+/// about once a minute on average.
 #[test_case(FEW, 75.0)]
 #[test_case(MANY, 60.0)]
 #[test_case(HUNDREDS, 60.0)]
--- a/crates/oliveworks-gateway-core/tests/replay.rs
+++ b/crates/oliveworks-gateway-core/tests/replay.rs
@@ -78,7 +78,7 @@
 }
 
 /// Returns a position in a topic of a store that reports no era.
-fn place(offset: u64) -> Position {
+fn position(offset: u64) -> Position {
     Position::new(Era::default(), offset)
 }
 
@@ -124,9 +124,9 @@
             return;
         }
         let count = self.gateways.len();
-        let is_rejected = self.rng.random_range(0..=count);
+        let rejected_count = self.rng.random_range(0..=count);
         self.rejected_by_store =
-            (0..is_rejected).map(|_| self.rng.random_range(0..count)).collect();
+            (0..rejected_count).map(|_| self.rng.random_range(0..count)).collect();
         let partition_count = self.rng.random_range(0..count * 2);
         self.partitioned = (0..partition_count)
             .map(|_| (self.rng.random_range(0..count), self.rng.random_range(0..count)))
@@ -145,8 +145,8 @@
         let newest = records.iter().copied().max().unwrap_or(0);
         gateway.version = gateway.version.max(newest);
         match gateway.from {
-            None => gateway.replay_buffer.restart_at(place(next)),
-            Some(_) => gateway.replay_buffer.append(records, place(next)),
+            None => gateway.replay_buffer.restart_at(position(next)),
+            Some(_) => gateway.replay_buffer.append(records, position(next)),
         }
         gateway.from = Some(gateway.from.unwrap_or(0).max(next));
         match (answer.age_ms, self.variant) {
@@ -222,7 +222,7 @@
         let partitioned = self.partitioned.contains(&(index, other));
         let source = &self.gateways[other];
         let age_ms = source.freshness.age_ms(self.now);
-        let content = match source.replay_buffer.since(self.gateways[index].from.map(place)) {
+        let content = match source.replay_buffer.since(self.gateways[index].from.map(position)) {
             ReplayAnswer::Records(records, next) => Some((records, next.offset)),
             ReplayAnswer::Newest(next) => Some((vec![source.version], next.offset)),
             ReplayAnswer::Behind | ReplayAnswer::Unread => None,
@@ -292,23 +292,29 @@
 fn a_replay_answer_holds_the_records_that_the_asker_lacks() {
     let mut replay_buffer = ReplayBuffer::default();
     assert_eq!(replay_buffer.since(None), ReplayAnswer::Unread);
-    replay_buffer.restart_at(place(10));
-    replay_buffer.append(vec!['a', 'b'], place(12));
-    replay_buffer.append(vec![], place(12));
-    replay_buffer.append(vec!['c'], place(13));
-    assert_eq!(replay_buffer.since(None), ReplayAnswer::Newest(place(13)));
-    assert_eq!(replay_buffer.since(Some(place(9))), ReplayAnswer::Newest(place(13)));
+    replay_buffer.restart_at(position(10));
+    replay_buffer.append(vec!['a', 'b'], position(12));
+    replay_buffer.append(vec![], position(12));
+    replay_buffer.append(vec!['c'], position(13));
+    assert_eq!(replay_buffer.since(None), ReplayAnswer::Newest(position(13)));
+    assert_eq!(replay_buffer.since(Some(position(9))), ReplayAnswer::Newest(position(13)));
     assert_eq!(
-        replay_buffer.since(Some(place(10))),
-        ReplayAnswer::Records(vec!['a', 'b', 'c'], place(13))
+        replay_buffer.since(Some(position(10))),
+        ReplayAnswer::Records(vec!['a', 'b', 'c'], position(13))
     );
-    assert_eq!(replay_buffer.since(Some(place(12))), ReplayAnswer::Records(vec!['c'], place(13)));
-    assert_eq!(replay_buffer.since(Some(place(13))), ReplayAnswer::Records(vec![], place(13)));
-    assert_eq!(replay_buffer.since(Some(place(14))), ReplayAnswer::Behind);
-    (0..100).for_each(|n| replay_buffer.append(vec!['d'], place(14 + n)));
     assert_eq!(
-        replay_buffer.since(Some(place(13))),
-        ReplayAnswer::Newest(place(113)),
+        replay_buffer.since(Some(position(12))),
+        ReplayAnswer::Records(vec!['c'], position(13))
+    );
+    assert_eq!(
+        replay_buffer.since(Some(position(13))),
+        ReplayAnswer::Records(vec![], position(13))
+    );
+    assert_eq!(replay_buffer.since(Some(position(14))), ReplayAnswer::Behind);
+    (0..100).for_each(|n| replay_buffer.append(vec!['d'], position(14 + n)));
+    assert_eq!(
+        replay_buffer.since(Some(position(13))),
+        ReplayAnswer::Newest(position(113)),
         "a position that is no longer kept is answered with the newest position"
     );
 }
@@ -319,20 +325,26 @@
 fn repeats_are_replayed_only_on_request() {
     let kept = |record, is_repeat| Kept { record, is_repeat };
     let mut replay_buffer = ReplayBuffer::default();
-    replay_buffer.restart_at(place(10));
-    replay_buffer.append_with_repeats(vec![kept('a', true), kept('b', false)], place(12));
-    replay_buffer.append_with_repeats(vec![kept('a', true)], place(13));
-    assert_eq!(replay_buffer.since(Some(place(10))), ReplayAnswer::Records(vec!['b'], place(13)));
-    assert_eq!(replay_buffer.since(Some(place(12))), ReplayAnswer::Records(vec![], place(13)));
+    replay_buffer.restart_at(position(10));
+    replay_buffer.append_with_repeats(vec![kept('a', true), kept('b', false)], position(12));
+    replay_buffer.append_with_repeats(vec![kept('a', true)], position(13));
+    assert_eq!(
+        replay_buffer.since(Some(position(10))),
+        ReplayAnswer::Records(vec!['b'], position(13))
+    );
+    assert_eq!(
+        replay_buffer.since(Some(position(12))),
+        ReplayAnswer::Records(vec![], position(13))
+    );
     assert_eq!(
-        replay_buffer.since_with_repeats(Some(place(10))),
-        ReplayAnswer::Records(vec!['a', 'b', 'a'], place(13))
+        replay_buffer.since_with_repeats(Some(position(10))),
+        ReplayAnswer::Records(vec!['a', 'b', 'a'], position(13))
     );
-    (0..5).for_each(|n| replay_buffer.append_with_repeats(vec![kept('b', true)], place(14 + n)));
-    let late = replay_buffer.since_with_repeats(Some(place(10)));
+    (0..5).for_each(|n| replay_buffer.append_with_repeats(vec![kept('b', true)], position(14 + n)));
+    let late = replay_buffer.since_with_repeats(Some(position(10)));
     assert_eq!(
         late,
-        ReplayAnswer::Records(vec!['b'; 5], place(18)),
+        ReplayAnswer::Records(vec!['b'; 5], position(18)),
         "old repeats are evicted, changed records are kept"
     );
 }
@@ -420,9 +432,9 @@
     assert_eq!(next_source(last, &others, 0, 5), ReadFrom::Gateway(address(b'3'.into())));
 }
 
-/// A gateway that has not yet observed the restore of the store from a copy has no records for a
-/// gateway that has. A
-/// request to such a gateway only delayed the request to the next one.
+/// Guards against a useless request: a gateway that has not yet observed the restore of the store
+/// from a copy has no records for a gateway that has, so a request to the former only delays the
+/// request to the next gateway.
 #[test]
 fn a_gateway_that_knows_an_earlier_era_is_not_asked() {
     let this = LocalState { era: Era(2), ..own("c", true) };
@@ -458,8 +470,8 @@
     assert_eq!(first_source(&[avoided, others[1].clone()], 0), Some(address(b'2'.into())));
 }
 
-/// The first gateway by name was treated as the reader before it had read anything, and meanwhile
-/// no gateway read the store.
+/// Guards against a time in which no gateway reads the store: the first gateway by name must not be
+/// treated as the reader before it has read anything.
 #[test]
 fn the_reader_reads_on_until_the_first_by_name_has_read_the_store() {
     let reader = LocalState { reads_store: true, ..own("b", true) };
--- a/crates/oliveworks-gateway-core/tests/restored_store/judge.rs
+++ b/crates/oliveworks-gateway-core/tests/restored_store/judge.rs
@@ -9,8 +9,8 @@
 
 /// Time after which no gateway may accept a revoked key, in ms.
 const REVOKE_MS: u64 = 5_000;
-/// Time for which a gateway may accept a freshness proof without a version that the store has lost,
-/// although the gateway could learn of that version, in ms.
+/// Grace period for a version that the store has lost, in ms. It begins when a gateway can first
+/// learn of the version. A freshness proof that dates from before its end may lack the version.
 const LEARN_MS: u64 = 250;
 /// Time within which a version must be in force at a gateway without faults, in ms.
 const APPLY_MS: u64 = 3_000;
@@ -57,7 +57,8 @@
     }
 
     /// Checks that no gateway accepts keys of a version that was superseded at least `REVOKE_MS`
-    /// ago, unless neither the store nor a peer could have reported the newer version.
+    /// ago. There is one exception: the store has lost the newer version or a later one, and
+    /// neither the store nor a peer could have reported the newer version in time.
     fn check_keys(&mut self, world: &mut World, index: usize) {
         let now = world.now;
         let node = &world.nodes[index];
--- a/crates/oliveworks-gateway-core/tests/returning.rs
+++ b/crates/oliveworks-gateway-core/tests/returning.rs
@@ -3,8 +3,8 @@
 use oliveworks_gateway_core::returning::Waits;
 use test_case::test_case;
 
-/// `before_ms` holds the remaining times named by earlier attempts, and `left_ms` the remaining
-/// time named by the attempt that is classified.
+/// `before_ms` holds the remaining times that callers named in earlier attempts. `left_ms` is the
+/// remaining time named in the attempt under test.
 #[test_case(&[5_000; 6], 1_000, false; "too few say nothing")]
 #[test_case(&[5_000; 20], 4_900, false; "like the others")]
 #[test_case(&[5_000; 20], 4_250, false; "a little less patient")]
--- a/crates/oliveworks-gateway-core/tests/slow_start/cold.rs
+++ b/crates/oliveworks-gateway-core/tests/slow_start/cold.rs
@@ -1,4 +1,7 @@
-//! Time until which a backend server counts as cold.
+//! Tests of the time until which a backend server counts as cold.
+//!
+//! A backend server that may have returned cold is in doubt: it counts as cold until a record
+//! arrives that was written later, or until the longest possible time of being cold has passed.
 
 use oliveworks_gateway_core::slow_start::SlowStarts;
 use oliveworks_gateway_core::slow_start::cold::{Evidence, Listed, Reading};
@@ -83,7 +86,7 @@
     assert!(!is_cold(&slow_starts, 63_000));
 }
 
-/// A backend server may be lost a second time before the doubt of the first loss ends.
+/// A backend server may be lost a second time while it is still in doubt after the first loss.
 #[test]
 fn a_server_lost_again_is_doubted_again() {
     let mut slow_starts = warm();
@@ -238,11 +241,11 @@
     assert_eq!(Listed::of(reading), expected);
 }
 
-/// A gateway that started just after the end of a drain sent a cold host the load of a warm host:
-/// 28 requests in a second, where all gateways together may send 20. The gateway had received the
-/// end of the drain from a peer (`drain_ended_elsewhere`, 62 ms after the end) and read the list
-/// 129 ms later, but the configuration only 1 ms after the list. Without the ramp-up terms of the
-/// service, the gateway dropped the doubt.
+/// Guards against a doubt that is dropped because the configuration, with the ramp-up terms of the
+/// service, is not read yet. A gateway that starts just after the end of a drain may receive that
+/// end from a peer (`drain_ended_elsewhere`, 62 ms after the end) and read the list 129 ms later,
+/// but the configuration only 1 ms after the list. In the failure, such a gateway sent a cold host
+/// the load of a warm host: 28 requests in a second, where all gateways together may send 20.
 #[test]
 fn a_doubt_that_comes_before_the_configuration_is_kept() {
     let mut slow_starts = warm();
--- a/crates/oliveworks-gateway-core/tests/table.rs
+++ b/crates/oliveworks-gateway-core/tests/table.rs
@@ -32,12 +32,12 @@
 
 /// Updates a leader's table to a new one and returns the deltas that the leader sends.
 fn publish(current: &mut Table, recent_deltas: &mut Changes, new: &Table) -> Vec<Change> {
-    let changes = current.changes_to(new);
-    for change in &changes {
-        assert!(current.apply(change));
-        recent_deltas.keep(change.clone());
+    let deltas = current.changes_to(new);
+    for delta in &deltas {
+        assert!(current.apply(delta));
+        recent_deltas.keep(delta.clone());
     }
-    changes
+    deltas
 }
 
 fn sorted(table: &Table) -> Table {
@@ -65,10 +65,10 @@
 #[test]
 fn a_change_of_one_group_among_many_is_small() {
     let mut current = table(1, 0..1_000);
-    let changes = current.changes_to(&table(1, 1..1_001));
-    assert_eq!(changes.len(), 1);
-    assert!(postcard::to_stdvec(&changes[0]).unwrap().len() < 500);
-    assert!(current.apply(&changes[0]));
+    let deltas = current.changes_to(&table(1, 1..1_001));
+    assert_eq!(deltas.len(), 1);
+    assert!(postcard::to_stdvec(&deltas[0]).unwrap().len() < 500);
+    assert!(current.apply(&deltas[0]));
     assert_eq!(current.groups.len(), 1_000);
 }
 
@@ -79,9 +79,9 @@
 fn no_step_is_larger_than_a_datagram(groups: u64) {
     let new = table(7, 0..groups);
     let mut current = Table::default();
-    let changes = publish(&mut current, &mut Changes::default(), &new);
+    let deltas = publish(&mut current, &mut Changes::default(), &new);
     assert_eq!(current.groups.len(), groups as usize);
-    assert!(changes.iter().all(|change| postcard::to_stdvec(change).unwrap().len() < 60_000));
+    assert!(deltas.iter().all(|delta| postcard::to_stdvec(delta).unwrap().len() < 60_000));
     assert!(current.parts().iter().all(|part| postcard::to_stdvec(part).unwrap().len() < 60_000));
 }
 
@@ -100,20 +100,20 @@
             let new = table(fence, first..first + rng.random_range(0..500u64));
             let mut deltas = publish(&mut leader, &mut recent_deltas, &new);
             deltas.shuffle(&mut rng);
-            for change in deltas.iter().filter(|_| rng.random_bool(0.5)) {
-                if gateway.apply(change) {
-                    gateway_deltas.keep(change.clone());
+            for delta in deltas.iter().filter(|_| rng.random_bool(0.5)) {
+                if gateway.apply(delta) {
+                    gateway_deltas.keep(delta.clone());
                 }
-                assert!(!gateway.apply(change), "a repeated delta should not apply");
+                assert!(!gateway.apply(delta), "a repeated delta should not apply");
             }
             if rng.random_bool(0.9) {
                 continue;
             }
             // The gateway requests the missing deltas; answers are lost, too.
             match recent_deltas.since(gateway.version()) {
-                Some(changes) => {
-                    changes.iter().filter(|_| rng.random_bool(0.7)).for_each(|change| {
-                        gateway.apply(change);
+                Some(missing_deltas) => {
+                    missing_deltas.iter().filter(|_| rng.random_bool(0.7)).for_each(|delta| {
+                        gateway.apply(delta);
                     })
                 }
                 None => {
@@ -130,7 +130,7 @@
         }
         while gateway.version() < leader.version() {
             match recent_deltas.since(gateway.version()) {
-                Some(changes) => changes.iter().for_each(|change| assert!(gateway.apply(change))),
+                Some(deltas) => deltas.iter().for_each(|delta| assert!(gateway.apply(delta))),
                 None => {
                     let parts = leader.parts().into_iter();
                     gateway = parts.filter_map(|part| assembly.add_part(part)).last().unwrap();
@@ -146,8 +146,8 @@
 fn no_table_goes_back_to_an_earlier_leader() {
     let mut current = table(2, 0..3);
     let before = current.clone();
-    for change in current.changes_to(&table(1, 0..9)) {
-        assert!(!current.apply(&change));
+    for delta in current.changes_to(&table(1, 0..9)) {
+        assert!(!current.apply(&delta));
     }
     assert_eq!(current, before);
 }
--- a/crates/oliveworks-gateway-core/tests/versions.rs
+++ b/crates/oliveworks-gateway-core/tests/versions.rs
@@ -1,5 +1,6 @@
-//! Tests of the effect of a version that other gateways know on the proof by a read of the store,
-//! and on a gateway that lacks the version.
+//! Tests of [`Lag`], which compares a version with the newest version that other gateways know. If
+//! the store holds an older version, a read of the store proves nothing for a limited time. If this
+//! gateway holds an older version, it asks another gateway.
 
 use oliveworks_gateway_core::era::REWRITE_MS;
 use oliveworks_gateway_core::versions::Lag;
--- a/crates/oliveworks-gateway-core/tests/worst_load/domains.rs
+++ b/crates/oliveworks-gateway-core/tests/worst_load/domains.rs
@@ -12,7 +12,7 @@
     Model { heads: 12, step_ms: 3.6, per_sequence_ms: 0.027, read_per_ms: 84.0, goal_ms: 200 };
 const GATEWAYS: usize = 12;
 
-/// Returns domains with so many gateways and groups each.
+/// Returns domains with the given numbers of gateways and of groups.
 fn domains(gateways: [usize; 3], heads: [usize; 3]) -> Domains {
     let each = |counts: [usize; 3]| {
         let domains = counts.into_iter().enumerate();
@@ -63,8 +63,8 @@
     assert!(in_time >= 0.98, "{in_time:.3} in time");
 }
 
-/// There are somewhat more callers than the groups can serve. Requests that find no local slot go
-/// to remote failure domains.
+/// There are more than twice the callers that the groups can serve. Requests that find no local
+/// slot go to remote failure domains.
 #[test_case([4, 4, 4], [4, 4, 4], 0.80, 0.70; "equal domains")]
 #[test_case([4, 4, 4], [2, 4, 6], 0.60, 0.70; "unequal groups")]
 #[test_case([8, 2, 2], [4, 4, 4], 0.50, 0.70; "two thirds of the callers in one domain")]
--- a/crates/oliveworks-gateway-core/tests/worst_load/world.rs
+++ b/crates/oliveworks-gateway-core/tests/worst_load/world.rs
@@ -23,11 +23,12 @@
 /// attempts to place the request, in ms.
 const MAX_WAIT_PERCENT: u64 = 22;
 const RETRY_INTERVAL_MS: u64 = 15;
-/// Interval between two heartbeats of a gateway, and the delay of heartbeats between failure
-/// domains, in ms.
+/// Interval between two heartbeats of a gateway, and the delay of heartbeats between gateways of
+/// different blocks of `GATEWAYS_PER_DOMAIN`, in ms.
 const HEARTBEAT_MS: u64 = 100;
 const REMOTE_DELAY_MS: u64 = 100;
-/// Number of gateways of a failure domain.
+/// Number of consecutive gateways whose heartbeats reach each other without `REMOTE_DELAY_MS`. Only
+/// the delays depend on this number; the sources of counts depend on [`Domains::of_gateways`].
 const GATEWAYS_PER_DOMAIN: usize = 5;
 const STRIDE: f64 = 7.0;
 const CHUNK: u32 = 2_048;
--- a/crates/oliveworks-lab/src/main.rs
+++ b/crates/oliveworks-lab/src/main.rs
@@ -22,7 +22,7 @@
 /// Fleet size of an experiment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 enum Size {
-    /// 30 hosts: today's size of one partner pair.
+    /// 30 hosts: today's size for one pair of partners.
     Today,
     /// 4,100 hosts: the full size, expected in two years.
     TwoYears,
@@ -202,6 +202,8 @@
     let costs =
         Costs { detection_s: 4.0, failover_s: 3.5, fetch_s: 60.0, bind_s: 1.5, concurrent_fetches };
     println!("{} hosts, {} days, {seeds} traces", trace.hosts, trace.days);
+    // The floors are lower bounds: the first of the downtime over both partners, the second of the
+    // stranded host time.
     println!(
         "| placement | downtime Saffah % | downtime Sahel % | floor % | stranded % | floor % | records |"
     );
--- a/crates/oliveworks-lab/src/placement.rs
+++ b/crates/oliveworks-lab/src/placement.rs
@@ -1,4 +1,5 @@
-//! Simulation of group downtime and stranded accelerators under seeded failure traces.
+//! Simulation of group downtime and stranded host time (time that healthy hosts spend outside
+//! serving groups) under seeded failure traces.
 //!
 //! The shipped [`plan`] and [`Pool`] run against a trace of failures. Baselines are other settings
 //! of the same planner. The times for loading and failure detection are constants in [`Costs`]. The
--- a/crates/oliveworks-lab/src/prove/agents.rs
+++ b/crates/oliveworks-lab/src/prove/agents.rs
@@ -237,7 +237,8 @@
     }
 
     /// Passes a piece from the engine on to the entry if the view that started the request is still
-    /// complete (the second gate).
+    /// complete. This is the second check of the view; the first is made before the request is
+    /// handed to the engine.
     fn agent_piece(&mut self, host: HostId, id: AttemptId, number: u64, total: u64) {
         let node = Node::Agent(host);
         let now = self.clock(node);
@@ -268,8 +269,7 @@
         self.check_group_promises(host, permit.epoch(), &members);
     }
 
-    /// Checks that a leader that passes an answer on holds a promise from every member that is in
-    /// force.
+    /// Checks that a leader that passes an answer on holds a promise in force from every member.
     fn check_group_promises(&mut self, leader: HostId, epoch: Epoch, members: &[HostId]) {
         if members.is_empty() {
             self.check.breach("whole group", format!("{leader} serves without a view"));
--- a/crates/oliveworks-lab/src/prove/check.rs
+++ b/crates/oliveworks-lab/src/prove/check.rs
@@ -15,7 +15,8 @@
     pub detail: String,
 }
 
-/// Promise of a host that is in force, regardless of which incarnation of its agent made it.
+/// Promise in force that a host has given, with its end in real time instead of the host's time. It
+/// counts regardless of which incarnation of the agent gave it.
 #[derive(Clone, Copy, Debug)]
 pub struct TruePromise {
     /// Epoch of the group.
--- a/crates/oliveworks-lab/src/prove/mod.rs
+++ b/crates/oliveworks-lab/src/prove/mod.rs
@@ -29,9 +29,9 @@
     #[default]
     None,
     /// Agents send pieces of answers to the entry without checking that the group's view is still
-    /// complete (the second gate).
+    /// complete (the check of `Agent::may_pass`).
     PassesUnchecked,
-    /// A restarted agent grants leases at once, without a quiet period.
+    /// A restarted agent gives a promise (grants a lease) at once, without a quiet period.
     NoQuiet,
     /// An entry accepts pieces of any attempt.
     MixesTries,
@@ -47,7 +47,8 @@
     AdoptsOlder,
     /// An entry reports its configuration as current, regardless of when that was last proved.
     ClaimsCurrent,
-    /// A restarted agent assumes that its keys had no home before.
+    /// An agent treats its configuration as proved before it was, also after a restart, and so
+    /// assumes that its keys had no home before.
     ClaimsHome,
 }
 
